--- /dev/null
+++ b/tests/test_golden.py
@@ -0,0 +1,948 @@
+"""Everything that others read, as it is now: messages, stored records, printed texts.
+
+Neighbouring versions, workers, the cloud, the state service and operators rely on these forms,
+so a change of one is a change of format and never a side effect of a renaming. The expected
+values are literals; `golden_forms` holds the longer ones.
+"""
+
+from __future__ import annotations
+
+import json
+import re
+from collections.abc import Callable, Iterable
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import pytest
+import trio
+import trio.testing
+from click.testing import CliRunner
+
+from pitchtally import policy as policy_module
+from pitchtally import wire
+from pitchtally.cli import POLICY as DEFAULT_POLICY_FILE
+from pitchtally.commands import main
+from pitchtally.control.bits import Bits
+from pitchtally.control.job_records import CANCELLED, DONE, OPEN, TaskRange
+from pitchtally.control.job_records import Record as JobRecord
+from pitchtally.control.members import Node, Owner
+from pitchtally.control.messages import (
+    Ack,
+    Cancelled,
+    Forward,
+    Forwarded,
+    Heartbeat,
+    MachineFlag,
+    SplitAnswer,
+    SplitRequest,
+)
+from pitchtally.control.messages import decode as decode_message
+from pitchtally.control.messages import encode as encode_message
+from pitchtally.control.service import Controller
+from pitchtally.formats import finished, fleet_layout, legacy, pieces
+from pitchtally.formats.gate import FORMAT, FormatRecord
+from pitchtally.formats.gate import KEY as GATE_KEY
+from pitchtally.policy import FIGURES as POLICY_FIGURES
+from pitchtally.policy import RENAMED as POLICY_EARLIER_NAMES
+from pitchtally.settings import NextStateLimits, StateLimits
+from pitchtally.store import Write
+from pitchtally.wire import (
+    ALONE,
+    ARRAY,
+    BOOTING,
+    BUSY,
+    ERROR,
+    EXITED,
+    FAILED,
+    FETCHING,
+    FORGET,
+    GANG,
+    NO_ROOM,
+    PEERS_GONE,
+    PENDING,
+    RANKS,
+    RUNNING,
+    SAVING,
+    SERVICE,
+    START,
+    STOP,
+    STOPPED,
+    UNKNOWN,
+    WAITING,
+    WITHDRAWN,
+    Condition,
+    Delete,
+    DirectOrders,
+    Event,
+    Events,
+    Hire,
+    JobSpec,
+    JobView,
+    LeaseGrant,
+    LeaseRequest,
+    Listed,
+    MachineList,
+    MachineType,
+    MachineTypes,
+    Names,
+    Order,
+    Orders,
+    Put,
+    Redirect,
+    Report,
+    Revision,
+    StoredItem,
+    StoredPage,
+    TaskReport,
+    Transaction,
+)
+from pitchtally.wire import DONE as TASK_DONE
+
+from . import sim
+from .golden_forms import MESSAGES, PROTOCOL, RECORDS, JsonForm, PackedForm
+from .sim import Sim, job, settings
+
+PROTOCOL_MODULES = [wire]
+
+# By the labels of `golden_forms`, which stay when a type is renamed.
+PROTOCOL_TYPES: dict[str, type[Any]] = {
+    "JobSpec": JobSpec,
+    "TaskReport": TaskReport,
+    "Report": Report,
+    "Order": Order,
+    "Orders": Orders,
+    "DirectOrders": DirectOrders,
+    "Redirect": Redirect,
+    "JobView": JobView,
+    "MachineType": MachineType,
+    "MachineTypes": MachineTypes,
+    "Listed": Listed,
+    "MachineList": MachineList,
+    "Hire": Hire,
+    "Names": Names,
+    "StoredItem": StoredItem,
+    "StoredPage": StoredPage,
+    "Event": Event,
+    "Events": Events,
+    "Revision": Revision,
+    "Condition": Condition,
+    "Put": Put,
+    "Delete": Delete,
+    "LeaseGrant": LeaseGrant,
+    "LeaseRequest": LeaseRequest,
+}
+RECORD_TYPES: dict[str, type[Any]] = {
+    "Record": JobRecord,
+    "Node": Node,
+    "Owner": Owner,
+    "FormatRecord": FormatRecord,
+}
+MESSAGE_TYPES: dict[str, type[Any]] = {
+    "Heartbeat": Heartbeat,
+    "Cancelled": Cancelled,
+    "Forward": Forward,
+    "Forwarded": Forwarded,
+    "SplitRequest": SplitRequest,
+    "SplitAnswer": SplitAnswer,
+    "Ack": Ack,
+}
+JSON_FORMS: list[tuple[type[Any], JsonForm]] = [
+    *((PROTOCOL_TYPES[label], form) for label, form in PROTOCOL.items()),
+    *((RECORD_TYPES[label], form) for label, form in RECORDS.items()),
+]
+PACKED_FORMS: list[tuple[type[Any], PackedForm]] = [
+    (MESSAGE_TYPES[label], form) for label, form in MESSAGES.items()
+]
+LABELS = [*PROTOCOL, *RECORDS]
+
+
+def plain(value: Any) -> Any:
+    """A value with its structs as tuples, so that field names don't matter."""
+    if isinstance(value, msgspec.Raw):
+        return bytes(value)
+    if isinstance(value, msgspec.Struct):
+        return tuple(plain(each) for each in msgspec.structs.astuple(value))
+    if isinstance(value, tuple):
+        return tuple(plain(each) for each in value)
+    if isinstance(value, list):
+        return [plain(each) for each in value]
+    if isinstance(value, dict):
+        return {key: plain(each) for key, each in value.items()}
+    return value
+
+
+def fields_left_at_default(value: msgspec.Struct) -> list[str]:
+    """Fields of an example that tell nothing, as the default would look the same."""
+    left = []
+    for each in msgspec.structs.fields(value):
+        default = each.default
+        if each.default_factory is not msgspec.NODEFAULT:
+            default = each.default_factory()
+        if getattr(value, each.name) == default:
+            left.append(each.name)
+    return left
+
+
+# --- the protocol, and records ------------------------------------------------------------------
+
+
+@pytest.mark.parametrize(("kind", "form"), JSON_FORMS, ids=LABELS)
+def test_full_json_example(kind: type[Any], form: JsonForm) -> None:
+    found = msgspec.json.decode(form.full, type=kind)
+    assert msgspec.json.encode(found) == form.full
+    assert plain(found) == form.fields
+    assert not fields_left_at_default(found)
+
+
+@pytest.mark.parametrize(("kind", "form"), JSON_FORMS, ids=LABELS)
+def test_least_json_example(kind: type[Any], form: JsonForm) -> None:
+    found = msgspec.json.decode(form.least, type=kind)
+    assert plain(found) == form.least_fields
+    assert msgspec.json.encode(found) == form.least_encoded
+    assert msgspec.json.decode(form.least_encoded, type=kind) == found
+
+
+def test_transaction() -> None:
+    """It is only sent: no decoder could tell a write from a removal."""
+    sent = Transaction(
+        [Condition("pt/a", 3), Condition("pt/b", 0)],
+        [Put("pt/a", msgspec.Raw(b'{"x":1}'), 7), Put("pt/b", msgspec.Raw(b"2")), Delete("pt/c")],
+    )
+    assert msgspec.json.encode(sent) == (
+        b'{"if":[{"path":"pt/a","stamp":3},{"path":"pt/b","stamp":0}],"writes":['
+        b'{"write":"pt/a","v":{"x":1},"permit":7},{"write":"pt/b","v":2},{"remove":"pt/c"}]}'
+    )
+
+
+def test_every_type_of_the_protocol_is_here() -> None:
+    defined = {
+        each
+        for module in PROTOCOL_MODULES
+        for each in vars(module).values()
+        if isinstance(each, type) and issubclass(each, msgspec.Struct)
+    }
+    defined.discard(msgspec.Struct)
+    assert defined == {*PROTOCOL_TYPES.values(), Transaction}
+    assert list(PROTOCOL_TYPES) == list(PROTOCOL)
+
+
+def test_words_of_the_protocol() -> None:
+    assert RANKS == ("production", "urgent", "standard", "idle")
+    assert (ARRAY, GANG, SERVICE) == ("sweep", "gang", "standing")
+    assert (START, STOP, FORGET) == ("start", "kill", "forget")
+    assert (FETCHING, WAITING, RUNNING, SAVING, EXITED) == (
+        "fetching",
+        "waiting",
+        "running",
+        "flushing",
+        "ended",
+    )
+    assert (TASK_DONE, STOPPED, PEERS_GONE, ALONE, ERROR, NO_ROOM, BUSY, UNKNOWN) == (
+        "done",
+        "stopped",
+        "mates_gone",
+        "incomplete",
+        "error",
+        "full",
+        "busy",
+        "unknown",
+    )
+    assert (PENDING, WITHDRAWN) == ("pending", "withdrawn")
+    assert (BOOTING, FAILED) == ("starting", "failed")
+
+
+def test_stages_of_a_job_record() -> None:
+    assert (OPEN, DONE, CANCELLED) == ("open", "done", "withdrawn")
+
+
+# --- messages between controllers ---------------------------------------------------------------
+
+
+@pytest.mark.parametrize(("kind", "form"), PACKED_FORMS, ids=MESSAGES)
+def test_full_message(kind: type[Any], form: PackedForm) -> None:
+    found = decode_message(bytes.fromhex(form.full))
+    assert type(found) is kind
+    assert encode_message(found).hex() == form.full
+    assert plain(found) == form.fields
+    assert not fields_left_at_default(found)
+
+
+@pytest.mark.parametrize(("kind", "form"), PACKED_FORMS, ids=MESSAGES)
+def test_least_message(kind: type[Any], form: PackedForm) -> None:
+    found = decode_message(bytes.fromhex(form.least))
+    assert type(found) is kind
+    assert plain(found) == form.least_fields
+    assert encode_message(found).hex() == form.least_encoded
+
+
+def test_flags_of_a_machine() -> None:
+    assert [flag.value for flag in MachineFlag] == [
+        "",
+        "new",
+        "lost",
+        "unheard",
+        "deaf",
+        "notice",
+        "drain",
+        "sick",
+    ]
+
+
+# --- keys and values in the state service -------------------------------------------------------
+
+NODE = "n1"
+STATE = StateLimits(
+    rps=300, write_rps=100, value_kb=2, txn_ops=16, next=NextStateLimits(value_kb=1, txn_ops=4)
+)
+FORMAT_RECORD = b'{"format":2,"legacy_chunk_tasks":6144}'
+
+
+def controller_of(gate_open: bool) -> Controller:
+    config = settings(NODE, state=STATE)
+    found = Controller(config, policy_module.parse("", config))
+    if gate_open:
+        found.replica.learn("pt/format", FORMAT_RECORD, 9)
+    return found
+
+
+def on_clock(body: Callable[[], None]) -> None:
+    async def run() -> None:
+        body()
+
+    trio.run(run, clock=trio.testing.MockClock())
+
+
+def stored(writes: Iterable[Write]) -> list[tuple[str, bytes | None]]:
+    return [(write.key, write.value) for write in writes]
+
+
+SPEC = (
+    b'{"ref":"wk-000001","vintage":"c","crew":"free","cut":"sweep","rank":"standard","rows":%d,'
+    b'"vcpus":2.0,"cards":0.0,"memGb":1.0,"cask":"%s","pullGb":0.1,"gleaning":true,"ripenS":4.0}'
+)
+
+
+def open_record(tasks: int, more: bytes = b"", image: bytes = b"i") -> bytes:
+    return b'{"stage":"open","tasks":%d,"spec":%s%s}' % (tasks, SPEC % (tasks, image), more)
+
+
+def test_format_record() -> None:
+    def body() -> None:
+        assert (GATE_KEY, FORMAT) == ("pt/format", 2)
+        assert controller_of(False).gate.record() == FORMAT_RECORD
+
+    on_clock(body)
+
+
+def test_keys_of_a_job() -> None:
+    ref = pieces.TextRef("00ff", 2)
+    assert finished.key("wk-000001", 3072) == "pt/done/wk-000001/3072"
+    assert legacy.legacy_key("wk-000001", 2) == "pt/fin/wk-000001/2"
+    assert pieces.key("wk-000001", ref, 1) == "pt/text/wk-000001/00ff/1"
+
+
+def test_layout_widths() -> None:
+    """Where records of each size are cut; under 0.5.1 they depend on the width alone."""
+    kilobytes = (1, 2, 8, 64)
+    assert [finished.inline_tasks(kb * 1024) for kb in kilobytes] == [1536, 3072, 12288, 98304]
+    assert [finished.chunk_tasks(kb * 1024) for kb in kilobytes] == [3072, 6144, 24576, 196608]
+    assert [legacy.chunk_tasks(kb) for kb in kilobytes] == [3072, 6144, 24576, 196608]
+    assert [legacy.machines_per_chunk(kb) for kb in kilobytes] == [5, 10, 40, 327]
+    assert [fleet_layout.machines_per_chunk(kb * 1024) for kb in kilobytes] == [7, 15, 61, 491]
+    assert [fleet_layout.chunk_of(place, 7) for place in (0, 6, 7, 120)] == [
+        7000000000,
+        7000000000,
+        7000000001,
+        7000000017,
+    ]
+
+
+def test_pieces_of_a_text() -> None:
+    ref, values = pieces.cut('one "two" \\ three\nกข', 16)
+    assert ref == ("49593c2b2478f341", 3)
+    assert values == [b'"one \\"two\\" "', b'"\\\\ three\\n"', b'"\xe0\xb8\x81\xe0\xb8\x82"']
+
+
+def test_packed_tasks() -> None:
+    bits = Bits(20)
+    for task in (0, 2, 9, 19):
+        bits.add(task)
+    assert bits.text() == "BQII"
+    assert bits.text(1, 1) == "Ag=="
+
+
+@pytest.mark.parametrize(("gate_open", "chunk"), [(False, 12), (True, 7000000017)])
+def test_chunk_of_a_machine(gate_open: bool, chunk: int) -> None:
+    def body() -> None:
+        assert controller_of(gate_open).workers.records.chunk_of("i-000360") == chunk
+
+    on_clock(body)
+
+
+@pytest.mark.parametrize(
+    ("gate_open", "key", "value"),
+    [
+        (False, "pt/shares", b'{"other":[[1.0,0.0],[2.0,0.5]],"a b/c":[[4.0,0.0],[2.5,1.0]]}'),
+        (True, "pt/shares/a%20b%2Fc", b"[[4.0,0.0],[2.5,1.0]]"),
+    ],
+)
+def test_shares_of_a_team(gate_open: bool, key: str, value: bytes) -> None:
+    def body() -> None:
+        controller = controller_of(gate_open)
+        controller.replica.learn("pt/shares", b'{"other":[[1.0,0.0],[2.0,0.5]]}', 10)
+        shares = controller.split.teams.shares
+        assert shares.of("other") == [(1.0, 0.0), (2.0, 0.5)]
+        rows = [(4.0, 0.0), (2.5, 1.0)]
+        assert stored([shares.change("a b/c", rows)]) == [(key, value)]
+        controller.replica.learn(key, value, 11)
+        assert shares.of("a b/c") == rows
+
+    on_clock(body)
+
+
+def machine_type(name: str) -> bytes:
+    return (
+        b'{"sku":"%s","vcpus":8.0,"memGb":32.0,"cards":1.0,"localGb":2.0,"fetchGbPerS":3.0,'
+        b'"rate":4.0,"spotPrice":0.5,"readyS":6.0,"parcels":["a","b"]}' % name.encode()
+    )
+
+
+@pytest.mark.parametrize("gate_open", [False, True])
+def test_machine_types(gate_open: bool) -> None:
+    """Ten of them are more than the 1 KiB that a value may have."""
+    names = [f"type-{number}" for number in range(10)]
+
+    def page(of: list[str]) -> bytes:
+        return b"[" + b",".join(machine_type(name) for name in of) + b"]"
+
+    expected: list[tuple[str, bytes | None]] = [("pt/types", page(names))]
+    if gate_open:
+        expected = [
+            ("pt/types/0", page(names[:7])),
+            ("pt/types/1", page(names[7:])),
+            ("pt/types", None),
+        ]
+
+    def body() -> None:
+        controller = controller_of(gate_open)
+        kinds = controller.fleet.machine_types
+        controller.replica.learn("pt/types", page(names), 10)
+        assert stored(kinds.lay_out(list(kinds.known.values()))) == expected
+
+    on_clock(body)
+
+
+@pytest.mark.parametrize("gate_open", [False, True])
+def test_new_job(gate_open: bool) -> None:
+    """Many tasks: format 2 keeps what is done in keys of its own."""
+
+    def body() -> None:
+        controller = controller_of(gate_open)
+        spec = msgspec.json.decode(SPEC % (5000, b"i"), type=JobSpec)
+        record = JobRecord(OPEN, 5000, spec, 2.5, [TaskRange(0, 4000, 0), TaskRange(4000, 5000, 1)])
+        first, record = controller.layout.lay_out_new("wk-000001", record)
+        more = b',"at":2.5,"ranges":[[0,4000,0],[4000,5000,1]]'
+        if gate_open:
+            more += b',"chunk_tasks":3072'
+        assert not first
+        assert msgspec.json.encode(record) == open_record(5000, more)
+
+    on_clock(body)
+
+
+LONG_IMAGE = b"i" * 900
+SPEC_PIECES: list[tuple[str, bytes | None]] = [
+    (
+        "pt/text/wk-000001/f29b476e0a94946c/0",
+        b'"{\\"ref\\":\\"wk-000001\\",\\"vintage\\":\\"c\\",\\"crew\\":\\"free\\",\\"cut\\":\\"sweep\\",'
+        b'\\"rank\\":\\"standard\\",\\"rows\\":6,\\"vcpus\\":2.0,\\"cards\\":0.0,\\"memGb\\":1.0,\\"cask\\":\\"'
+        b'%s"' % (b"i" * 605),
+    ),
+    (
+        "pt/text/wk-000001/f29b476e0a94946c/1",
+        b'"%s' % (b"i" * 295) + b'\\",\\"pullGb\\":0.1,\\"gleaning\\":true,\\"ripenS\\":4.0}"',
+    ),
+]
+SPEC_REF = b'["f29b476e0a94946c",2]'
+
+
+def test_new_job_with_a_long_spec() -> None:
+    def body() -> None:
+        controller = controller_of(True)
+        spec = msgspec.json.decode(SPEC % (6, LONG_IMAGE), type=JobSpec)
+        first, record = controller.layout.lay_out_new("wk-000001", JobRecord(OPEN, 6, spec, 2.5))
+        assert stored(first) == SPEC_PIECES
+        assert msgspec.json.encode(record) == (
+            b'{"stage":"open","tasks":6,"at":2.5,"spec_text":%s}' % SPEC_REF
+        )
+
+    on_clock(body)
+
+
+def test_long_spec_is_read_from_its_pieces() -> None:
+    def body() -> None:
+        controller = controller_of(True)
+        for number, (key, value) in enumerate(SPEC_PIECES):
+            controller.replica.learn(key, value or b"", 10 + number)
+        value = b'{"stage":"open","tasks":6,"at":2.5,"spec_text":%s}' % SPEC_REF
+        controller.replica.learn("pt/jobs/wk-000001", value, 20)
+        found = controller.job_store.jobs["wk-000001"]
+        assert msgspec.json.encode(found.spec) == SPEC % (6, LONG_IMAGE)
+        assert controller.layout.encode_record(found, found.record) == value
+
+    on_clock(body)
+
+
+def test_conversion_of_a_job_of_the_old_format() -> None:
+    """Its finished tasks go into keys of their own, its spec into pieces."""
+
+    def body() -> None:
+        controller = controller_of(True)
+        controller.replica.learn("pt/fin/wk-000001/0", b'"BQ=="', 10)
+        controller.replica.learn("pt/fin/wk-000001/1", b'"Ag=="', 11)
+        more = b',"at":2.5,"ranges":[[0,9000,0]]'
+        old = open_record(9000, more, LONG_IMAGE)
+        controller.replica.learn("pt/jobs/wk-000001", old, 12)
+        found = controller.job_store.jobs["wk-000001"]
+        assert controller.layout.needs_conversion(found)
+        first, record = controller.layout.convert(found)
+        assert [write.key for write in first[2:]] == [
+            "pt/text/wk-000001/ffd3fd853c0ec1a0/0",
+            "pt/text/wk-000001/ffd3fd853c0ec1a0/1",
+        ]
+        assert stored(first[:2]) == [
+            ("pt/done/wk-000001/0", b'"BQ%s"' % (b"A" * 510)),
+            ("pt/done/wk-000001/6144", b'"Ag%s"' % (b"A" * 474)),
+        ]
+        assert controller.layout.encode_record(found, record) == CONVERTED
+
+    on_clock(body)
+
+
+CONVERTED = (
+    b'{"stage":"open","tasks":9000,"at":2.5,"ranges":[[0,9000,0]],"chunk_tasks":3072,'
+    b'"spec_text":["ffd3fd853c0ec1a0",2]}'
+)
+
+
+@pytest.mark.parametrize(
+    ("tasks", "more", "expected"),
+    [
+        (6, b"", ("pt/jobs/wk-000001", open_record(6, b',"finished":"Ig=="'))),
+        (9000, b"", ("pt/fin/wk-000001/0", b'"Ig%s"' % (b"A" * 1022))),
+        (9000, b',"chunk_tasks":3072', ("pt/done/wk-000001/0", b'"Ig%s"' % (b"A" * 510))),
+    ],
+    ids=["in the record", "chunk of the old format", "chunk of the present format"],
+)
+def test_progress(tasks: int, more: bytes, expected: tuple[str, bytes]) -> None:
+    def body() -> None:
+        controller = controller_of(False)
+        controller.replica.learn("pt/jobs/wk-000001", open_record(tasks, more), 10)
+        found = controller.job_store.jobs["wk-000001"]
+        joined = Bits(tasks)
+        for task in (1, 5):
+            found.local.add(task)
+            joined.add(task)
+        assert stored(controller.layout.progress(found, joined)) == [expected]
+
+    on_clock(body)
+
+
+def test_keys_removed_after_a_job() -> None:
+    def body() -> None:
+        controller = controller_of(True)
+        keys = ["pt/done/wk-000001/0", "pt/fin/wk-000001/1", "pt/text/wk-000001/00ff/0"]
+        for number, key in enumerate(keys):
+            controller.replica.learn(key, b'"AA=="', 10 + number)
+        controller.replica.learn("pt/jobs/wk-000001", b'{"stage":"done","tasks":6}', 20)
+        assert controller.cleanup.left_over(10) == keys
+
+    on_clock(body)
+
+
+def test_cancellation_told_by_a_peer() -> None:
+    def body() -> None:
+        controller = controller_of(True)
+        values: list[tuple[str, bytes | None, int]] = []
+        controller.replica.listen("", lambda *change: values.append(change))
+        controller.job_store.learn_cancelled("wk-000001", 12, 6, 2)
+        assert values == [
+            ("jobs/wk-000001", b'{"stage":"withdrawn","tasks":6,"count":2}', 12),
+        ]
+
+    on_clock(body)
+
+
+# What three controllers leave behind; process names are random, each is <incarnation>.
+STORED = {
+    "pt/fleet/0/61000000000": '{"i-000003":["big","a",false,"10.1.0.1:9003"],'
+    '"i-000006":["big","a",true,"10.1.0.1:9006"]}',
+    "pt/fleet/1/61000000000": '{"i-000001":["big","a",false,"10.1.0.1:9001"],'
+    '"i-000004":["big","b",false,"10.1.0.1:9004"]}',
+    "pt/fleet/2/61000000000": '{"i-000002":["big","b",false,"10.1.0.1:9002"],'
+    '"i-000005":["big","a",true,"10.1.0.1:9005"]}',
+    "pt/format": '{"format":2,"legacy_chunk_tasks":24576}',
+    "pt/jobs/wk-000001": '{"stage":"done","tasks":6}',
+    "pt/jobs/wk-000002": '{"stage":"withdrawn","tasks":6}',
+    "pt/jobs/wk-000003": '{"stage":"open","tasks":1,"spec":{"ref":"wk-000003","vintage":"c",'
+    '"crew":"free","cut":"standing","rank":"standard","rows":1,"vcpus":2.0,"cards":0.0,'
+    '"memGb":1.0,"cask":"i","pullGb":0.1,"gleaning":true,"ripenS":4.0,"rackS":0.0,'
+    '"bottleS":0.0},"at":2.015,"ranges":[[0,1,1]]}',
+    "pt/nodes/n0": '{"incarnation":"<incarnation>","deaf":false,"reads":2}',
+    "pt/nodes/n1": '{"incarnation":"<incarnation>","deaf":false,"reads":2}',
+    "pt/nodes/n2": '{"incarnation":"<incarnation>","deaf":false,"reads":2}',
+    "pt/parts/0": '{"node":"n0","incarnation":"<incarnation>"}',
+    "pt/parts/1": '{"node":"n1","incarnation":"<incarnation>"}',
+    "pt/parts/2": '{"node":"n2","incarnation":"<incarnation>"}',
+    "pt/types": '[{"sku":"big","vcpus":8.0,"memGb":32.0,"cards":0.0,"localGb":0.0,'
+    '"fetchGbPerS":1.0,"rate":1.0,"spotPrice":0.3,"readyS":3.0,"parcels":["a","b"]}]',
+}
+LEASED = ["pt/nodes/n0", "pt/nodes/n1", "pt/nodes/n2"]
+
+
+def test_all_that_is_stored(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Three controllers: a job that ends, one that is cancelled, a service that goes on."""
+    found: dict[str, tuple[Any, int, int | None]] = {}
+
+    async def body(at: Sim) -> None:
+        await at.submit(job(1))
+        await at.submit(job(2, realS=100.0, ripenS=100.0))
+        await at.submit(job(3, cut="standing", rows=1))
+        await trio.sleep(5)
+        await at.cancel("wk-000002")
+        await at.finish(["wk-000001", "wk-000002"])
+        await trio.sleep(3)
+        found.update(at.state.items)
+
+    sim.run(monkeypatch, body)
+    values = {
+        key: re.sub('"[0-9a-f]{16}"', '"<incarnation>"', json.dumps(row[0], separators=(",", ":")))
+        for key, row in sorted(found.items())
+    }
+    assert values == STORED
+    assert sorted(key for key, row in found.items() if row[2] is not None) == LEASED
+    for node, part in (("n0", "0"), ("n1", "1"), ("n2", "2")):
+        owner = found[f"pt/parts/{part}"][0]["incarnation"]
+        assert found[f"pt/nodes/{node}"][0]["incarnation"] == owner
+
+
+# --- what operators write and read --------------------------------------------------------------
+
+POLICY_NAMES = (
+    "admit_wait",
+    "bound",
+    "call_timeout",
+    "cloud_timeout",
+    "defer_share",
+    "heartbeat_interval",
+    "hire_patience",
+    "idle_release",
+    "list_every",
+    "max_evidence_age",
+    "period",
+    "preempt_after",
+    "ready_for",
+    "session_ttl",
+    "silence",
+    "size_samples",
+    "start_within",
+    "stretch_samples",
+    "task_samples",
+    "unhealthy_rest",
+    "watch_share",
+)
+POLICY_ALIASES = (
+    ("beat", "heartbeat_interval"),
+    ("blind", "max_evidence_age"),
+    ("sick_rest", "unhealthy_rest"),
+)
+
+SETTINGS = """\
+node_name = "c-0"
+public_addr = "10.0.0.1:8080"
+peer_bind = "10.0.0.1:8081"
+domain = "a"
+[[members]]
+node_name = "c-1"
+address = "10.0.0.2:8081"
+domain = "b"
+[endpoints]
+cloud = "10.2.0.2:8443"
+state = "10.2.0.1:2379"
+[deployment]
+count = 3
+zones = ["a", "b"]
+clock_off_ms = 400.0
+[[deployment.teams]]
+name = "free"
+cpus = 1.0
+cpus_max = 2.0
+gpus = 3.0
+gpus_max = 4.0
+[[deployment.objectives]]
+kind = "start"
+class = "c"
+within_s = 5.0
+within_ms = 6.0
+share = 0.9
+times = 2.0
+most = 7.0
+[deployment.workers]
+report_s = 3.0
+lease_s = 21.0
+gang_wait_s = 31.0
+gang_peer_s = 6.0
+cancel_s = 61.0
+[deployment.state]
+rps = 90
+write_rps = 25
+value_kb = 16
+txn_ops = 12
+[deployment.state.next]
+rps = 80
+write_rps = 21
+value_kb = 4
+txn_ops = 6
+[deployment.cloud]
+rps = 3
+list_lag_s = 11
+[deployment.machine_limits]
+cores = 2
+mem_mb = 512
+max_connections = 900
+"""
+LEAST_SETTINGS = """\
+node_name = "c-0"
+public_addr = "10.0.0.1:8080"
+peer_bind = "10.0.0.1:8081"
+[endpoints]
+cloud = "10.2.0.2:8443"
+state = "10.2.0.1:2379"
+[deployment]
+count = 3
+[deployment.workers]
+report_s = 3.0
+lease_s = 21.0
+"""
+POLICY = """\
+# comment
+beat = 0.5
+silence = workers.lease_s * 2 # comment
+blind = min(beat * 4, 9)
+idle_release = count if state.rps < cloud.rps else machine_limits.cores + workers.gang_wait_s
+"""
+CHECKED = """\
+admit_wait = 0.75
+bound = 2
+call_timeout = 2.1
+cloud_timeout = 7
+defer_share = 0.05
+heartbeat_interval = 0.5
+hire_patience = 0.4
+idle_release = 33
+list_every = 5.5
+max_evidence_age = 2
+period = 5
+preempt_after = 1.5
+ready_for = 189
+session_ttl = 5.25
+silence = 42
+size_samples = 6
+start_within = 240
+stretch_samples = 16
+task_samples = 8
+unhealthy_rest = 63
+watch_share = 0.25
+state.rps = 80 (today 90)
+state.write_rps = 21 (today 25)
+state.value_kb = 4 (today 16)
+state.txn_ops = 6 (today 12)
+"""
+CHECKED_LEAST = """\
+admit_wait = 0.75
+bound = 2
+call_timeout = 2.1
+cloud_timeout = 7
+defer_share = 0.05
+heartbeat_interval = 1
+hire_patience = 0.4
+idle_release = 15
+list_every = 5
+max_evidence_age = 23.4
+period = 5
+preempt_after = 1.5
+ready_for = 189
+session_ttl = 5.25
+silence = 26.25
+size_samples = 6
+start_within = 240
+stretch_samples = 16
+task_samples = 8
+unhealthy_rest = 63
+watch_share = 0.25
+state.rps = 100 (today 100)
+state.write_rps = 20 (today 20)
+state.value_kb = 8 (today 8)
+state.txn_ops = 8 (today 8)
+"""
+HELP: dict[str, str] = {
+    "": """\
+Usage: pitchtally [OPTIONS] COMMAND [ARGS]...
+
+  A fair, decentralised cluster scheduler.
+
+Options:
+  --version   Show the version and exit.
+  -h, --help  Show this message and exit.
+
+Commands:
+  cancel  Cancel a job.
+  check   Check settings and policy; print the policy's figures and the...
+  serve   Run a controller until it is killed.
+  status  Show a job's state.
+  submit  Submit the job described in FILE (JSON; - for standard input).
+""",
+    "serve": """\
+Usage: pitchtally serve [OPTIONS]
+
+  Run a controller until it is killed.
+
+Options:
+  --config TEXT  The platform's settings file (TOML).  [required]
+  --policy TEXT  Operators' policy file; default deploy/policy.conf, if there.
+  -h, --help     Show this message and exit.
+""",
+    "check": """\
+Usage: pitchtally check [OPTIONS]
+
+  Check settings and policy; print the policy's figures and the store's limits.
+
+Options:
+  --config TEXT  The platform's settings file (TOML).  [required]
+  --policy TEXT  Operators' policy file; default deploy/policy.conf, if there.
+  -h, --help     Show this message and exit.
+""",
+    "submit": """\
+Usage: pitchtally submit [OPTIONS] FILE
+
+  Submit the job described in FILE (JSON; - for standard input).
+
+Options:
+  --node TEXT  Address of a controller or load balancer.  [default:
+               127.0.0.1:8080]
+  -h, --help   Show this message and exit.
+""",
+    "status": """\
+Usage: pitchtally status [OPTIONS] JOB
+
+  Show a job's state.
+
+Options:
+  --node TEXT  Address of a controller or load balancer.  [default:
+               127.0.0.1:8080]
+  -h, --help   Show this message and exit.
+""",
+    "cancel": """\
+Usage: pitchtally cancel [OPTIONS] JOB
+
+  Cancel a job.
+
+Options:
+  --node TEXT  Address of a controller or load balancer.  [default:
+               127.0.0.1:8080]
+  -h, --help   Show this message and exit.
+""",
+}
+
+
+@pytest.fixture(autouse=True)
+def no_policy_of_the_machine(monkeypatch: pytest.MonkeyPatch) -> None:
+    for name in ("PITCHTALLY_POLICY", "PITCHTALLY_NODE", "COLUMNS"):
+        monkeypatch.delenv(name, raising=False)
+
+
+def checked(folder: Path, text: str, *more: str) -> tuple[int, str, str]:
+    file = folder / "settings.toml"
+    file.write_text(text)
+    found = CliRunner().invoke(main, ["check", "--config", str(file), *more])
+    return found.exit_code, found.stdout, found.stderr.replace(str(folder), "FOLDER")
+
+
+def test_check_with_every_setting(tmp_path: Path) -> None:
+    policy = tmp_path / "policy.conf"
+    policy.write_text(POLICY)
+    assert checked(tmp_path, SETTINGS, "--policy", str(policy)) == (0, CHECKED, "")
+
+
+def test_check_with_the_least_settings(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """A policy file of the deployment's own would show here: none is part of the project."""
+    assert DEFAULT_POLICY_FILE.parts[-2:] == ("deploy", "policy.conf")
+    assert not DEFAULT_POLICY_FILE.exists()
+    assert checked(tmp_path, LEAST_SETTINGS) == (0, CHECKED_LEAST, "")
+    policy = tmp_path / "policy.conf"
+    policy.write_text(POLICY)
+    monkeypatch.setenv("PITCHTALLY_POLICY", str(policy))
+    assert checked(tmp_path, SETTINGS) == (0, CHECKED, "")
+
+
+@pytest.mark.parametrize(
+    ("old", "new", "message"),
+    [
+        ("count = 3", "count = 0", "FOLDER/settings.toml: deployment.count: must be above 0, is 0"),
+        (
+            "lease_s = 21.0",
+            "",
+            "FOLDER/settings.toml: Object missing required field `lease_s`"
+            " - at `$.deployment.workers`",
+        ),
+        (
+            'state = "10.2.0.1:2379"',
+            'state = "10.2.0.1"',
+            "FOLDER/settings.toml: endpoints.state: '10.2.0.1' is not host:port",
+        ),
+    ],
+)
+def test_check_of_wrong_settings(tmp_path: Path, old: str, new: str, message: str) -> None:
+    text = LEAST_SETTINGS.replace(old, new)
+    assert text != LEAST_SETTINGS
+    assert checked(tmp_path, text) == (2, "", f"pitchtally: {message}\n")
+
+
+@pytest.mark.parametrize(
+    ("line", "message"),
+    [
+        ("patience = 1", "FOLDER/policy.conf:1: unknown figure 'patience'"),
+        ("bound = 0", "FOLDER/policy.conf:1: bound: 0 is outside 1 to 1000"),
+        ("beat = 1\nheartbeat_interval = 1", "FOLDER/policy.conf:2: heartbeat_interval: set twice"),
+    ],
+)
+def test_check_of_a_wrong_policy(tmp_path: Path, line: str, message: str) -> None:
+    policy = tmp_path / "policy.conf"
+    policy.write_text(line)
+    found = checked(tmp_path, LEAST_SETTINGS, "--policy", str(policy))
+    assert found == (2, "", f"pitchtally: {message}\n")
+
+
+def test_help() -> None:
+    for command, text in HELP.items():
+        arguments = [*command.split(), "--help"]
+        found = CliRunner().invoke(main, arguments, prog_name="pitchtally")
+        assert (found.exit_code, found.output) == (0, text), command
+    assert len(HELP) == 6
+    assert sorted(main.commands) == ["cancel", "check", "serve", "status", "submit"]
+
+
+def test_policy_names() -> None:
+    assert tuple(sorted(POLICY_FIGURES)) == POLICY_NAMES
+    assert tuple(sorted(POLICY_EARLIER_NAMES.items())) == POLICY_ALIASES
+    config = settings(NODE)
+    accepted = policy_module.parse("", config)
+    assert tuple(name for name, _ in accepted.items()) == POLICY_NAMES
+
+
+@pytest.mark.parametrize(("earlier", "name"), POLICY_ALIASES)
+def test_earlier_policy_name_is_accepted(earlier: str, name: str) -> None:
+    config = settings(NODE)
+    given = policy_module.parse(f"{earlier} = 2.5", config)
+    assert dict(given.items())[name] == 2.5
