--- a/pitchtally/control/direct_commands.py
+++ b/pitchtally/agents/command_sender.py
@@ -1,4 +1,4 @@
-"""Direct words to machines: stops, our token after a takeover, and who can be reached.
+"""Direct words to machines: stops, our token after a failover, and who can be reached.
 
 Never a start: a held command could run minutes later, while a late answer to a report
 is dropped.
@@ -12,31 +12,31 @@
 import msgspec
 import trio
 
-from .. import wire
+from ..config.settings import host_port
 from ..http import Client, HttpError
-from ..settings import host_port
-from .machines import Machine, PartHold
+from ..protocol import agent_api
+from .machines import LedShard, Machine
 
 if TYPE_CHECKING:
-    from .workers import Workers
+    from .manager import AgentManager
 
 log = logging.getLogger("reach")
 
 encode = msgspec.json.encode
-_report = msgspec.json.Decoder(wire.Report)
+_heartbeat = msgspec.json.Decoder(agent_api.AgentHeartbeat)
 
 
-class DirectCommands:
-    """Sends direct commands to the machines of the parts that this node owns."""
+class CommandSender:
+    """Sends direct commands to the machines of the shards that this node owns."""
 
-    def __init__(self, workers: Workers) -> None:
-        self.workers = workers
-        self.times = workers.times
-        self.members = workers.members
-        self.policy = workers.policy
+    def __init__(self, agents: AgentManager) -> None:
+        self.agents = agents
+        self.times = agents.times
+        self.membership = agents.membership
+        self.policy = agents.policy
         # Of all sockets a thirtieth for calls under way, twice (stops, and probes apart),
-        # and as many kept open: a part may hold more machines than there are sockets.
-        limits = workers.settings.deployment.machine_limits
+        # and as many kept open: a shard may hold more machines than there are sockets.
+        limits = agents.settings.deployment.machine_limits
         self.calls = max(8, limits.max_connections // 30)
         self.client = Client(keep=1, most=self.calls, idle=8.0)
         self.wake = trio.Event()
@@ -49,7 +49,7 @@
         self.wake.set()
 
     async def run(self) -> None:
-        """Send stops, and after a takeover our token, straight to the machines."""
+        """Send stops, and after a failover our token, straight to the machines."""
         limit = trio.CapacityLimiter(self.calls)
         # Apart: machines that can't be reached must not hold up stops for those that can.
         probes = trio.CapacityLimiter(self.calls)
@@ -59,30 +59,30 @@
                     await self.wake.wait()
                 self.wake = trio.Event()
                 await trio.sleep(0.01)
-                for hold in list(self.workers.parts.values()):
-                    self.workers.load(hold)
+                for hold in list(self.agents.shards.values()):
+                    self.agents.load(hold)
                     for name in list(hold.suspects):
-                        machine = self.workers.machines.get(name)
+                        machine = self.agents.machines.get(name)
                         if machine is not None and probes.available_tokens:
                             nursery.start_soon(self._tell, machine, hold, probes)
-                for machine in list(self.workers.machines.values()):
-                    held = self.workers.parts.get(machine.part)
+                for machine in list(self.agents.machines.values()):
+                    held = self.agents.shards.get(machine.shard)
                     if machine.unresponsive and held is not None and probes.available_tokens:
                         nursery.start_soon(self._tell, machine, held, probes)
                 for name in list(self.touched):
                     self.touched.discard(name)
-                    machine = self.workers.machines.get(name)
-                    held = self.workers.parts.get(machine.part) if machine else None
+                    machine = self.agents.machines.get(name)
+                    held = self.agents.shards.get(machine.shard) if machine else None
                     if machine is not None and held is not None and machine.confirmed:
                         nursery.start_soon(self._tell, machine, held, limit)
 
-    async def _tell(self, machine: Machine, hold: PartHold, limit: trio.CapacityLimiter) -> None:
+    async def _tell(self, machine: Machine, hold: LedShard, limit: trio.CapacityLimiter) -> None:
         async with limit:
             for _ in range(2):
-                if self.members.token(hold.part) != hold.token:
+                if self.membership.token(hold.shard) != hold.token:
                     return
-                orders = self.workers.kills(machine)[:500] if machine.confirmed else []
-                body = encode(wire.DirectOrders(hold.token, max(1, machine.session), orders))
+                commands = self.agents.kills(machine)[:500] if machine.confirmed else []
+                body = encode(agent_api.CommandRequest(hold.token, max(1, machine.epoch), commands))
                 try:
                     response = await self.client.call(
                         host_port(machine.address),
@@ -93,16 +93,19 @@
                     )
                     if response.status not in (200, 409):
                         return
-                    report = _report.decode(response.body)
+                    heartbeat = _heartbeat.decode(response.body)
                 except (HttpError, msgspec.MsgspecError, ValueError) as error:
                     log.debug("direct machine=%s: %s", machine.name, error)
                     return
-                if report.machine != machine.name or self.workers.parts.get(hold.part) is not hold:
+                if (
+                    heartbeat.machine != machine.name
+                    or self.agents.shards.get(hold.shard) is not hold
+                ):
                     return
-                if report.token > hold.token:
-                    self.members.fenced(hold.part, report.token)
+                if heartbeat.token > hold.token:
+                    self.membership.fenced(hold.shard, heartbeat.token)
                     return
-                self.workers.observe(report, hold, direct=True)
+                self.agents.observe(heartbeat, hold, direct=True)
                 if response.status == 200:
                     machine.unacknowledged = 0  # commands reach it after all
                     return
@@ -114,20 +117,20 @@
             now = trio.current_time()
             mine = [
                 m
-                for m in self.workers.machines.values()
-                if m.address and m.name not in self.workers.released
+                for m in self.agents.machines.values()
+                if m.address and m.name not in self.agents.released
             ]
-            if not self.members.workers_unreachable and (
+            if not self.membership.agents_unreachable and (
                 not mine or now - self.heard_at < self.times.lease_s / 4
             ):
                 continue
-            # Machines of other parts count too: where ours are gone but others
-            # answer, handing our part on would help nobody.
+            # Machines of other shards count too: where ours are gone but others
+            # answer, handing our shard on would help nobody.
             others = [
                 Machine(name, 0, *row)
-                for chunk in list(self.workers.records.chunks.values())
+                for chunk in list(self.agents.records.chunks.values())
                 for name, row in list(chunk.items())[:2]
-                if name not in self.workers.released and name not in self.workers.machines
+                if name not in self.agents.released and name not in self.agents.machines
             ]
             mine = mine[:3] + others[:4]
             heard = False
@@ -146,4 +149,4 @@
                     break
             if heard:
                 self.heard_at = trio.current_time()
-            self.members.set_workers_unreachable(bool(mine) and not heard)
+            self.membership.set_agents_unreachable(bool(mine) and not heard)
--- a/pitchtally/control/records.py
+++ b/pitchtally/agents/machine_records.py
@@ -1,6 +1,6 @@
-"""The record, in the state service, of the machines that may hold tasks.
+"""The record, in the state store, of the machines that may hold tasks.
 
-A later owner of a part must know every place where a task may be, so no task starts
+A later leader of a shard must know every place where a task may be, so no task starts
 on a machine that isn't in here, and a name leaves only once its machine is gone.
 """
 
@@ -13,13 +13,14 @@
 import msgspec
 import trio
 
-from .. import tokens
-from ..formats import fleet_layout, legacy
-from ..store import Refused, StoreDown, Write
-from .machines import PartHold
+from ..formats import legacy, machine_layout
+from ..state_store import rate_limits
+from ..state_store.client import Write
+from ..state_store.errors import InvalidTransaction, StoreUnavailable
+from .machines import LedShard
 
 if TYPE_CHECKING:
-    from .workers import Workers
+    from .manager import AgentManager
 
 log = logging.getLogger("records")
 
@@ -35,22 +36,22 @@
     address: str
 
 
-class Records:
-    """Chunks of a part's record: names with type, zone, kind and address."""
+class MachineRecords:
+    """Chunks of a shard's record: names with type, zone, kind and address."""
 
-    def __init__(self, workers: Workers) -> None:
-        self.workers = workers
-        self.gate = workers.job_store.gate
+    def __init__(self, agents: AgentManager) -> None:
+        self.agents = agents
+        self.gate = agents.job_index.gate
         self.chunks: dict[tuple[int, int], dict[str, MachineRow]] = {}
         self.wake = trio.Event()
-        limits = workers.settings.deployment.state_to_keep
-        self.span = fleet_layout.machines_per_chunk(int(limits.value_kb * 1024))
+        limits = agents.settings.deployment.state_to_keep
+        self.span = machine_layout.machines_per_chunk(int(limits.value_kb * 1024))
         self._refused = False  # the store takes chunks of the old layout no more
-        workers.replica.listen("fleet/", self._on_record)
+        agents.replica.listen("fleet/", self._on_record)
 
     def _on_record(self, key: str, value: bytes | None, version: int) -> None:
-        part, _, chunk = key.partition("/")
-        where = (int(part), int(chunk))
+        shard, _, chunk = key.partition("/")
+        where = (int(shard), int(chunk))
         if value is None:
             self.chunks.pop(where, None)
         else:
@@ -60,35 +61,35 @@
         """The number of the chunk that names a machine in the layout to write."""
         digits = machine.rpartition("-")[2]
         number = int(digits) if digits.isdigit() and len(digits) < 19 else 0
-        place = number // self.workers.count
+        place = number // self.agents.count
         if self.gate.open or self._refused:
-            return fleet_layout.chunk_of(place, self.span)
+            return machine_layout.chunk_of(place, self.span)
         return place // legacy.machines_per_chunk(self.gate.value_kb)
 
-    def of(self, part: int) -> dict[str, MachineRow]:
-        """Every recorded machine of a part."""
+    def of(self, shard: int) -> dict[str, MachineRow]:
+        """Every recorded machine of a shard."""
         out: dict[str, MachineRow] = {}
         for (p, _), chunk in self.chunks.items():
-            if p == part:
+            if p == shard:
                 out.update(chunk)
         return out
 
     async def run(self) -> None:
-        """Write the records of our parts whenever their machines change."""
+        """Write the records of our shards whenever their machines change."""
         while True:
-            with trio.move_on_after(self.workers.times.report_s):
+            with trio.move_on_after(self.agents.times.report_s):
                 await self.wake.wait()
             self.wake = trio.Event()
             await trio.sleep(0.03)  # machines come in batches
-            for hold in list(self.workers.parts.values()):
+            for hold in list(self.agents.shards.values()):
                 try:
                     await self._write(hold)
-                except StoreDown as error:
+                except StoreUnavailable as error:
                     log.debug("fleet record: %s", error)
                     await trio.sleep(0.2)
 
-    async def _write(self, hold: PartHold) -> None:
-        """Bring a part's record up to its machines, chunk by chunk.
+    async def _write(self, hold: LedShard) -> None:
+        """Bring a shard's record up to its machines, chunk by chunk.
 
         A machine is named in its new chunk before it leaves one of another layout, so it is
         named somewhere at any moment, whenever this node ends.
@@ -96,53 +97,53 @@
         if not hold.loaded:
             return
         names: dict[int, list[str]] = {}
-        for machine in self.workers.of_part(hold.part):
+        for machine in self.agents.of_shard(hold.shard):
             if machine.confirmed or machine.recorded:
                 names.setdefault(self.chunk_of(machine.name), []).append(machine.name)
-        others = {chunk for part, chunk in self.chunks if part == hold.part} - set(names)
+        others = {chunk for shard, chunk in self.chunks if shard == hold.shard} - set(names)
         for chunk in [*sorted(names), *sorted(others)]:
             # At thousands of machines a pass has dozens of chunks, and waits for tokens
-            # and answers between them. So the part is looked at anew before each.
-            if self.workers.parts.get(hold.part) is not hold:
+            # and answers between them. So the shard is looked at anew before each.
+            if self.agents.shards.get(hold.shard) is not hold:
                 return
             if not await self._write_chunk(hold, chunk, names.get(chunk, [])):
                 return
 
-    async def _write_chunk(self, hold: PartHold, chunk: int, names: list[str]) -> bool:
+    async def _write_chunk(self, hold: LedShard, chunk: int, names: list[str]) -> bool:
         """Write a chunk as it should be; False if it doesn't stand so afterwards."""
         # A machine that went since the pass began is left out: its row would outlive it.
         rows = {
             name: MachineRow(machine.type, machine.zone, machine.spot, machine.address)
             for name in names
-            if (machine := self.workers.machines.get(name)) is not None
+            if (machine := self.agents.machines.get(name)) is not None
         }
-        if rows == self.chunks.get((hold.part, chunk), {}):
+        if rows == self.chunks.get((hold.shard, chunk), {}):
             self._mark_recorded(rows)
             return True
-        key = f"pt/fleet/{hold.part}/{chunk}"
+        key = f"pt/fleet/{hold.shard}/{chunk}"
         conditions = {
-            f"pt/parts/{hold.part}": hold.token,
-            key: self.workers.replica.version(key),
+            f"pt/parts/{hold.shard}": hold.token,
+            key: self.agents.replica.version(key),
         }
         # A name leaves the record only once its machine is known to be gone.
         value = encode(rows) if rows or not self.gate.open else None
         try:
-            done = await self.workers.job_store.commit(
-                conditions, [Write(key, value)], priority=tokens.COMPLETIONS
+            done = await self.agents.job_index.commit(
+                conditions, [Write(key, value)], priority=rate_limits.COMPLETIONS
             )
-        except Refused as error:
+        except InvalidTransaction as error:
             # Lower limits came before the gate opened. Earlier versions read any chunk, and
             # move what it names to theirs before they empty it.
-            log.info("fleet record refused part=%d chunk=%d cause=%s", hold.part, chunk, error)
+            log.info("fleet record refused part=%d chunk=%d cause=%s", hold.shard, chunk, error)
             self._refused = True
             return False
-        if done and self.workers.parts.get(hold.part) is hold:
+        if done and self.agents.shards.get(hold.shard) is hold:
             self._mark_recorded(rows)
         return done
 
     def _mark_recorded(self, names: Iterable[str]) -> None:
         """Tasks may start on these machines, as far as they are still there."""
         for name in names:
-            machine = self.workers.machines.get(name)
+            machine = self.agents.machines.get(name)
             if machine is not None:
                 machine.recorded = True
--- a/pitchtally/control/machines.py
+++ b/pitchtally/agents/machines.py
@@ -1,4 +1,4 @@
-"""A machine, what is placed on it, and a part as its owner holds it: plain state."""
+"""A machine, what is placed on it, and a shard as its leader holds it: plain state."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 import trio
 
-from .. import wire
-from .jobs import Job
+from ..jobs.index import Job
+from ..protocol import agent_api, cloud_api, user_api
 
 # Answers without effect after which a machine is taken for one that hears nothing.
 MAX_UNACKNOWLEDGED = 2
 
-Need = tuple[float, float, float]
-Group = tuple[str, str, bool]  # type, zone, spot: machines alike but for their state
+Resources = tuple[float, float, float]
+MachineGroupKey = tuple[str, str, bool]  # type, zone, spot: machines alike but for their state
 
 
-def need_of(spec: wire.JobSpec) -> Need:
+def resource_request(spec: user_api.JobSpec) -> Resources:
     """What each task of a job takes of its machine."""
     return (spec.cpus, spec.gpus, spec.memory)
 
@@ -32,8 +32,8 @@
         "key",
         "kill_at",
         "machine",
-        "need",
         "rank",
+        "resources",
         "run_at",
         "seen",
         "sent_seq",
@@ -49,7 +49,7 @@
         self.attempt = attempt
         self.machine = machine
         self.spec = job.spec  # kept here: the record drops it once the job is over
-        self.need = need_of(job.spec)
+        self.resources = resource_request(job.spec)
         self.state = ""  # as last reported; "" until the first report with it
         self.seen = False
         self.sent_seq = 0  # the report that the start answered; 0: not sent yet
@@ -58,12 +58,12 @@
         self.grace: float | None = None  # not None: to be stopped
         self.kill_at = 0.0
         self.team = job.spec.team
-        self.rank = wire.RANKS.index(job.spec.rank)
+        self.rank = user_api.RANKS.index(job.spec.rank)
         self.key = f"{job.id}/{task}"
 
 
 class Machine:
-    """A machine as the owner of its part knows it."""
+    """A machine as the leader of its shard knows it."""
 
     __slots__ = (
         "address",
@@ -71,6 +71,7 @@
         "asked",
         "confirmed",
         "drain",
+        "epoch",
         "errors",
         "exits",
         "failed_at",
@@ -85,14 +86,13 @@
         "name",
         "notice_at",
         "orphans",
-        "part",
         "placements",
         "recorded",
         "reported",
         "reserved",
         "resting_until",
         "seq",
-        "session",
+        "shard",
         "slow",
         "spot",
         "type",
@@ -102,29 +102,29 @@
         "zone",
     )
 
-    def __init__(self, name: str, part: int, type: str, zone: str, spot: bool, address: str):
+    def __init__(self, name: str, shard: int, type: str, zone: str, spot: bool, address: str):
         now = trio.current_time()
         self.name = name
-        self.part = part
+        self.shard = shard
         self.type = type
         self.zone = zone
         self.spot = spot
-        self.group: Group = (type, zone, spot)
+        self.group: MachineGroupKey = (type, zone, spot)
         self.address = address
-        self.kind: wire.MachineType | None = None
-        self.session = 0
+        self.kind: cloud_api.MachineType | None = None
+        self.epoch = 0
         self.seq = -1
         self.confirmed = False  # a report has carried our token
-        self.recorded = False  # in the state service
+        self.recorded = False  # in the state store
         self.answered_at = now
         self.heard_at = now
         self.idle_since = now
         self.notice_at: float | None = None
         self.placements: dict[str, Placement] = {}
         self.used = [0.0, 0.0, 0.0]  # by its placements
-        self.yielding = [[0.0, 0.0, 0.0] for _ in wire.RANKS]  # the same, by rank
+        self.yielding = [[0.0, 0.0, 0.0] for _ in user_api.RANKS]  # the same, by rank
         self.exits: dict[str, tuple[int, str]] = {}  # ended tasks to be forgotten
-        # Tasks of jobs that were over before this node took the part: it knows no more of
+        # Tasks of jobs that were over before this node took the shard: it knows no more of
         # them than that they must end.
         self.orphans: dict[str, int] = {}
         self.images: dict[str, float] = {}
@@ -138,17 +138,17 @@
         self.reserved: tuple[str, float] | None = None  # room kept for a job, until when
         self.slow = 1.0
         self.reported = (0, -1)  # (session, seq) of the newest report, answers apart
-        self.asked: list[wire.Order] = []  # whose effect the next report must show
+        self.asked: list[agent_api.Command] = []  # whose effect the next report must show
         self.unacknowledged = 0
 
-    def free(self) -> Need:
+    def free(self) -> Resources:
         """What no placement takes."""
         if self.kind is None:
             return (0.0, 0.0, 0.0)
         used, kind = self.used, self.kind
         return (kind.cpus - used[0], kind.gpus - used[1], kind.memory - used[2])
 
-    def yields(self, rank: int) -> Need:
+    def yields(self, rank: int) -> Resources:
         """What work of lower rank than this one holds."""
         a = b = c = 0.0
         for x, y, z in self.yielding[rank + 1 :]:
@@ -158,13 +158,13 @@
     def count(self, placement: Placement, sign: float) -> None:
         """Add a placement to the sums, or take it off them."""
         by_rank = self.yielding[placement.rank]
-        for i, amount in enumerate(placement.need):
+        for i, amount in enumerate(placement.resources):
             self.used[i] += sign * amount
             by_rank[i] += sign * amount
         if not self.placements:
             # Sums of many floats drift: an empty machine is exactly empty.
             self.used = [0.0, 0.0, 0.0]
-            self.yielding = [[0.0, 0.0, 0.0] for _ in wire.RANKS]
+            self.yielding = [[0.0, 0.0, 0.0] for _ in user_api.RANKS]
 
     @property
     def usable(self) -> bool:
@@ -186,15 +186,15 @@
 
 
 class Load:
-    """A job's tasks on the like machines of a part, kept up with every change.
+    """A job's tasks on the like machines of a shard, kept up with every change.
 
     A planning round asks for the sums of thousands of tasks several times a second.
     """
 
-    __slots__ = ("begun", "count", "need", "rank", "running")
+    __slots__ = ("begun", "count", "rank", "resources", "running")
 
-    def __init__(self, need: Need, rank: int):
-        self.need = need
+    def __init__(self, resources: Resources, rank: int):
+        self.resources = resources
         self.rank = rank
         self.count = 0
         self.running = 0  # those that have been seen running
@@ -206,21 +206,21 @@
         return (self.count - self.running) * seconds + running
 
 
-class PartHold:
+class LedShard:
     """A part that this node owns."""
 
-    def __init__(self, part: int, token: int):
-        self.part = part
+    def __init__(self, shard: int, token: int):
+        self.shard = shard
         self.token = token
         self.counter = 0
         self.gained_at = trio.current_time()
-        self.loaded = False  # our copy includes everything up to the takeover
+        self.loaded = False  # our copy includes everything up to the failover
         self.suspects: set[str] = set()  # recorded machines not yet heard since
-        self.suspect_groups: Counter[Group] = Counter()
+        self.suspect_groups: Counter[MachineGroupKey] = Counter()
         self.settled = False
 
     def suspect(self, machine: Machine) -> None:
-        """A recorded machine that may hold tasks of an earlier owner."""
+        """A recorded machine that may hold tasks of an earlier leader."""
         if machine.name not in self.suspects:
             self.suspects.add(machine.name)
             self.suspect_groups[machine.group] += 1
@@ -235,6 +235,6 @@
         return True
 
     def attempt(self) -> int:
-        """Tokens are unique over all parts and rise, so attempts do too."""
+        """Tokens are unique over all shards and rise, so attempts do too."""
         self.counter += 1
         return (self.token << 24) + self.counter
--- a/pitchtally/control/workers.py
+++ b/pitchtally/agents/manager.py
@@ -1,9 +1,9 @@
 """Machines: reports, fencing, orders, what is on each machine, and machine health.
 
-Only the owner of a machine's part acts on its reports. What keeps a task from
+Only the leader of a machine's part acts on its reports. What keeps a task from
 running twice is here: starts travel only in answers to reports, a task counts as
 placed from the order until a newer report, a new session, the lease's end or the
-cloud's word shows that it is gone, and after a takeover nothing that an unheard
+cloud's word shows that it is gone, and after a failover nothing that an unheard
 machine may hold is started.
 """
 
@@ -16,98 +16,100 @@
 import msgspec
 import trio
 
-from .. import wire
+from ..config.policy import Policy
+from ..config.settings import Settings
 from ..http import Request, Response
-from ..policy import Policy
-from ..replica import Replica
-from ..settings import Settings
-from .decisions import Decided, Decision, Grounds, ignore_decision
-from .direct_commands import DirectCommands
-from .evidence import lease_over
-from .jobs import JobStore
-from .machines import MAX_UNACKNOWLEDGED, Group, Machine, PartHold, Placement
-from .members import Members, part_of
+from ..jobs.index import JobIndex
+from ..membership.freshness import lease_over
+from ..membership.membership import Membership, shard_of
+from ..observability.decision_log import Decision, DecisionListener, DecisionReason, ignore_decision
+from ..protocol import agent_api, cloud_api
+from ..state_store.replica import Replica
+from .command_sender import CommandSender
+from .machine_records import MachineRecords
+from .machines import MAX_UNACKNOWLEDGED, LedShard, Machine, MachineGroupKey, Placement
 from .placements import Placements
-from .records import Records
 
 log = logging.getLogger("workers")
 
-_report = msgspec.json.Decoder(wire.Report)
+_heartbeat = msgspec.json.Decoder(agent_api.AgentHeartbeat)
 encode = msgspec.json.encode
 
 
-class Workers:
-    """The machines of the parts that this node owns, and what is on them."""
+class AgentManager:
+    """The machines of the shards that this node owns, and what is on them."""
 
     def __init__(
         self,
         settings: Settings,
         policy: Policy,
-        members: Members,
-        job_store: JobStore,
+        membership: Membership,
+        job_index: JobIndex,
         replica: Replica,
-        types: Callable[[], dict[str, wire.MachineType]],
+        types: Callable[[], dict[str, cloud_api.MachineType]],
     ):
         self.settings = settings
         self.times = settings.deployment.workers
         self.policy = policy
-        self.members = members
-        self.job_store = job_store
+        self.membership = membership
+        self.job_index = job_index
         self.replica = replica
         self.types = types
         self.count = settings.deployment.count
         self.machines: dict[str, Machine] = {}
-        self.in_part: dict[int, dict[str, Machine]] = {}
+        self.in_shard: dict[int, dict[str, Machine]] = {}
         self.placements = Placements()
-        self.parts: dict[int, PartHold] = {}
-        self.machines_with_orphans: dict[int, set[str]] = {}  # machines with orphans, by part
+        self.shards: dict[int, LedShard] = {}
+        self.machines_with_orphans: dict[int, set[str]] = {}  # machines with orphans, by shard
         self.released: dict[str, float] = {}  # names the cloud has confirmed gone
-        self.records = Records(self)
-        self.direct_commands = DirectCommands(self)
+        self.records = MachineRecords(self)
+        self.command_sender = CommandSender(self)
         # Filled in by the service.
         self.fill: Callable[[Machine], list[Placement]] = lambda machine: []
         self.on_gone: Callable[[Placement, str], None] = lambda placement, cause: None
         self.on_done: Callable[[Placement, float], None] = lambda placement, ran: None
-        self.on_loaded: Callable[[int], None] = lambda part: None
-        self.on_settled: Callable[[int], None] = lambda part: None
-        self.on_group_heard: Callable[[int, Collection[Group]], None] = lambda part, unheard: None
-        self.on_lost_part: Callable[[int], None] = lambda part: None
+        self.on_loaded: Callable[[int], None] = lambda shard: None
+        self.on_settled: Callable[[int], None] = lambda shard: None
+        self.on_group_heard: Callable[[int, Collection[MachineGroupKey]], None] = (
+            lambda shard, unheard: None
+        )
+        self.on_lost_shard: Callable[[int], None] = lambda shard: None
         self.adopt: Callable[[Placement], bool] = lambda placement: True
-        self.decided: Decided = ignore_decision
+        self.on_decision: DecisionListener = ignore_decision
         self.answered: Counter[str] = Counter()  # reports, by the status of the answer
 
     # --- ownership -----------------------------------------------------------
 
-    def gained(self, part: int, token: int) -> None:
+    def gained(self, shard: int, token: int) -> None:
         """A part is ours under this token."""
-        self.drop_part(part)
-        self.parts[part] = PartHold(part, token)
-        self.direct_commands.wake.set()
+        self.release_shard(shard)
+        self.shards[shard] = LedShard(shard, token)
+        self.command_sender.wake.set()
 
-    def drop_part(self, part: int) -> None:
-        """Forget a part that is another node's."""
-        if self.parts.pop(part, None) is None:
+    def release_shard(self, shard: int) -> None:
+        """Forget a shard that is another node's."""
+        if self.shards.pop(shard, None) is None:
             return
-        self.machines_with_orphans.pop(part, None)
-        for machine in self.in_part.pop(part, {}).values():
+        self.machines_with_orphans.pop(shard, None)
+        for machine in self.in_shard.pop(shard, {}).values():
             for placement in list(machine.placements.values()):
                 self.placements.drop(placement)
             del self.machines[machine.name]
-        self.on_lost_part(part)
+        self.on_lost_shard(shard)
 
     # --- machines ---------------------------------------------------------------
 
     def _pop(self, name: str) -> None:
         machine = self.machines.pop(name, None)
         if machine is not None:
-            self.in_part.get(machine.part, {}).pop(name, None)
+            self.in_shard.get(machine.shard, {}).pop(name, None)
 
-    def load(self, hold: PartHold) -> None:
-        """Once our copy covers the takeover, the record says where tasks may be."""
-        if hold.loaded or self.replica.seen < hold.token:
+    def load(self, hold: LedShard) -> None:
+        """Once our copy covers the failover, the record says where tasks may be."""
+        if hold.loaded or self.replica.revision < hold.token:
             return
         hold.loaded = True
-        for name, (type_, zone, spot, address) in self.records.of(hold.part).items():
+        for name, (type_, zone, spot, address) in self.records.of(hold.shard).items():
             if name in self.released:
                 continue  # gone for certain; the record is about to say so too
             machine = self.machines.get(name)
@@ -118,106 +120,108 @@
             machine.recorded = True
             if not machine.confirmed:
                 hold.suspect(machine)
-        self.on_loaded(hold.part)
+        self.on_loaded(hold.shard)
         if hold.suspects:
-            self.on_group_heard(hold.part, hold.suspect_groups.keys())
-        log.info("part loaded part=%d machines=%d", hold.part, len(hold.suspects))
+            self.on_group_heard(hold.shard, hold.suspect_groups.keys())
+        log.info("part loaded part=%d machines=%d", hold.shard, len(hold.suspects))
         self._settle(hold)
 
-    def _clear_suspect(self, hold: PartHold, machine: Machine) -> None:
+    def _clear_suspect(self, hold: LedShard, machine: Machine) -> None:
         """A recorded machine is heard, or gone: it holds nothing that we don't know of."""
         if machine.name not in hold.suspects:
             return
         group_heard = hold.clear_suspect(machine)
         if group_heard and hold.loaded and hold.suspects:
-            self.on_group_heard(hold.part, hold.suspect_groups.keys())
+            self.on_group_heard(hold.shard, hold.suspect_groups.keys())
         self._settle(hold)
 
-    def _settle(self, hold: PartHold) -> None:
+    def _settle(self, hold: LedShard) -> None:
         if hold.settled or not hold.loaded or hold.suspects:
             return
         hold.settled = True
-        log.info("part settled part=%d after=%.1f", hold.part, trio.current_time() - hold.gained_at)
-        self.on_settled(hold.part)
+        log.info(
+            "part settled part=%d after=%.1f", hold.shard, trio.current_time() - hold.gained_at
+        )
+        self.on_settled(hold.shard)
 
     def _add(self, name: str, type_: str, zone: str, spot: bool, address: str) -> Machine:
-        machine = Machine(name, part_of(name, self.count), type_, zone, spot, address)
+        machine = Machine(name, shard_of(name, self.count), type_, zone, spot, address)
         machine.kind = self.types().get(type_)
         self.machines[name] = machine
-        self.in_part.setdefault(machine.part, {})[name] = machine
+        self.in_shard.setdefault(machine.shard, {})[name] = machine
         return machine
 
     # --- reports ----------------------------------------------------------------
 
     async def serve(self, request: Request) -> Response:
-        """Answer a worker's report."""
+        """Answer an agent's report."""
         response = self._answer(request)
         self.answered[f"reports_{response.status}"] += 1
         return response
 
     def _answer(self, request: Request) -> Response:
         try:
-            report = _report.decode(request.body)
+            heartbeat = _heartbeat.decode(request.body)
         except msgspec.MsgspecError as error:
             return Response(400, encode({"error": str(error)}))
-        part = part_of(report.machine, self.count)
-        hold = self.parts.get(part)
-        token = self.members.token(part)
+        shard = shard_of(heartbeat.machine, self.count)
+        hold = self.shards.get(shard)
+        token = self.membership.token(shard)
         if hold is None or token is None or token != hold.token:
-            owner = self.members.owner(part)
-            steward = owner if owner != self.members.me else None
-            return Response(421, encode(wire.Redirect(steward)))
-        if report.token > token:
-            self.members.fenced(part, report.token)
-            return Response(421, encode(wire.Redirect(None)))
-        if self.members.evidence_expired():
+            leader = self.membership.leader(shard)
+            steward = leader if leader != self.membership.me else None
+            return Response(421, encode(agent_api.Redirect(steward)))
+        if heartbeat.token > token:
+            self.membership.fenced(shard, heartbeat.token)
+            return Response(421, encode(agent_api.Redirect(None)))
+        if self.membership.evidence_expired():
             # A cancellation may have been told to a user that we can't hear of:
             # letting the lease run out keeps the promise about its tasks.
             return Response(503, b"{}")
-        if report.machine in self.released:
+        if heartbeat.machine in self.released:
             return Response(503, b"{}")
-        known = self.machines.get(report.machine)
-        if known is not None and (report.session, report.seq) <= known.reported:
+        known = self.machines.get(heartbeat.machine)
+        if known is not None and (heartbeat.epoch, heartbeat.seq) <= known.reported:
             # Every report has its own number: this is a copy, and nobody waits for
             # its answer.
             return Response(503, b"{}")
         if known is not None:
-            self._check_acknowledged(known, report)
-        machine = self.observe(report, hold, direct=False)
+            self._check_acknowledged(known, heartbeat)
+        machine = self.observe(heartbeat, hold, direct=False)
         if machine is None:
             # Without our token it may be a copy of any age: it earns the token, no
-            # more. With it, a direct answer overtook it: the worker counts its lease
+            # more. With it, a direct answer overtook it: the agent counts its lease
             # from this report, which it sent before that answer.
             if known is not None:
                 known.answered_at = max(known.answered_at, known.heard_at)
             # The answer renews the lease, so it carries the stops for jobs that are over: of
             # those nothing is wanted, whichever attempt it is and however old the report.
-            return Response(200, encode(wire.Orders(token, self._ends(report))))
-        machine.reported = (report.session, report.seq)
-        orders = self._orders(machine, report)
-        machine.asked = [o for o in orders if o.op != wire.STOP]
+            return Response(200, encode(agent_api.HeartbeatResponse(token, self._ends(heartbeat))))
+        machine.reported = (heartbeat.epoch, heartbeat.seq)
+        commands = self._commands(machine, heartbeat)
+        machine.asked = [o for o in commands if o.op != agent_api.STOP]
         machine.answered_at = trio.current_time()
-        return Response(200, encode(wire.Orders(token, orders)))
+        return Response(200, encode(agent_api.HeartbeatResponse(token, commands)))
 
-    def _check_acknowledged(self, machine: Machine, report: wire.Report) -> None:
+    def _check_acknowledged(self, machine: Machine, heartbeat: agent_api.AgentHeartbeat) -> None:
         """Whether the last answer had an effect: that it was sent proves nothing.
 
-        The worker sends one report at a time, so the next one shows every order that
+        The agent sends one report at a time, so the next one shows every order that
         reached it. A machine that hears nothing takes no more work until it does.
         """
-        if (report.session, report.seq) <= (machine.session, machine.seq):
+        if (heartbeat.epoch, heartbeat.seq) <= (machine.epoch, machine.seq):
             return
         now = trio.current_time()
         unheard = False
-        if report.session > machine.session:
+        if heartbeat.epoch > machine.epoch:
             # Its lease ran out although we answered within it.
             unheard = machine.confirmed and now - machine.answered_at < self.times.lease_s
             machine.unacknowledged += int(unheard) * (MAX_UNACKNOWLEDGED - 1)
         elif machine.asked:
-            listed = {task.task: task.attempt for task in report.tasks}
+            listed = {task.task: task.attempt for task in heartbeat.tasks}
             unheard = not any(
-                (listed.get(order.task) == order.attempt) == (order.op == wire.START)
-                for order in machine.asked
+                (listed.get(command.task) == command.attempt) == (command.op == agent_api.START)
+                for command in machine.asked
             )
         else:
             return
@@ -228,44 +232,46 @@
                 "answers don't reach machine=%s tasks=%d", machine.name, len(machine.placements)
             )
 
-    def observe(self, report: wire.Report, hold: PartHold, *, direct: bool) -> Machine | None:
+    def observe(
+        self, heartbeat: agent_api.AgentHeartbeat, hold: LedShard, *, direct: bool
+    ) -> Machine | None:
         """Take in a report; None if it is older than what is known, or may be.
 
-        Only our token proves that a report was made after this node took the part:
+        Only our token proves that a report was made after this node took the shard:
         any other may be a copy, late by more than a lease, of a machine long gone.
         """
         now = trio.current_time()
-        machine = self.machines.get(report.machine)
-        if report.token != hold.token:
-            if machine is not None and direct and report.session > machine.session:
-                machine.session = report.session  # what the next command must name
+        machine = self.machines.get(heartbeat.machine)
+        if heartbeat.token != hold.token:
+            if machine is not None and direct and heartbeat.epoch > machine.epoch:
+                machine.epoch = heartbeat.epoch  # what the next command must name
                 machine.seq = -1
             return None
         if machine is None:
             machine = self._add(
-                report.machine, report.type, report.zone, report.spot, report.address
+                heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot, heartbeat.address
             )
-        if (report.session, report.seq) <= (machine.session, machine.seq):
+        if (heartbeat.epoch, heartbeat.seq) <= (machine.epoch, machine.seq):
             return None
         if machine.kind is None:
             machine.kind = self.types().get(machine.type)
-        if report.address:
-            machine.address = report.address
-        if report.session > machine.session and machine.session:
+        if heartbeat.address:
+            machine.address = heartbeat.address
+        if heartbeat.epoch > machine.epoch and machine.epoch:
             log.info("session risen machine=%s tasks=%d", machine.name, len(machine.placements))
             self._clear(machine, "session")
-        machine.session, machine.seq = report.session, report.seq
-        machine.heard_at = self.direct_commands.heard_at = now
+        machine.epoch, machine.seq = heartbeat.epoch, heartbeat.seq
+        machine.heard_at = self.command_sender.heard_at = now
         if machine.lost:
             machine.lost = False
             machine.idle_since = now
-        if report.notice is not None and machine.notice_at is None:
-            log.info("notice machine=%s in=%.1f", machine.name, report.notice)
-        machine.notice_at = None if report.notice is None else now + report.notice
-        self._reconcile(machine, report, hold, direct)
+        if heartbeat.notice is not None and machine.notice_at is None:
+            log.info("notice machine=%s in=%.1f", machine.name, heartbeat.notice)
+        machine.notice_at = None if heartbeat.notice is None else now + heartbeat.notice
+        self._reconcile(machine, heartbeat, hold, direct)
         if not machine.confirmed:
             machine.confirmed = True
-            # Until it saw our token, an earlier owner may have renewed its lease.
+            # Until it saw our token, an earlier leader may have renewed its lease.
             machine.idle_since = machine.answered_at = now
         self._clear_suspect(hold, machine)
         if not machine.recorded:
@@ -280,7 +286,7 @@
             self._gone(placement, cause)
         machine.exits.clear()
         machine.orphans.clear()
-        self.machines_with_orphans.get(machine.part, set()).discard(machine.name)
+        self.machines_with_orphans.get(machine.shard, set()).discard(machine.name)
 
     def _gone(self, placement: Placement, cause: str) -> None:
         machine = placement.machine
@@ -290,11 +296,11 @@
         self.on_gone(placement, cause)
 
     def _reconcile(
-        self, machine: Machine, report: wire.Report, hold: PartHold, direct: bool
+        self, machine: Machine, heartbeat: agent_api.AgentHeartbeat, hold: LedShard, direct: bool
     ) -> None:
         """Make what we know of a machine's tasks agree with its report."""
-        listed = {task.task: task for task in report.tasks}
-        self._drop_missing(machine, report, listed, direct)
+        listed = {task.task: task for task in heartbeat.tasks}
+        self._drop_missing(machine, heartbeat, listed, direct)
         machine.exits = {
             k: v for k, v in machine.exits.items() if k in listed and listed[k].attempt == v[0]
         }
@@ -303,7 +309,7 @@
             placement = machine.placements.get(key)
             if placement is not None and placement.attempt != task.attempt:
                 placement = None
-            if task.state == wire.EXITED:
+            if task.state == agent_api.EXITED:
                 self._take_exit(machine, placement, key, task)
             else:
                 self._take_active(machine, placement, key, task)
@@ -312,8 +318,8 @@
     def _drop_missing(
         self,
         machine: Machine,
-        report: wire.Report,
-        listed: dict[str, wire.TaskReport],
+        heartbeat: agent_api.AgentHeartbeat,
+        listed: dict[str, agent_api.TaskStatus],
         direct: bool,
     ) -> None:
         """Tasks that the machine would list if it had them are on it no more."""
@@ -323,16 +329,16 @@
                 continue
             if not placement.sent_seq and not placement.seen:
                 continue  # decided, not ordered yet
-            if not placement.seen and (direct or report.seq <= placement.sent_seq):
+            if not placement.seen and (direct or heartbeat.seq <= placement.sent_seq):
                 # Only the next report settles whether a start arrived: a direct
                 # answer may have been made while our response was on its way.
                 continue
             self._gone(placement, "missing")
 
     def _take_exit(
-        self, machine: Machine, placement: Placement | None, key: str, task: wire.TaskReport
+        self, machine: Machine, placement: Placement | None, key: str, task: agent_api.TaskStatus
     ) -> None:
-        if key.rpartition("/")[0] not in self.job_store.jobs:
+        if key.rpartition("/")[0] not in self.job_index.jobs:
             return  # our copy may be behind: the result stays where it is
         if key in machine.exits:
             return
@@ -342,12 +348,12 @@
         self._ended(machine, placement, key, task)
 
     def _take_active(
-        self, machine: Machine, placement: Placement | None, key: str, task: wire.TaskReport
+        self, machine: Machine, placement: Placement | None, key: str, task: agent_api.TaskStatus
     ) -> None:
         if placement is None:
             placement = self._adopted(machine, key, task)
             if placement is None:
-                # Cancelled while nobody owned the part: its owner was gone, and we
+                # Cancelled while nobody owned the shard: its leader was gone, and we
                 # had not heard the machine. A job unknown here stays alone: our copy
                 # may be behind.
                 if self._over(key):
@@ -359,27 +365,27 @@
         placement.seen = True
         if task.state != placement.state:
             placement.state = task.state
-            if task.state == wire.RUNNING and placement.run_at is None:
+            if task.state == agent_api.RUNNING and placement.run_at is None:
                 self.placements.runs(placement)
         if placement.spec.image:
             machine.images[placement.spec.image] = trio.current_time()
 
     def _watch_orphans(self, machine: Machine) -> None:
-        names = self.machines_with_orphans.setdefault(machine.part, set())
+        names = self.machines_with_orphans.setdefault(machine.shard, set())
         if machine.orphans:
             names.add(machine.name)
-            self.direct_commands.touch(machine.name)
+            self.command_sender.touch(machine.name)
         else:
             names.discard(machine.name)
 
     def _over(self, key: str) -> bool:
-        job = self.job_store.jobs.get(key.rpartition("/")[0])
+        job = self.job_index.jobs.get(key.rpartition("/")[0])
         return job is not None and not job.open
 
-    def _adopted(self, machine: Machine, key: str, task: wire.TaskReport) -> Placement | None:
-        """A task that an earlier owner started, of a job that goes on."""
+    def _adopted(self, machine: Machine, key: str, task: agent_api.TaskStatus) -> Placement | None:
+        """A task that an earlier leader started, of a job that goes on."""
         id, _, number = key.rpartition("/")
-        job = self.job_store.jobs.get(id)
+        job = self.job_index.jobs.get(id)
         if job is None or not job.open or not number.isdigit():
             return None
         if int(number) >= job.record.tasks:
@@ -389,29 +395,29 @@
         return placement
 
     def _ended(
-        self, machine: Machine, placement: Placement | None, key: str, task: wire.TaskReport
+        self, machine: Machine, placement: Placement | None, key: str, task: agent_api.TaskStatus
     ) -> None:
         now = trio.current_time()
         cause = task.cause or ""
         if placement is None:
             return
         job = placement.job
-        if cause == wire.DONE and placement.spec.is_service:
+        if cause == agent_api.DONE and placement.spec.is_service:
             # It should have gone on: nothing is finished, and the machine isn't praised.
             log.info("replica ended task=%s machine=%s", key, machine.name)
-        elif cause == wire.DONE:
+        elif cause == agent_api.DONE:
             machine.failed_jobs.clear()
             machine.failed_at.clear()
             machine.errors = 0
             ran = now - placement.run_at if placement.run_at is not None else -1.0
             if job.open:
                 self.on_done(placement, ran)
-        elif cause == wire.ERROR:
+        elif cause == agent_api.ERROR:
             machine.errors += 1
             machine.failed_jobs[job.id] = machine.failed_jobs.get(job.id, 0) + 1
             machine.failed_at[job.id] = now
             log.info("task failed task=%s machine=%s", key, machine.name)
-        elif cause not in (wire.STOPPED,):
+        elif cause not in (agent_api.STOPPED,):
             log.info("task ended task=%s machine=%s cause=%s", key, machine.name, cause)
         self.placements.drop(placement)
         if not machine.placements:
@@ -420,10 +426,10 @@
 
     # --- orders --------------------------------------------------------------------
 
-    def kills(self, machine: Machine) -> list[wire.Order]:
+    def kills(self, machine: Machine) -> list[agent_api.Command]:
         """Orders for all that must stop on a machine."""
         now = trio.current_time()
-        orders = []
+        commands = []
         for key, placement in machine.placements.items():
             if not placement.job.open:
                 placement.grace = 0.0
@@ -435,23 +441,25 @@
             if not placement.kill_at:
                 placement.kill_at = now
                 self._tell(Decision.STOP, placement)
-            orders.append(wire.Order(wire.STOP, key, placement.attempt, grace))
-        orders += [wire.Order(wire.STOP, k, n, 0.0) for k, n in machine.orphans.items()]
-        return orders
+            commands.append(agent_api.Command(agent_api.STOP, key, placement.attempt, grace))
+        commands += [
+            agent_api.Command(agent_api.STOP, k, n, 0.0) for k, n in machine.orphans.items()
+        ]
+        return commands
 
-    def _ends(self, report: wire.Report) -> list[wire.Order]:
+    def _ends(self, heartbeat: agent_api.AgentHeartbeat) -> list[agent_api.Command]:
         return [
-            wire.Order(wire.STOP, task.task, task.attempt, 0.0)
-            for task in report.tasks
-            if task.state != wire.EXITED and self._over(task.task)
+            agent_api.Command(agent_api.STOP, task.task, task.attempt, 0.0)
+            for task in heartbeat.tasks
+            if task.state != agent_api.EXITED and self._over(task.task)
         ][:500]
 
-    def _forgets(self, machine: Machine) -> list[wire.Order]:
-        orders = []
+    def _forgets(self, machine: Machine) -> list[agent_api.Command]:
+        commands = []
         for key, (attempt, cause) in machine.exits.items():
-            if cause == wire.DONE:
+            if cause == agent_api.DONE:
                 id, _, number = key.rpartition("/")
-                job = self.job_store.jobs.get(id)
+                job = self.job_index.jobs.get(id)
                 if (
                     job is not None
                     and job.open
@@ -459,45 +467,47 @@
                     and int(number) not in job.finished
                 ):
                     continue  # the report is the only durable trace so far
-            orders.append(wire.Order(wire.FORGET, key, attempt))
-        return orders
+            commands.append(agent_api.Command(agent_api.ACKNOWLEDGE, key, attempt))
+        return commands
 
-    def _orders(self, machine: Machine, report: wire.Report) -> list[wire.Order]:
+    def _commands(
+        self, machine: Machine, heartbeat: agent_api.AgentHeartbeat
+    ) -> list[agent_api.Command]:
         now = trio.current_time()
-        orders = self.kills(machine)
+        commands = self.kills(machine)
         starts = []
-        if machine.usable and self.members.may_start():
+        if machine.usable and self.membership.may_start_tasks():
             for placement in self.fill(machine):
-                placement.sent_seq = report.seq
+                placement.sent_seq = heartbeat.seq
                 placement.at = now
                 self._tell(Decision.START, placement)
-                starts.append(wire.Order(wire.START, placement.key, placement.attempt))
-        # What a worker forgets is a change, and it reports each: beside a start that costs
+                starts.append(agent_api.Command(agent_api.START, placement.key, placement.attempt))
+        # What an agent forgets is a change, and it reports each: beside a start that costs
         # nothing more, alone once a report interval will do.
         if starts or now - machine.forgot_at >= self.times.report_s:
             forgets = self._forgets(machine)
             if forgets:
                 machine.forgot_at = now
-                orders += forgets
-        orders += starts
+                commands += forgets
+        commands += starts
         # A response may not hold a line over 64 KiB: the rest goes with the next.
-        if len(orders) > 500:
-            for order in orders[500:]:
-                if order.op == wire.START:
-                    late = machine.placements.get(order.task)
+        if len(commands) > 500:
+            for command in commands[500:]:
+                if command.op == agent_api.START:
+                    late = machine.placements.get(command.task)
                     if late is not None:
                         late.sent_seq = 0
-            orders = orders[:500]
-        return orders
+            commands = commands[:500]
+        return commands
 
     def _tell(self, decision: Decision, placement: Placement) -> None:
-        hold = self.parts.get(placement.machine.part)
-        grounds = Grounds(
+        hold = self.shards.get(placement.machine.shard)
+        reason = DecisionReason(
             placement.job.version,
             token=hold.token if hold is not None else None,
             machine=placement.machine.name,
         )
-        self.decided(decision, placement.key, grounds)
+        self.on_decision(decision, placement.key, reason)
 
     def stop(self, placement: Placement, grace: float) -> None:
         """Order a task stopped; a shorter grace overrides a longer one."""
@@ -508,7 +518,7 @@
         if placement.grace is None or grace < placement.grace:
             placement.grace = grace
             placement.kill_at = 0.0
-            self.direct_commands.touch(placement.machine.name)
+            self.command_sender.touch(placement.machine.name)
 
     def stop_job(self, id: str) -> None:
         """A cancelled job: all its tasks, wherever they are."""
@@ -522,10 +532,10 @@
         while True:
             await trio.sleep(self.times.report_s / 4)
             now = trio.current_time()
-            owned = self.members.ownership_known_at()
-            resumed = self.members.resumed_at()
+            owned = self.membership.leadership_known_at()
+            resumed = self.membership.resumed_at()
             for machine in list(self.machines.values()):
-                hold = self.parts.get(machine.part)
+                hold = self.shards.get(machine.shard)
                 if hold is None:
                     continue
                 silent = now - max(machine.heard_at, resumed)
@@ -539,7 +549,7 @@
                         "lease over machine=%s tasks=%d", machine.name, len(machine.placements)
                     )
                     # Only our answers could renew, and none has for a whole lease. Cut off
-                    # from all who could tell, we wait: a new owner may be renewing it.
+                    # from all who could tell, we wait: a new leader may be renewing it.
                     machine.lost = True
                     self._clear(machine, "lease")
                 if silent > self.policy.silence or (
@@ -558,7 +568,7 @@
         machine = self.machines.get(name)
         if machine is None:
             return
-        hold = self.parts.get(machine.part)
+        hold = self.shards.get(machine.shard)
         self._clear(machine, "released")
         self._pop(name)
         if hold is not None:
@@ -567,6 +577,6 @@
 
     # --- views --------------------------------------------------------------------------
 
-    def of_part(self, part: int) -> Collection[Machine]:
-        """The machines of a part."""
-        return self.in_part.get(part, {}).values()
+    def of_shard(self, shard: int) -> Collection[Machine]:
+        """The machines of a shard."""
+        return self.in_shard.get(shard, {}).values()
--- /dev/null
+++ b/pitchtally/api/__init__.py
@@ -0,0 +1,1 @@
+"""The users' interface: submissions, states of jobs, cancellations."""
--- a/pitchtally/control/waiting_line.py
+++ b/pitchtally/api/admission_queue.py
@@ -28,7 +28,7 @@
     expected_until: float
 
 
-class WaitingLine:
+class AdmissionQueue:
     """Who was refused, since when, and until when each is expected back."""
 
     def __init__(self, is_accepted: Callable[[str], bool] = lambda id: False) -> None:
--- a/pitchtally/control/confirmations.py
+++ b/pitchtally/api/read_barrier.py
@@ -19,8 +19,9 @@
 
 import trio
 
-from ..replica import Refresh, Replica
-from ..store import NoAnswer, Store, StoreDown
+from ..state_store.client import StateStoreClient
+from ..state_store.errors import NoResponse, StoreUnavailable
+from ..state_store.replica import Refresh, Replica
 
 log = logging.getLogger("confirmations")
 
@@ -71,11 +72,11 @@
         self.ended.set()
 
 
-class Confirmations:
+class ReadBarrier:
     """Asks the store on behalf of all callers who need to know that the copy is current."""
 
-    def __init__(self, store: Store, replica: Replica, timeout: float):
-        self.store = store
+    def __init__(self, state_store: StateStoreClient, replica: Replica, timeout: float):
+        self.state_store = state_store
         self.replica = replica
         self.timeout = timeout  # seconds that a caller waits
         self.counts: Counter[str] = Counter()  # "confirmed", and the values of `Unanswered`
@@ -110,7 +111,7 @@
                     await self._wake.wait()
                 self._reads += 1
                 nursery.start_soon(self._read)
-                await trio.sleep(REQUESTS_PER_READ / self.store.requests.rate)
+                await trio.sleep(REQUESTS_PER_READ / self.state_store.requests.rate)
 
     async def _read(self) -> None:
         """One read, for every question that waits as it is sent."""
@@ -132,8 +133,8 @@
                 read.answered_at,
                 len(served or ()),
             )
-        except StoreDown as error:
-            silent = isinstance(error, NoAnswer)
+        except StoreUnavailable as error:
+            silent = isinstance(error, NoResponse)
             outcome = Unconfirmed(
                 Unanswered.TIMED_OUT if silent else Unanswered.REFUSED, str(error)
             )
--- a/pitchtally/control/api.py
+++ b/pitchtally/api/routes.py
@@ -13,26 +13,28 @@
 import msgspec
 import trio
 
-from .. import tokens, wire
+from ..agents.manager import AgentManager
+from ..config.policy import Policy
+from ..config.settings import Settings
 from ..formats.job_layout import JobLayout
 from ..http import Request, Response
-from ..policy import Policy
-from ..replica import Replica
-from ..settings import Settings
-from ..store import Conflict, NoLease, Store, StoreDown, Write
-from . import job_records
-from .acceptance import Acceptances, Pending
-from .capacity import Plan
-from .confirmations import Confirmations, Confirmed
-from .decisions import Decided, Decision, Grounds, ignore_decision
-from .job_records import Record
-from .jobs import Job, JobStore
-from .members import Members
-from .messages import Cancellation
-from .split import Split
-from .submission import Invalid, check_runnable, id_of, is_job_id, parse_job
-from .waiting_line import WaitingLine
-from .workers import Workers
+from ..jobs import job_record
+from ..jobs.index import Job, JobIndex
+from ..jobs.job_record import JobRecord
+from ..membership.membership import Membership
+from ..membership.messages import Cancellation
+from ..observability.decision_log import Decision, DecisionListener, DecisionReason, ignore_decision
+from ..protocol import agent_api, cloud_api, user_api
+from ..scheduling.capacity import Plan
+from ..scheduling.scheduler import Scheduler
+from ..state_store import rate_limits
+from ..state_store.client import StateStoreClient, Write
+from ..state_store.errors import CompareFailed, LeaseExpired, StoreUnavailable
+from ..state_store.replica import Replica
+from .admission_queue import AdmissionQueue
+from .read_barrier import Confirmed, ReadBarrier
+from .submission_batcher import Pending, SubmissionBatcher
+from .validation import Invalid, check_runnable, id_of, is_job_id, parse_job
 
 log = logging.getLogger("api")
 
@@ -42,42 +44,42 @@
 SPARE = 0.75
 # Seconds after which a job is offered again that only the present stored format can hold.
 LARGE_JOB_RETRY_S = 3
-# Times that a cancellation is tried anew because an owner's progress was written first.
+# Times that a cancellation is tried anew because an leader's progress was written first.
 CANCEL_ATTEMPTS = 4
 
 
 class Api:
-    """What users, workers and the load balancer may ask of a controller."""
+    """What users, agents and the load balancer may ask of a controller."""
 
     def __init__(
         self,
         settings: Settings,
         policy: Policy,
-        members: Members,
-        store: Store,
+        membership: Membership,
+        state_store: StateStoreClient,
         replica: Replica,
-        job_store: JobStore,
-        workers: Workers,
-        split: Split,
+        job_index: JobIndex,
+        agents: AgentManager,
+        scheduler: Scheduler,
         layout: JobLayout,
-        types: Callable[[], dict[str, wire.MachineType]],
+        types: Callable[[], dict[str, cloud_api.MachineType]],
     ):
         self.layout = layout
         self.settings = settings
         self.policy = policy
-        self.members = members
-        self.store = store
+        self.membership = membership
+        self.state_store = state_store
         self.replica = replica
-        self.job_store = job_store
-        self.workers = workers
-        self.split = split
+        self.job_index = job_index
+        self.agents = agents
+        self.scheduler = scheduler
         self.types = types
         # Users wait 2 s for a poll: an answer later than that helps nobody.
-        self.confirmations = Confirmations(store, replica, min(1.5, policy.call_timeout * 1.5))
-        self.acceptances = Acceptances(store, replica)
-        self.line = WaitingLine(lambda id: id in job_store.jobs)
+        self.read_barrier = ReadBarrier(state_store, replica, min(1.5, policy.call_timeout * 1.5))
+        self.submission_batcher = SubmissionBatcher(state_store, replica)
+        self.line = AdmissionQueue(lambda id: id in job_index.jobs)
         self.nursery: trio.Nursery | None = None
-        self.decided: Decided = ignore_decision  # filled in by the service
+        self.on_decision: DecisionListener = ignore_decision  # filled in by the service
 
     async def serve(self, request: Request) -> Response:
         """Route a request that came over the public address."""
@@ -85,39 +87,42 @@
         if path == "/v1/report":
             if request.method != "POST":
                 return _error(405, "method", "use POST")
-            return await self.workers.serve(request)
+            return await self.agents.serve(request)
         if path == "/ready":
             # In an outage for all, final answers, reports and honest refusals still
             # work; a node cut off alone sends users to those that can do more.
             ready = (
-                self.replica.seen >= 0
+                self.replica.revision >= 0
                 and bool(self.types())
                 and not self.cut_off()
                 and not self.isolated()
             )
             return Response(200 if ready else 503, b"{}")
         if path.startswith("/api/jobs") and self.cut_off() and not self._is_final(path):
-            answer = await self.members.forward(request)
+            answer = await self.membership.forward(request)
             if answer is not None:
                 return answer
         return await self.local(request)
 
     def _is_final(self, path: str) -> bool:
         """Whether the job that a path names is over, which our copy tells for certain."""
-        job = self.job_store.jobs.get(path.removeprefix("/api/jobs/").removesuffix("/cancel"))
+        job = self.job_index.jobs.get(path.removeprefix("/api/jobs/").removesuffix("/cancel"))
         return job is not None and not job.open
 
     def cut_off(self) -> bool:
         """Whether this node can't reach the store while a peer can."""
-        return self.store.failing_since is not None and self.members.peer_with_store() is not None
+        return (
+            self.state_store.failing_since is not None
+            and self.membership.peer_with_store() is not None
+        )
 
     def isolated(self) -> bool:
         """Whether neither the store nor any peer has answered this node of late."""
-        since = self.store.failing_since
+        since = self.state_store.failing_since
         return (
             since is not None
             and trio.current_time() - since > self.policy.session_ttl
-            and self.members.alone()
+            and self.membership.is_isolated()
         )
 
     async def local(self, request: Request) -> Response:
@@ -143,16 +148,16 @@
     def view(self, job: Job) -> Response:
         """A job as its user sees it."""
         record = job.record
-        if record.stage == job_records.DONE:
-            view = wire.JobView(job.id, job_records.DONE, record.tasks, 0)
-        elif record.stage == job_records.CANCELLED:
-            view = wire.JobView(job.id, wire.WITHDRAWN, record.count, 0)
+        if record.stage == job_record.DONE:
+            view = user_api.JobView(job.id, job_record.DONE, record.tasks, 0)
+        elif record.stage == job_record.CANCELLED:
+            view = user_api.JobView(job.id, user_api.WITHDRAWN, record.count, 0)
         else:
             done = 0 if job.service else job.finished.count + len(job.local)
-            running = self.split.statuses.running(job.id)
-            state = wire.RUNNING if running else wire.PENDING
+            running = self.scheduler.statuses.running(job.id)
+            state = agent_api.RUNNING if running else user_api.PENDING
             # A job whose last tasks are not durable yet is still running.
-            view = wire.JobView(job.id, state, min(done, record.tasks), running)
+            view = user_api.JobView(job.id, state, min(done, record.tasks), running)
         return Response(200, encode(view))
 
     async def poll(self, id: str, *, exists: bool = False) -> Response:
@@ -162,15 +167,15 @@
         """
         if not is_job_id(id):
             return _error(404, "ref", "unknown job")
-        job = self.job_store.jobs.get(id)
+        job = self.job_index.jobs.get(id)
         if job is not None and not job.open:
             return self._found(job, None)
         if self.isolated():
             return _busy("the state service doesn't answer", 1)
-        outcome = await self.confirmations.confirm()
+        outcome = await self.read_barrier.confirm()
         if not isinstance(outcome, Confirmed):
             return _busy("the state can't be confirmed now", 1)
-        job = self.job_store.jobs.get(id)
+        job = self.job_index.jobs.get(id)
         if job is not None:
             return self._found(job, outcome)
         return self._unknown(id, outcome, exists=exists)
@@ -180,14 +185,14 @@
         if exists or self.replica.version(f"pt/jobs/{id}"):
             # There is a record that this node lacks or can't read, of a later version perhaps.
             return _busy("the state can't be confirmed now", 1)
-        self.decided(Decision.UNKNOWN_JOB, id, Grounds(read=confirmed.read))
+        self.on_decision(Decision.UNKNOWN_JOB, id, DecisionReason(read=confirmed.read))
         return _error(404, "ref", "unknown job")
 
     def _found(self, job: Job, confirmed: Confirmed | None) -> Response:
         """The answer for a known job; without a confirmation, of a job that is over."""
         decision = Decision.FOUND if job.open else Decision.FOUND_OVER
         read = confirmed.read if confirmed is not None else None
-        self.decided(decision, job.id, Grounds(version=job.version, read=read))
+        self.on_decision(decision, job.id, DecisionReason(version=job.version, read=read))
         return self.view(job)
 
     # --- submission --------------------------------------------------------------
@@ -230,35 +235,35 @@
 
     def _wait_for_tokens(self, id: str) -> float:
         """Seconds until a submission could be written, those before it counted."""
-        writes = self.store.writes
-        waiting = len(self.acceptances.waiting)  # for the commit under way
-        wait = self.store.requests.wait_for(tokens.ACCEPTANCES)
-        if not writes.wait_for(tokens.ACCEPTANCES, waiting + writes.burst * SPARE):
+        writes = self.state_store.writes
+        waiting = len(self.submission_batcher.waiting)  # for the commit under way
+        wait = self.state_store.requests.wait_for(rate_limits.ACCEPTANCES)
+        if not writes.wait_for(rate_limits.ACCEPTANCES, waiting + writes.burst * SPARE):
             return wait  # tokens would be lost while those who came earlier stay away
         # They may come back to any node: each takes its share of them.
-        ahead = self.line.ahead_of(id) / max(1, len(self.members.alive))
-        return max(wait, writes.wait_for(tokens.ACCEPTANCES, 1 + waiting + ahead))
+        ahead = self.line.ahead_of(id) / max(1, len(self.membership.alive))
+        return max(wait, writes.wait_for(rate_limits.ACCEPTANCES, 1 + waiting + ahead))
 
     def _known(self, body: bytes) -> Job | None:
         id = id_of(body)
-        return self.job_store.jobs.get(id) if id is not None else None
+        return self.job_index.jobs.get(id) if id is not None else None
 
     async def _accepted_elsewhere(self, id: str) -> bool:
-        outcome = await self.confirmations.confirm()
-        return isinstance(outcome, Confirmed) and id in self.job_store.jobs
+        outcome = await self.read_barrier.confirm()
+        return isinstance(outcome, Confirmed) and id in self.job_index.jobs
 
-    async def _accept(self, spec: wire.JobSpec) -> Response:
+    async def _accept(self, spec: user_api.JobSpec) -> Response:
         key = f"pt/jobs/{spec.id}"
         plan = await self._plan(spec)
         conditions = {key: 0}
-        for _, _, part in plan.ranges:
-            # Tasks given to a part of ours: only while it is ours, so that no
-            # earlier owner can have started one of them.
-            token = self.members.token(part)
+        for _, _, shard in plan.ranges:
+            # Tasks given to a shard of ours: only while it is ours, so that no
+            # earlier leader can have started one of them.
+            token = self.membership.token(shard)
             if token is not None:
-                conditions[f"pt/parts/{part}"] = token
-        record = Record(
-            job_records.OPEN,
+                conditions[f"pt/parts/{shard}"] = token
+        record = JobRecord(
+            job_record.OPEN,
             spec.tasks,
             spec,
             round(time.time(), 3),
@@ -277,7 +282,7 @@
         change = Write(key, value)
         pending = Pending(key, change, conditions)
         at = trio.current_time()
-        await self.acceptances.commit(pending)
+        await self.submission_batcher.commit(pending)
         took = trio.current_time() - at
         if took > self.policy.admit_wait:
             log.info(
@@ -285,7 +290,7 @@
                 spec.id,
                 took,
                 pending.sent_at - at,
-                len(self.acceptances.waiting),
+                len(self.submission_batcher.waiting),
             )
         if key in pending.failed:
             return await self.poll(spec.id, exists=True)
@@ -294,30 +299,32 @@
         if pending.revision is None:
             log.info("not accepted job=%s cause=%s", spec.id, pending.cause)
             return _busy("the state service doesn't answer", 1)
-        return Response(201, encode(wire.JobView(spec.id, wire.PENDING)))
+        return Response(201, encode(user_api.JobView(spec.id, user_api.PENDING)))
 
     async def _write_first(self, changes: list[Write]) -> bool:
         """Write what a new job's record refers to; False if that can't be done now.
 
         The keys are found by their content: written again, or late, they say the same.
         """
-        most = self.store.limits.txn_ops
+        most = self.state_store.limits.txn_ops
         for start in range(0, len(changes), most):
             group = changes[start : start + most]
             try:
-                revision = await self.store.commit({}, group, priority=tokens.ACCEPTANCES)
-            except (Conflict, NoLease, StoreDown) as error:
+                revision = await self.state_store.commit(
+                    {}, group, priority=rate_limits.ACCEPTANCES
+                )
+            except (CompareFailed, LeaseExpired, StoreUnavailable) as error:
                 log.info("not accepted cause=%s", error)
                 return False
             self.replica.own(group, revision)
         return True
 
-    async def _plan(self, spec: wire.JobSpec) -> Plan:
-        """Where the job goes: our own parts, else where the leader says."""
-        plan = self.split.decide(spec)
-        if plan.ranges or spec.kind == wire.GANG:
+    async def _plan(self, spec: user_api.JobSpec) -> Plan:
+        """Where the job goes: our own shards, else where the leader says."""
+        plan = self.scheduler.decide(spec)
+        if plan.ranges or spec.kind == user_api.GANG:
             return plan
-        answer = await self.members.ask_split(spec)
+        answer = await self.membership.request_schedule(spec)
         if answer is None:
             return plan
         return Plan(answer.ranges, answer.zone)
@@ -329,43 +336,43 @@
         if not is_job_id(id):
             return _error(404, "ref", "unknown job")
         for _ in range(CANCEL_ATTEMPTS):
-            job = self.job_store.jobs.get(id)
+            job = self.job_index.jobs.get(id)
             if job is not None and not job.open:
                 return self._found(job, None)
             if self.isolated():
                 break
             if job is None:
-                outcome = await self.confirmations.confirm()
+                outcome = await self.read_barrier.confirm()
                 if not isinstance(outcome, Confirmed):
                     break
-                if id not in self.job_store.jobs:
+                if id not in self.job_index.jobs:
                     return self._unknown(id, outcome)
                 continue
             try:
                 await self._commit_cancellation(job)
-                job = self.job_store.jobs[id]
+                job = self.job_index.jobs[id]
                 if not job.open:
                     return self._found(job, None)
-            except Conflict:
-                # The owners' progress came first: take it in and try again.
-                if not isinstance(await self.confirmations.confirm(), Confirmed):
+            except CompareFailed:
+                # The leaders' progress came first: take it in and try again.
+                if not isinstance(await self.read_barrier.confirm(), Confirmed):
                     break
-            except (NoLease, StoreDown):
+            except (LeaseExpired, StoreUnavailable):
                 break
         return _busy("the cancellation can't be written now", 1)
 
     async def _commit_cancellation(self, job: Job) -> None:
-        """Write that a job is cancelled, and tell the owners; raises what `Store.commit` does."""
-        final = Record(job_records.CANCELLED, job.record.tasks, count=job.finished.count)
+        """Write that a job is cancelled, and tell the leaders; raises what `Store.commit` does."""
+        final = JobRecord(job_record.CANCELLED, job.record.tasks, count=job.finished.count)
         change = Write(f"pt/jobs/{job.id}", encode(final))
-        revision = await self.store.commit(
-            {change.key: job.version}, [change], priority=tokens.COMPLETIONS
+        revision = await self.state_store.commit(
+            {change.key: job.version}, [change], priority=rate_limits.COMPLETIONS
         )
         self.replica.own([change], revision)
-        self.decided(Decision.CANCELLED, job.id, Grounds(version=revision))
+        self.on_decision(Decision.CANCELLED, job.id, DecisionReason(version=revision))
         if self.nursery is not None:
             self.nursery.start_soon(
-                self.members.tell_cancelled,
+                self.membership.tell_cancelled,
                 Cancellation(job.id, revision, final.tasks, final.count),
             )
 
--- a/pitchtally/control/acceptance.py
+++ b/pitchtally/api/submission_batcher.py
@@ -4,9 +4,10 @@
 
 import trio
 
-from .. import tokens
-from ..replica import Replica
-from ..store import Conflict, NoLease, Store, StoreDown, Write
+from ..state_store import rate_limits
+from ..state_store.client import StateStoreClient, Write
+from ..state_store.errors import CompareFailed, LeaseExpired, StoreUnavailable
+from ..state_store.replica import Replica
 
 
 class Pending:
@@ -28,7 +29,7 @@
         self.over.set()
 
 
-class Acceptances:
+class SubmissionBatcher:
     """Commits submissions; those that wait while a commit is under way share the next."""
 
     # Loops, so that one commit without an answer doesn't hold up all that follow.
@@ -36,8 +37,8 @@
     # Of the 64 KiB that a transaction may hold.
     BYTES = 40 * 1024
 
-    def __init__(self, store: Store, replica: Replica):
-        self.store = store
+    def __init__(self, state_store: StateStoreClient, replica: Replica):
+        self.state_store = state_store
         self.replica = replica
         self.waiting: list[Pending] = []
         self.wake = trio.Event()
@@ -54,12 +55,12 @@
         size = 0
         for pending in list(self.waiting):
             size += len(pending.change.value or b"") + 300
-            if len(batch) >= self.store.limits.txn_ops or (
-                batch and (size > self.BYTES or len(batch) >= self.store.writes.burst)
+            if len(batch) >= self.state_store.limits.txn_ops or (
+                batch and (size > self.BYTES or len(batch) >= self.state_store.writes.burst)
             ):
                 break
             # A repeat of an id goes alone, so that its condition can fail. So does one that
-            # was planned under another token of a part: the transaction would check only
+            # was planned under another token of a shard: the transaction would check only
             # one of the two.
             if all(other.key != pending.key for other in batch) and all(
                 conditions.get(key, version) == version
@@ -94,10 +95,13 @@
                 for pending in batch:
                     pending.sent_at = trio.current_time()
 
-            revision = await self.store.commit(
-                conditions, [p.change for p in batch], priority=tokens.ACCEPTANCES, on_sent=sent
+            revision = await self.state_store.commit(
+                conditions,
+                [p.change for p in batch],
+                priority=rate_limits.ACCEPTANCES,
+                on_sent=sent,
             )
-        except Conflict as conflict:
+        except CompareFailed as conflict:
             failed = set(conflict.failed)
             rest = []
             for pending in batch:
@@ -109,7 +113,7 @@
             # Nothing of the batch was written: the others go again without it.
             self.waiting[:0] = rest
             self.wake.set()
-        except (NoLease, StoreDown) as error:
+        except (LeaseExpired, StoreUnavailable) as error:
             for pending in batch:
                 pending.end(None, [], str(error) or "no lease")
         else:
--- a/pitchtally/control/submission.py
+++ b/pitchtally/api/validation.py
@@ -8,10 +8,10 @@
 
 import msgspec
 
-from .. import wire
-from ..settings import Settings
-from .capacity import fits
-from .machines import need_of
+from ..agents.machines import resource_request
+from ..config.settings import Settings
+from ..protocol import cloud_api, user_api
+from ..scheduling.capacity import fits
 
 _ID = re.compile(r"wk-[0-9]{1,18}")
 
@@ -29,7 +29,7 @@
         self.status = status
 
 
-_NAMES = {f.name: f.encode_name for f in msgspec.structs.fields(wire.JobSpec)}
+_NAMES = {f.name: f.encode_name for f in msgspec.structs.fields(user_api.JobSpec)}
 
 
 _OPTIONAL = {"types", "zone", "deadline"}
@@ -38,14 +38,14 @@
 _AMOUNTS = ("cpus", "gpus", "memory", "image_gb", "estimate", "checkpoint", "save")
 
 
-def parse_job(body: bytes) -> wire.JobSpec:
+def parse_job(body: bytes) -> user_api.JobSpec:
     """A submission as a checked spec; Invalid with 400 otherwise."""
     spec = _convert(_fields(body))
     if not is_job_id(spec.id):
         raise _bad("id", "not of the form wk-000412")
-    if spec.kind not in (wire.ARRAY, wire.GANG, wire.SERVICE):
+    if spec.kind not in (user_api.ARRAY, user_api.GANG, user_api.SERVICE):
         raise _bad("kind", "unknown kind")
-    if spec.rank not in wire.RANKS:
+    if spec.rank not in user_api.RANKS:
         raise _bad("rank", "unknown priority")
     if not 1 <= spec.tasks <= MAX_TASKS:
         raise _bad("tasks", f"must be 1 to {MAX_TASKS}")
@@ -74,16 +74,16 @@
     return raw
 
 
-def _convert(raw: dict[str, Any]) -> wire.JobSpec:
+def _convert(raw: dict[str, Any]) -> user_api.JobSpec:
     try:
-        return msgspec.convert(raw, wire.JobSpec)
+        return msgspec.convert(raw, user_api.JobSpec)
     except msgspec.ValidationError as error:
         text = str(error)
         at = re.search(r"\$\.(\w+)", text)
         raise Invalid(400, at.group(1) if at else "body", text) from None
 
 
-def _check_sizes(spec: wire.JobSpec) -> None:
+def _check_sizes(spec: user_api.JobSpec) -> None:
     for name in (*_AMOUNTS, "deadline"):
         value = getattr(spec, name)
         if value is not None and not (0 <= value < LARGEST and math.isfinite(value)):
@@ -97,7 +97,7 @@
 
 
 def check_runnable(
-    spec: wire.JobSpec, settings: Settings, types: dict[str, wire.MachineType]
+    spec: user_api.JobSpec, settings: Settings, types: dict[str, cloud_api.MachineType]
 ) -> None:
     """Invalid with 422 for a job that can never run."""
     team = next((t for t in settings.deployment.teams if t.name == spec.team), None)
@@ -107,18 +107,18 @@
         t
         for t in types.values()
         if (spec.types is None or t.name in spec.types)
-        and fits(need_of(spec), (t.cpus, t.gpus, t.memory))
+        and fits(resource_request(spec), (t.cpus, t.gpus, t.memory))
         and (spec.zone is None or spec.zone in t.zones)
     ]
     if not able:
         raise Invalid(422, _NAMES["types"], "a task fits no allowed machine type")
     # An array goes on task by task; a gang, and a service, need room for all.
-    at_once = spec.tasks if spec.kind in (wire.GANG, wire.SERVICE) else 1
-    for name, need, limit in (
+    at_once = spec.tasks if spec.kind in (user_api.GANG, user_api.SERVICE) else 1
+    for name, resources, limit in (
         ("cpus", spec.cpus, team.cpus_max),
         ("gpus", spec.gpus, team.gpus_max),
     ):
-        if limit > 0 and need * at_once > limit + 1e-6:
+        if limit > 0 and resources * at_once > limit + 1e-6:
             raise Invalid(422, _NAMES[name], "over the team's limit")
 
 
--- /dev/null
+++ b/pitchtally/autoscaling/__init__.py
@@ -0,0 +1,1 @@
+"""Scaling out and in: machines launched and terminated at the cloud provider."""
--- a/pitchtally/control/fleet.py
+++ b/pitchtally/autoscaling/autoscaler.py
@@ -14,21 +14,21 @@
 import msgspec
 import trio
 
-from .. import wire
-from ..policy import Policy
-from ..replica import Replica
-from ..settings import Settings
-from ..store import Store
-from .capacity import group_ok, times
-from .cloud import Cloud, CloudDown, NoCapacity
-from .hiring import Booting, Group, Hiring
-from .jobs import JobStore
-from .machine_types import MachineTypes
-from .machines import need_of
-from .members import Members, part_of
-from .messages import Heartbeat, MachineFlag, MachineStatus
-from .split import Split
-from .workers import Workers
+from ..agents.machines import resource_request
+from ..agents.manager import AgentManager
+from ..config.policy import Policy
+from ..config.settings import Settings
+from ..jobs.index import JobIndex
+from ..membership.membership import Membership, shard_of
+from ..membership.messages import MachineFlag, MachineStatus, PeerHeartbeat
+from ..protocol import cloud_api, user_api
+from ..scheduling.capacity import group_ok, times
+from ..scheduling.scheduler import Scheduler
+from ..state_store.client import StateStoreClient
+from ..state_store.replica import Replica
+from .catalog import MachineCatalog
+from .cloud_client import Cloud, CloudUnavailable, InsufficientCapacity
+from .scale_out import Booting, Group, ScaleOut
 
 log = logging.getLogger("fleet")
 
@@ -43,39 +43,39 @@
 
 @dataclass(slots=True)
 class Silence:
-    """A machine that no node can reach, as its part's owner tells."""
+    """A machine that no node can reach, as its shard's leader tells."""
 
     since: float
     seen_at: float  # when that was last confirmed
 
 
-class Fleet:
+class Autoscaler:
     """The leader's view of all machines: which to return, which to rent."""
 
     def __init__(
         self,
         settings: Settings,
         policy: Policy,
-        members: Members,
-        job_store: JobStore,
-        workers: Workers,
-        split: Split,
-        store: Store,
+        membership: Membership,
+        job_index: JobIndex,
+        agents: AgentManager,
+        scheduler: Scheduler,
+        state_store: StateStoreClient,
         replica: Replica,
     ):
         self.settings = settings
         self.policy = policy
-        self.members = members
-        self.job_store = job_store
-        self.workers = workers
-        self.split = split
-        self.store = store
+        self.membership = membership
+        self.job_index = job_index
+        self.agents = agents
+        self.scheduler = scheduler
+        self.state_store = state_store
         self.replica = replica
         self.cloud = Cloud(settings, policy)
-        self.listed: dict[str, wire.Listed] = {}
+        self.listed: dict[str, cloud_api.ListedMachine] = {}
         self.absent_since: dict[str, float] = {}
         self.booting: dict[str, Booting] = {}
-        self.hiring = Hiring(self)
+        self.scale_out = ScaleOut(self)
         self.led_since: float | None = None
         self.led_token = 0
         self.unseen: dict[str, float] = {}  # listed as running, but in nobody's statuses
@@ -85,16 +85,23 @@
         self.lists = 0
         self.releasing: dict[str, str] = {}
         self.drain: dict[str, float] = {}
-        self.gone: dict[str, float] = {}  # released, to be told to the owners
+        self.gone: dict[str, float] = {}  # released, to be told to the leaders
         self.troubles = ""
-        self.machine_types = MachineTypes(
-            policy, members, workers, store, replica, self.cloud, job_store.gate, self._trouble
+        self.catalog = MachineCatalog(
+            policy,
+            membership,
+            agents,
+            state_store,
+            replica,
+            self.cloud,
+            job_index.gate,
+            self._trouble,
         )
 
     @property
-    def types(self) -> dict[str, wire.MachineType]:
+    def types(self) -> dict[str, cloud_api.MachineType]:
         """The machine types that the cloud offers, by name."""
-        return self.machine_types.known
+        return self.catalog.known
 
     def _trouble(self, reason: str) -> None:
         if reason != self.troubles:
@@ -109,16 +116,16 @@
     async def run(self) -> None:
         """The leader's loop: read the list, return machines, rent others."""
         while True:
-            token = self.members.confirmed_leader()
-            if token is None or self.replica.seen < 0:
-                if self.members.leading is None:
+            token = self.membership.verified_cluster_leader()
+            if token is None or self.replica.revision < 0:
+                if self.membership.cluster_leader_token is None:
                     self.led_since = None
                 await trio.sleep(0.3)
                 continue
             if (
                 self.led_since is None
                 or self.led_token != token
-                or self.led_since < self.members.resumed_at()
+                or self.led_since < self.membership.resumed_at()
             ):
                 # A new leader knows nothing of earlier hires until it has read the list.
                 self.led_since = trio.current_time()
@@ -127,7 +134,7 @@
                 self.unseen.clear()
                 self.booting.clear()
                 self.listed.clear()
-                self.hiring.pending = None
+                self.scale_out.pending = None
                 self.drain.clear()
                 log.info("leading token=%d", token)
             try:
@@ -135,11 +142,11 @@
                 await self._judge()
                 await self._release()
                 if self.lists:
-                    await self.hiring.hire(token)
+                    await self.scale_out.hire(token)
                 self._trouble("")
-            except (CloudDown, msgspec.MsgspecError) as error:
+            except (CloudUnavailable, msgspec.MsgspecError) as error:
                 self._trouble(str(error))
-            except NoCapacity:
+            except InsufficientCapacity:
                 pass
             await trio.sleep(min(2.0, self.policy.list_every / 3))
 
@@ -147,12 +154,12 @@
         now = trio.current_time()
         if self.lists and now - self._listed_at < self.policy.list_every:
             return
-        found: dict[str, wire.Listed] = {}
+        found: dict[str, cloud_api.ListedMachine] = {}
         after = ""
         while True:
             since = f"since={after}&" if after else ""
             body = await self.cloud.call("GET", f"/machines?{since}limit=500")
-            page = msgspec.json.decode(body, type=wire.MachineList)
+            page = msgspec.json.decode(body, type=cloud_api.MachineList)
             found.update((m.name, m) for m in page.machines)
             if not page.more or not page.machines:
                 break
@@ -176,9 +183,9 @@
     _observed_at = -1e9
 
     def statuses(self) -> dict[str, MachineStatus]:
-        """Every machine that any part has told of, by name."""
+        """Every machine that any shard has told of, by name."""
         return {
-            m.name: m for status in self.split.statuses.newest.values() for m in status.machines
+            m.name: m for status in self.scheduler.statuses.newest.values() for m in status.machines
         }
 
     async def _judge(self) -> None:
@@ -198,12 +205,12 @@
         self._idle(statuses, now)
         self._return_drained(statuses)
 
-    def _boot_limit(self, kind: wire.MachineType | None) -> float:
+    def _boot_limit(self, kind: cloud_api.MachineType | None) -> float:
         """Seconds after which a machine that is still not up never will be."""
         return self._boot_of(kind) * BOOTS + self.settings.deployment.cloud.list_lag_s
 
     @staticmethod
-    def _boot_of(kind: wire.MachineType | None) -> float:
+    def _boot_of(kind: cloud_api.MachineType | None) -> float:
         return kind.boot if kind else USUAL_BOOT_S
 
     def _judge_booting(self, statuses: dict[str, MachineStatus], now: float) -> None:
@@ -215,19 +222,23 @@
                 self._return(name, "never came up")
 
     def _judge_listed(
-        self, name: str, machine: wire.Listed, statuses: dict[str, MachineStatus], now: float
+        self,
+        name: str,
+        machine: cloud_api.ListedMachine,
+        statuses: dict[str, MachineStatus],
+        now: float,
     ) -> None:
         kind = self.types.get(machine.type)
-        if machine.state == wire.FAILED:
+        if machine.state == cloud_api.FAILED:
             self._return(name, "failed")
-        elif machine.state == wire.BOOTING and name not in statuses:
+        elif machine.state == cloud_api.BOOTING and name not in statuses:
             if machine.age > self._boot_limit(kind):
                 self._return(name, "never came up")
             elif name not in self.booting:
                 group = Group(machine.type, machine.zone, machine.spot)
                 self.booting[name] = Booting(group, now - machine.age)
         elif name in statuses or not self._vouched(name):
-            # Right after a takeover nobody has heard a part's machines yet.
+            # Right after a failover nobody has heard a shard's machines yet.
             self.unseen.pop(name, None)
         elif machine.age > self._boot_of(kind) * BOOTS:
             since = self.unseen.setdefault(name, now)
@@ -236,7 +247,7 @@
 
     def _judge_reported(self, name: str, status: MachineStatus, now: float) -> None:
         if status.flag in SILENT_FLAGS:
-            # Unheard: a takeover waits for it. Unresponsive: it reports, but its lease runs
+            # Unheard: a failover waits for it. Unresponsive: it reports, but its lease runs
             # out all the same. Lost: its lease is over, its tasks go elsewhere and others
             # are hired in its place; it may only hang, or its zone be cut off, and if
             # it is dead the list soon says so. Returned at once, dozens that were about
@@ -262,7 +273,7 @@
     async def run_silences(self) -> None:
         """Observe silent machines on every node, whether it leads or not.
 
-        A new leader would otherwise begin to count anew, and the part that waits for a dead
+        A new leader would otherwise begin to count anew, and the shard that waits for a dead
         machine with it, though all nodes have known of it for long.
         """
         while True:
@@ -271,7 +282,7 @@
 
     def _observe_silences(self) -> None:
         now = trio.current_time()
-        if self.members.resumed_at() > self._observed_at:
+        if self.membership.resumed_at() > self._observed_at:
             self.silences.clear()  # nobody was listening
         self._observed_at = now
         for name, status in self.statuses().items():
@@ -286,14 +297,14 @@
 
     def _is_fresh(self, machine: str, now: float) -> bool:
         """Whether the status of the machine's part is our own or was heard of late."""
-        part = part_of(machine, self.settings.deployment.count)
-        if part in self.split.parts.work:
+        shard = shard_of(machine, self.settings.deployment.count)
+        if shard in self.scheduler.shards.work:
             return True
-        return now - self.split.statuses.received_at.get(part, -1e9) < self.policy.session_ttl
+        return now - self.scheduler.statuses.received_at.get(shard, -1e9) < self.policy.session_ttl
 
     def _vouched(self, name: str) -> bool:
-        """Whether the owner of the machine's part knows all its machines by now."""
-        status = self.split.statuses.newest.get(part_of(name, self.settings.deployment.count))
+        """Whether the leader of the machine's part knows all its machines by now."""
+        status = self.scheduler.statuses.newest.get(shard_of(name, self.settings.deployment.count))
         return status is not None and status.settled
 
     def _return(self, name: str, cause: str) -> None:
@@ -314,31 +325,34 @@
                 continue
             self.drain[name] = now
 
-    def _waiting_specs(self) -> list[wire.JobSpec]:
+    def _waiting_specs(self) -> list[user_api.JobSpec]:
         """What waits and its team's limit allows: each shape of need once."""
-        found: dict[tuple[object, ...], wire.JobSpec] = {}
-        for part in self.split.statuses.newest.values():
-            for id in part.waiting:
-                job = self.job_store.open.get(id)
+        found: dict[tuple[object, ...], user_api.JobSpec] = {}
+        for shard in self.scheduler.statuses.newest.values():
+            for id in shard.waiting:
+                job = self.job_index.open.get(id)
                 if job is not None:
                     spec = job.spec
-                    key = (need_of(spec), spec.team, spec.types, spec.zone, spec.spot)
+                    key = (resource_request(spec), spec.team, spec.types, spec.zone, spec.spot)
                     found.setdefault(key, spec)
-        return [spec for spec in found.values() if self.split.teams.limit_left(spec)]
+        return [spec for spec in found.values() if self.scheduler.quotas.limit_left(spec)]
 
-    def _needed(self, status: MachineStatus, waits: list[wire.JobSpec]) -> bool:
+    def _needed(self, status: MachineStatus, waits: list[user_api.JobSpec]) -> bool:
         kind = self.types.get(status.type)
         return kind is None or any(group_ok(spec, kind, status.zone, status.spot) for spec in waits)
 
     def _observe_demand(self, now: float) -> None:
         """Remember how many tasks of each shape ran or waited at once lately."""
         counts: dict[tuple[object, ...], int] = {}
-        for job in self.job_store.open.values():
+        for job in self.job_index.open.values():
             spec = job.spec
             left = spec.tasks - job.finished.count
             shape = (spec.job_class, spec.types, spec.zone, spec.spot)
             counts[shape] = counts.get(shape, 0) + min(
-                left, 1 + self.split.teams.limit_left(spec) + self.split.statuses.running(job.id)
+                left,
+                1
+                + self.scheduler.quotas.limit_left(spec)
+                + self.scheduler.statuses.running(job.id),
             )
         window = self.policy.ready_for
         for key, count in counts.items():
@@ -355,17 +369,17 @@
         on demand; what others need can be hired when it is needed.
         """
         keep: set[str] = set()
-        for shape, spec in self.split.parts.recent.items():
+        for shape, spec in self.scheduler.shards.recent.items():
             peak = max((n for _, n in self.demand.get(shape, ())), default=1)
             able = []
             for name, status in statuses.items():
                 kind = self.types.get(status.type)
                 if kind is None or status.flag or name in self.drain:
                     continue
-                if self.split.order.slack(spec) > kind.boot * 2:
+                if self.scheduler.priorities.slack(spec) > kind.boot * 2:
                     continue
                 if group_ok(spec, kind, status.zone, status.spot):
-                    fit = times(need_of(spec), (kind.cpus, kind.gpus, kind.memory))
+                    fit = times(resource_request(spec), (kind.cpus, kind.gpus, kind.memory))
                     price = (kind.spot_price or kind.price) if status.spot else kind.price
                     able.append((price / fit, name, fit))
             for _, name, fit in sorted(able):
@@ -376,9 +390,11 @@
         return keep
 
     async def _release(self) -> None:
-        while self.releasing and self.members.confirmed_leader() is not None:
+        while self.releasing and self.membership.verified_cluster_leader() is not None:
             names = list(self.releasing)[:100]
-            await self.cloud.call("POST", "/machines/release", encode(wire.Names(names)))
+            await self.cloud.call(
+                "POST", "/machines/release", encode(cloud_api.MachineNames(names))
+            )
             now = trio.current_time()
             for name in names:
                 self.releasing.pop(name, None)
@@ -386,7 +402,7 @@
                 self.booting.pop(name, None)
                 self.gone[name] = now
                 # The answer is the proof that all on it is gone.
-                self.workers.forget_machine(name)
+                self.agents.forget_machine(name)
 
     # --- what others are told -------------------------------------------------------------
 
@@ -401,20 +417,20 @@
         """Machines that are to take no more work."""
         return list(self.drain)
 
-    def take_heartbeat(self, heartbeat: Heartbeat) -> None:
+    def take_heartbeat(self, heartbeat: PeerHeartbeat) -> None:
         """What the leader says about machines of ours."""
         for name in heartbeat.released:
-            if name not in self.workers.released or name in self.workers.machines:
-                self.workers.forget_machine(name)
-        if heartbeat.node == self.members.owner(0):
+            if name not in self.agents.released or name in self.agents.machines:
+                self.agents.forget_machine(name)
+        if heartbeat.node == self.membership.leader(0):
             self._apply_drain(heartbeat.drain)
 
     def _apply_drain(self, names: Iterable[str]) -> None:
         wanted = set(names)
-        for machine in self.workers.machines.values():
+        for machine in self.agents.machines.values():
             machine.drain = machine.name in wanted
 
     def own_drain(self) -> None:
         """Apply the leader's drains to the leader's own machines."""
-        if self.members.leading is not None:
+        if self.membership.cluster_leader_token is not None:
             self._apply_drain(self.drain)
--- a/pitchtally/control/machine_types.py
+++ b/pitchtally/autoscaling/catalog.py
@@ -1,4 +1,4 @@
-"""The machine types that the cloud offers: asked for, and kept in the state service."""
+"""The machine types that the cloud offers: asked for, and kept in the state store."""
 
 from __future__ import annotations
 
@@ -7,14 +7,16 @@
 import msgspec
 import trio
 
-from .. import tokens, wire
+from ..agents.manager import AgentManager
+from ..config.policy import Policy
 from ..formats.gate import FormatGate
-from ..policy import Policy
-from ..replica import Replica
-from ..store import Conflict, NoLease, Store, StoreDown, Write
-from .cloud import Cloud, CloudDown, NoCapacity
-from .members import Members
-from .workers import Workers
+from ..membership.membership import Membership
+from ..protocol import cloud_api
+from ..state_store import rate_limits
+from ..state_store.client import StateStoreClient, Write
+from ..state_store.errors import CompareFailed, LeaseExpired, StoreUnavailable
+from ..state_store.replica import Replica
+from .cloud_client import Cloud, CloudUnavailable, InsufficientCapacity
 
 # Of the price before: a move by less isn't worth a write, prices drift all the time.
 PRICE_STEP = 0.1
@@ -22,11 +24,11 @@
 ASK_EVERY, ASK_FIRST = 6.0, 0.5
 
 _KEY = "pt/types"
-_decode = msgspec.json.Decoder(list[wire.MachineType]).decode
+_decode = msgspec.json.Decoder(list[cloud_api.MachineType]).decode
 _encode = msgspec.json.encode
 
 
-class MachineTypes:
+class MachineCatalog:
     """Keeps the types in the store, so that nodes know them in a cloud outage too.
 
     One value holds all types; more than fit go into pages, `pt/types/<n>`, which an earlier
@@ -36,24 +38,24 @@
     def __init__(
         self,
         policy: Policy,
-        members: Members,
-        workers: Workers,
-        store: Store,
+        membership: Membership,
+        agents: AgentManager,
+        state_store: StateStoreClient,
         replica: Replica,
         cloud: Cloud,
         gate: FormatGate,
         trouble: Callable[[str], None],
     ):
         self.policy = policy
-        self.members = members
-        self.workers = workers
-        self.store = store
+        self.membership = membership
+        self.agents = agents
+        self.state_store = state_store
         self.replica = replica
         self.cloud = cloud
         self.gate = gate
         self.trouble = trouble  # told why the cloud can't be asked
-        self.known: dict[str, wire.MachineType] = {}
-        self._pages: dict[str, list[wire.MachineType]] = {}  # by key
+        self.known: dict[str, cloud_api.MachineType] = {}
+        self._pages: dict[str, list[cloud_api.MachineType]] = {}  # by key
         replica.listen("types", self._on_record)
 
     def _on_record(self, rest: str, value: bytes | None, version: int) -> None:
@@ -66,35 +68,40 @@
         if found:
             self._renew(found)
 
-    def _renew(self, found: list[wire.MachineType]) -> None:
+    def _renew(self, found: list[cloud_api.MachineType]) -> None:
         self.known = {kind.name: kind for kind in found}
-        for machine in self.workers.machines.values():
+        for machine in self.agents.machines.values():
             machine.kind = self.known.get(machine.type)
 
     async def run(self) -> None:
         """Ask the cloud, and write what has changed; the leader's task once types are known."""
         while True:
-            if self.known and self.members.leading is None:
+            if self.known and self.membership.cluster_leader_token is None:
                 await trio.sleep(self.policy.list_every)
                 continue
             try:
                 body = await self.cloud.call("GET", "/flavors")
-                found = msgspec.json.decode(body, type=wire.MachineTypes).types
+                found = msgspec.json.decode(body, type=cloud_api.MachineTypeList).types
                 if found and self._changed(found):
                     await self._write(found)
                     self._renew(found)
-            except (CloudDown, NoCapacity, msgspec.MsgspecError, StoreDown) as error:
+            except (
+                CloudUnavailable,
+                InsufficientCapacity,
+                msgspec.MsgspecError,
+                StoreUnavailable,
+            ) as error:
                 self.trouble(str(error))
             await trio.sleep(self.policy.list_every * (ASK_EVERY if self.known else ASK_FIRST))
 
-    def _changed(self, found: list[wire.MachineType]) -> bool:
+    def _changed(self, found: list[cloud_api.MachineType]) -> bool:
         """Whether shapes have changed, or prices by more than a step."""
         if {kind.name for kind in found} != set(self.known):
             return True
         return any(self._differs(new, self.known[new.name]) for new in found)
 
     @staticmethod
-    def _differs(new: wire.MachineType, old: wire.MachineType) -> bool:
+    def _differs(new: cloud_api.MachineType, old: cloud_api.MachineType) -> bool:
         if (new.cpus, new.gpus, new.memory, new.zones) != (
             old.cpus,
             old.gpus,
@@ -105,21 +112,21 @@
         step = PRICE_STEP * (old.spot_price or 1)
         return abs((new.spot_price or 0) - (old.spot_price or 0)) > step
 
-    async def _write(self, found: list[wire.MachineType]) -> None:
+    async def _write(self, found: list[cloud_api.MachineType]) -> None:
         for change in self.lay_out(found):
             try:
-                revision = await self.store.commit(
+                revision = await self.state_store.commit(
                     {change.key: self.replica.version(change.key)},
                     [change],
-                    priority=tokens.ACCEPTANCES,
+                    priority=rate_limits.ACCEPTANCES,
                 )
-            except (Conflict, NoLease):
+            except (CompareFailed, LeaseExpired):
                 return  # another node was first
             self.replica.own([change], revision)
 
-    def lay_out(self, found: list[wire.MachineType]) -> list[Write]:
+    def lay_out(self, found: list[cloud_api.MachineType]) -> list[Write]:
         """The writes that store these types, those that hold something first."""
-        most = int(self.store.limits.value_kb * 1024)
+        most = int(self.state_store.limits.value_kb * 1024)
         whole = _encode(found)
         if len(whole) <= most or not self.gate.open:
             pages = {_KEY: found}
@@ -129,8 +136,10 @@
         return [*writes, *(Write(key, None) for key in self._pages if key not in pages)]
 
     @staticmethod
-    def _paged(found: list[wire.MachineType], most: int) -> dict[str, list[wire.MachineType]]:
-        pages: list[list[wire.MachineType]] = [[]]
+    def _paged(
+        found: list[cloud_api.MachineType], most: int
+    ) -> dict[str, list[cloud_api.MachineType]]:
+        pages: list[list[cloud_api.MachineType]] = [[]]
         for kind in found:
             if pages[-1] and len(_encode([*pages[-1], kind])) > most:
                 pages.append([])
--- a/pitchtally/control/hiring.py
+++ b/pitchtally/autoscaling/scale_out.py
@@ -14,14 +14,14 @@
 import msgspec
 import trio
 
-from .. import wire
-from .capacity import group_ok, times
-from .cloud import NoCapacity
-from .machines import need_of
-from .messages import MachineFlag, MachineStatus
+from ..agents.machines import resource_request
+from ..membership.messages import MachineFlag, MachineStatus
+from ..protocol import cloud_api, user_api
+from ..scheduling.capacity import group_ok, times
+from .cloud_client import InsufficientCapacity
 
 if TYPE_CHECKING:
-    from .fleet import Fleet
+    from .autoscaler import Autoscaler
 
 log = logging.getLogger("hiring")
 
@@ -51,28 +51,28 @@
 
 @dataclass(slots=True)
 class Demand:
-    """Waiting tasks of one shape, all parts together."""
+    """Waiting tasks of one shape, all shards together."""
 
-    spec: wire.JobSpec
+    spec: user_api.JobSpec
     seconds: float = 0.0  # task-seconds
     tasks: int = 0
 
 
-class Hiring:
+class ScaleOut:
     """The leader's requests for machines."""
 
-    def __init__(self, fleet: Fleet) -> None:
-        self.fleet = fleet
-        self.split = fleet.split
+    def __init__(self, autoscaler: Autoscaler) -> None:
+        self.autoscaler = autoscaler
+        self.scheduler = autoscaler.scheduler
         self.refused: dict[Group, tuple[float, float]] = {}  # group -> (until, pause)
-        self.pending: wire.Hire | None = None  # a hire without an answer
+        self.pending: cloud_api.LaunchRequest | None = None  # a hire without an answer
         self.counter = 0
 
     async def hire(self, token: int) -> None:
         """Rent what waiting work calls for, as long as this node surely leads."""
         now = trio.current_time()
         for _ in range(HIRES_AT_ONCE):
-            if self.fleet.members.confirmed_leader() != token:
+            if self.autoscaler.membership.verified_cluster_leader() != token:
                 return
             if self.pending is None:
                 found = self._next(now)
@@ -80,22 +80,22 @@
                     return
                 group, count = found
                 self.counter += 1
-                self.pending = wire.Hire(
+                self.pending = cloud_api.LaunchRequest(
                     f"h-{token}-{self.counter}", group.type, group.zone, group.spot, count
                 )
             await self._send(self.pending, now)
 
-    async def _send(self, hire: wire.Hire, now: float) -> None:
+    async def _send(self, hire: cloud_api.LaunchRequest, now: float) -> None:
         group = Group(hire.type, hire.zone, hire.spot)
         try:
-            body = await self.fleet.cloud.call("POST", "/machines", encode(hire))
-        except NoCapacity:
+            body = await self.autoscaler.cloud.call("POST", "/machines", encode(hire))
+        except InsufficientCapacity:
             self.pending = None
             pause = min(self.refused.get(group, (0.0, FIRST_PAUSE))[1] * 2, LONGEST_PAUSE)
             self.refused[group] = (now + pause, pause)
             log.info("hire refused type=%s zone=%s spot=%s", *group)
             return
-        names = msgspec.json.decode(body, type=wire.Names).machines
+        names = msgspec.json.decode(body, type=cloud_api.MachineNames).machines
         self.pending = None
         if len(names) < hire.count:
             self.refused[group] = (now + SHORT_PAUSE, SHORT_PAUSE)
@@ -103,10 +103,10 @@
             self.refused.pop(group, None)
         log.info("hired type=%s zone=%s spot=%s count=%d", *group, len(names))
         for name in names:
-            self.fleet.booting[name] = Booting(group, now)
+            self.autoscaler.booting[name] = Booting(group, now)
 
     def _groups(self) -> Iterable[Group]:
-        for kind in self.fleet.types.values():
+        for kind in self.autoscaler.types.values():
             for zone in kind.zones:
                 yield Group(kind.name, zone, False)
                 if kind.spot_price is not None:
@@ -117,7 +117,7 @@
         open_groups = [g for g in self._groups() if self.refused.get(g, (0.0, 0.0))[0] <= now]
         if not open_groups:
             return None
-        statuses = self.fleet.statuses()
+        statuses = self.autoscaler.statuses()
         for demand in self._demands():
             cheapest = self._cheapest(demand.spec, open_groups)
             if cheapest is None:
@@ -129,37 +129,37 @@
         return None
 
     def _demands(self) -> Iterable[Demand]:
-        """What waits, assigned to a part or not yet, by shape."""
+        """What waits, assigned to a shard or not yet, by shape."""
         waiting: dict[str, int] = {}
-        for part in self.split.statuses.newest.values():
-            for id, count in part.waiting.items():
+        for shard in self.scheduler.statuses.newest.values():
+            for id, count in shard.waiting.items():
                 waiting[id] = waiting.get(id, 0) + count
-        for job in self.fleet.job_store.open.values():
+        for job in self.autoscaler.job_index.open.values():
             unassigned = job.record.tasks - sum(r.tasks for r in job.record.ranges)
             if unassigned > 0:
                 waiting[job.id] = waiting.get(job.id, 0) + unassigned
         shapes: dict[tuple[object, ...], Demand] = {}
         for id, count in waiting.items():
-            found = self.fleet.job_store.open.get(id)
+            found = self.autoscaler.job_index.open.get(id)
             if found is None:
                 continue
             spec = found.spec
             shape = (spec.job_class, spec.types, spec.zone, spec.spot)
             demand = shapes.get(shape) or Demand(spec)
             demand.spec = spec
-            demand.seconds += count * self.split.estimates.task(spec)
+            demand.seconds += count * self.scheduler.estimates.task(spec)
             demand.tasks += count
             shapes[shape] = demand
         return shapes.values()
 
-    def _cheapest(self, spec: wire.JobSpec, groups: list[Group]) -> tuple[Group, int] | None:
+    def _cheapest(self, spec: user_api.JobSpec, groups: list[Group]) -> tuple[Group, int] | None:
         """The group whose machines cost least per task, and how many tasks one holds."""
         options = []
         for group in groups:
-            kind = self.fleet.types[group.type]
+            kind = self.autoscaler.types[group.type]
             if not group_ok(spec, kind, group.zone, group.spot):
                 continue
-            fit = times(need_of(spec), (kind.cpus, kind.gpus, kind.memory))
+            fit = times(resource_request(spec), (kind.cpus, kind.gpus, kind.memory))
             price = (kind.spot_price if group.spot else kind.price) or kind.price
             options.append((price / fit, kind.boot, group, fit))
         if not options:
@@ -170,36 +170,38 @@
     def _short(self, demand: Demand, statuses: dict[str, MachineStatus]) -> float:
         """Tasks' worth of machines that are missing for the demand to be met in time."""
         spec = demand.spec
-        need = need_of(spec)
+        resources = resource_request(spec)
         slots = free = 0
         for status in statuses.values():
             slots_here = self._slots(spec, Group(status.type, status.zone, status.spot))
             if status.flag in (MachineFlag.USABLE, MachineFlag.NEW):
                 slots += slots_here
             if status.flag == MachineFlag.USABLE and slots_here:
-                free += times(need, status.free)
-        coming = sum(self._slots(spec, booting.group) for booting in self.fleet.booting.values())
+                free += times(resources, status.free)
+        coming = sum(
+            self._slots(spec, booting.group) for booting in self.autoscaler.booting.values()
+        )
         slots += coming
-        allowed = self.split.teams.limit_left(spec) - free - coming
+        allowed = self.scheduler.quotas.limit_left(spec) - free - coming
         if spec.is_service:
             # It never makes room for what waits behind it: only free machines help.
             yielding = sum(
-                times(need, status.yielding)
+                times(resources, status.yielding)
                 for status in statuses.values()
                 if status.flag == MachineFlag.USABLE
                 and self._slots(spec, Group(status.type, status.zone, status.spot))
             )
             return min(demand.tasks - free - yielding - coming, allowed)
         # Work that the present machines finish before a new one is up needs none.
-        patience = self.fleet.policy.hire_patience * self.split.order.slack(spec)
+        patience = self.autoscaler.policy.hire_patience * self.scheduler.priorities.slack(spec)
         if slots and demand.seconds / slots <= patience:
             return 0.0
         # More machines than the team's limit can fill would only cost.
         return min(demand.seconds / patience - slots, demand.tasks, allowed)
 
-    def _slots(self, spec: wire.JobSpec, group: Group) -> int:
+    def _slots(self, spec: user_api.JobSpec, group: Group) -> int:
         """Tasks of the job that an empty machine of the group holds, if the job allows it."""
-        kind = self.fleet.types.get(group.type)
+        kind = self.autoscaler.types.get(group.type)
         if kind is None or not group_ok(spec, kind, group.zone, group.spot):
             return 0
-        return times(need_of(spec), (kind.cpus, kind.gpus, kind.memory))
+        return times(resource_request(spec), (kind.cpus, kind.gpus, kind.memory))
--- a/pitchtally/commands.py
+++ b/pitchtally/cli/commands.py
@@ -8,8 +8,9 @@
 
 import click
 
-from . import VERSION, cli
-from .settings import NextStateLimits, SettingsError
+from .. import VERSION
+from ..config.settings import NextStateLimits, SettingsError
+from . import entry
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -23,7 +24,7 @@
 @click.option("--policy", help="Operators' policy file; default deploy/policy.conf, if there.")
 def serve(config: str, policy: str | None) -> None:
     """Run a controller until it is killed."""
-    sys.exit(cli.serve(config, policy))
+    sys.exit(entry.serve(config, policy))
 
 
 @main.command()
@@ -32,7 +33,7 @@
 def check(config: str, policy: str | None) -> None:
     """Check settings and policy; print the policy's figures and the store's limits."""
     try:
-        settings, figures = cli.read(config, policy)
+        settings, figures = entry.read(config, policy)
     except SettingsError as error:
         click.echo(f"pitchtally: {error}", err=True)
         sys.exit(2)
@@ -55,8 +56,8 @@
 def _call(node: str, method: str, path: str, body: bytes = b"") -> tuple[int, Any, str]:
     import trio
 
-    from .http import Client, HttpError, Response
-    from .settings import host_port
+    from ..config.settings import host_port
+    from ..http import Client, HttpError, Response
 
     async def once() -> Response:
         return await Client().call(host_port(node), method, path, body, timeout=5.0)
--- a/pitchtally/cli.py
+++ b/pitchtally/cli/entry.py
@@ -10,13 +10,13 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from .settings import SettingsError, load
+from ..config.settings import SettingsError, load
 
 if TYPE_CHECKING:
-    from .policy import Policy
-    from .settings import Settings
+    from ..config.policy import Policy
+    from ..config.settings import Settings
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parent.parent.parent
 POLICY = ROOT / "deploy" / "policy.conf"
 
 
@@ -51,7 +51,7 @@
 
 def read(config: str, policy: str | None) -> tuple[Settings, Policy]:
     """Settings and policy as `serve` uses them."""
-    from . import policy as policies
+    from ..config import policy as policies
 
     settings = load(config)
     path = policy or os.environ.get("PITCHTALLY_POLICY") or (POLICY if POLICY.exists() else None)
@@ -68,7 +68,7 @@
         return 2
     import trio
 
-    from .control.service import Controller
+    from ..controller import Controller
 
     # Start-up objects live for ever: full collections need not walk them.
     gc.collect()
--- /dev/null
+++ b/pitchtally/config/__init__.py
@@ -0,0 +1,1 @@
+"""The platform's settings and the operators' policy, both checked as they are read."""
--- a/pitchtally/policy.py
+++ b/pitchtally/config/policy.py
@@ -1,7 +1,7 @@
 """Operators' own settings: a small expression language with a checker.
 
 A policy file holds lines `name = expression`. An expression is arithmetic over
-numbers, the platform's settings (`workers.lease_s`, `state.rps`, ...) and other
+numbers, the platform's settings (`agents.lease_s`, `state.rps`, ...) and other
 policy names, with `min`, `max`, comparisons, `and`/`or`/`not` and `a if c else b`.
 It is parsed with `ast` against a whitelist and evaluated once, before start;
 nothing else of Python can be reached from it. Every figure that the project
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from .control.evidence import longest_evidence_age
+from ..membership.freshness import longest_evidence_age
 from .settings import Settings, SettingsError
 
 # name: (default expression, lowest, highest, what it sets)
--- a/pitchtally/settings.py
+++ b/pitchtally/config/settings.py
@@ -22,7 +22,7 @@
 
 
 class Endpoints(Struct, frozen=True):
-    """Where the cloud and the state service listen."""
+    """Where the cloud and the state store listen."""
 
     cloud: str
     state: str
@@ -50,8 +50,8 @@
     most: float | None = None
 
 
-class WorkerTimes(Struct, frozen=True):
-    """Intervals, leases and patience of the workers, in seconds."""
+class AgentTimes(Struct, frozen=True):
+    """Intervals, leases and patience of the agents, in seconds."""
 
     report_s: float
     lease_s: float
@@ -61,7 +61,7 @@
 
 
 class NextStateLimits(Struct, frozen=True):
-    """Limits that the state service will have from an unknown moment on; None: as today."""
+    """Limits that the state store will have from an unknown moment on; None: as today."""
 
     rps: float | None = None
     write_rps: float | None = None
@@ -70,7 +70,7 @@
 
 
 class StateLimits(Struct, frozen=True):
-    """Limits of the state service, for all nodes together."""
+    """Limits of the state store, for all nodes together."""
 
     rps: float = 100.0
     write_rps: float = 20.0
@@ -112,7 +112,7 @@
     """All that is alike for every controller of a deployment."""
 
     count: int
-    workers: WorkerTimes
+    workers: AgentTimes
     zones: list[str] = field(default_factory=list)
     clock_off_ms: float = 1000.0
     teams: list[Team] = field(default_factory=list)
@@ -123,7 +123,7 @@
 
     @property
     def state_to_keep(self) -> StateLimits:
-        """The state service's limits that every request has to keep."""
+        """The state store's limits that every request has to keep."""
         return self.state.to_keep()
 
 
--- a/pitchtally/control/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The control service: one module for each duty."""
--- a/pitchtally/formats/gate.py
+++ b/pitchtally/formats/gate.py
@@ -1,7 +1,7 @@
 """The feature gate of stored formats: one durable record that is written once.
 
 Each controller tells in its own record, which hangs on its lease, the newest format that it
-reads (`members.Node.reads`). Once every configured member has told that it reads the
+reads (`membership.NodeRecord.reads`). Once every configured member has told that it reads the
 present one, the leader writes `pt/format`. The write is conditional on those records, so it
 fails if one of the members was replaced meanwhile. It is never taken back: from then on
 versions that read the old format only can't be run any more.
@@ -16,7 +16,7 @@
 import msgspec
 from msgspec import Struct
 
-from ..replica import Replica
+from ..state_store.replica import Replica
 from . import legacy
 
 log = logging.getLogger("format")
@@ -37,7 +37,7 @@
 
 
 class Reader(Protocol):
-    """A member as its record in the state service shows it."""
+    """A member as its record in the state store shows it."""
 
     @property
     def incarnation(self) -> str:
--- a/pitchtally/formats/job_layout.py
+++ b/pitchtally/formats/job_layout.py
@@ -1,4 +1,4 @@
-"""What of a job goes into which key, under the limits of the state service.
+"""What of a job goes into which key, under the limits of the state store.
 
 Pure: decides on writes, and leaves commits to others. While the format gate is closed all
 is laid out as 0.5.1 does it, whatever the announced limits: no other form can be read.
@@ -11,15 +11,15 @@
 
 import msgspec
 
-from ..settings import StateLimits
-from ..store import Write
-from . import finished, legacy, pieces
+from ..config.settings import StateLimits
+from ..state_store.client import Write
+from . import finished_tasks, legacy, text_chunks
 from .gate import FormatGate
 
 if TYPE_CHECKING:
-    from ..control.bits import Bits
-    from ..control.job_records import Record
-    from ..control.jobs import Job
+    from ..jobs.index import Job
+    from ..jobs.job_record import JobRecord
+    from ..jobs.task_bitmap import TaskBitmap
 
 encode = msgspec.json.encode
 
@@ -33,8 +33,8 @@
     def __init__(self, gate: FormatGate, limits: StateLimits):
         self.gate = gate
         self.value_bytes = int(limits.value_kb * 1024)
-        self.inline_tasks = finished.inline_tasks(self.value_bytes)
-        self.chunk_tasks = finished.chunk_tasks(self.value_bytes)
+        self.inline_tasks = finished_tasks.inline_tasks(self.value_bytes)
+        self.chunk_tasks = finished_tasks.chunk_tasks(self.value_bytes)
 
     @property
     def most_bytes(self) -> int:
@@ -49,7 +49,7 @@
         """Whether an encoded record may be written."""
         return len(value) <= self.most_bytes
 
-    def lay_out_new(self, id: str, record: Record) -> tuple[list[Write], Record]:
+    def lay_out_new(self, id: str, record: JobRecord) -> tuple[list[Write], JobRecord]:
         """A new job: what has to be written before its record, and the record."""
         if not self.gate.open or record.spec is None:
             return [], record
@@ -64,13 +64,15 @@
         return min(self.inline_tasks, self.gate.legacy_chunk_tasks)
 
     @staticmethod
-    def piece_writes(id: str, text: str, value_bytes: int) -> tuple[pieces.TextRef, list[Write]]:
+    def piece_writes(
+        id: str, text: str, value_bytes: int
+    ) -> tuple[text_chunks.TextRef, list[Write]]:
         """The writes that store a job's text, and what finds it again."""
-        ref, values = pieces.cut(text, value_bytes)
-        writes = [Write(pieces.key(id, ref, n), value) for n, value in enumerate(values)]
+        ref, values = text_chunks.cut(text, value_bytes)
+        writes = [Write(text_chunks.key(id, ref, n), value) for n, value in enumerate(values)]
         return ref, writes
 
-    def _move_spec_out(self, id: str, record: Record) -> tuple[list[Write], Record]:
+    def _move_spec_out(self, id: str, record: JobRecord) -> tuple[list[Write], JobRecord]:
         ref, writes = self.piece_writes(id, encode(record.spec).decode(), self.value_bytes)
         return writes, msgspec.structs.replace(record, spec=None, spec_text=ref)
 
@@ -87,7 +89,7 @@
             return False
         return job.record.tasks > self._most_inline()
 
-    def convert(self, job: Job) -> tuple[list[Write], Record]:
+    def convert(self, job: Job) -> tuple[list[Write], JobRecord]:
         """A job brought into the present layout: what goes first, and its record."""
         writes: list[Write] = []
         record = job.current_record()
@@ -101,21 +103,21 @@
         return writes, record
 
     @staticmethod
-    def _chunks(id: str, bits: Bits, tasks: int) -> Iterator[Write]:
+    def _chunks(id: str, bits: TaskBitmap, tasks: int) -> Iterator[Write]:
         """Every key of a finished set that holds anything."""
         for first in range(0, bits.size, tasks):
             size = tasks // legacy.BYTE_BITS
             offset = first // legacy.BYTE_BITS
             if any(bits.data[offset : offset + size]):
-                yield Write(finished.key(id, first), encode(bits.text(offset, size)))
+                yield Write(finished_tasks.key(id, first), encode(bits.text(offset, size)))
 
-    def encode_record(self, job: Job, record: Record) -> bytes:
+    def encode_record(self, job: Job, record: JobRecord) -> bytes:
         """A changed record of a job, without what stands in other keys."""
         if record.spec_text is not None:
             record = msgspec.structs.replace(record, spec=None)
         return encode(record)
 
-    def progress(self, job: Job, joined: Bits) -> list[Write]:
+    def progress(self, job: Job, joined: TaskBitmap) -> list[Write]:
         """The writes that make finished tasks durable, a record's last."""
         tasks = job.chunk_tasks
         if not tasks:
@@ -126,6 +128,6 @@
             first = number * tasks
             text = joined.text(first // legacy.BYTE_BITS, tasks // legacy.BYTE_BITS)
             old = not job.record.chunk_tasks
-            key = legacy.legacy_key(job.id, number) if old else finished.key(job.id, first)
+            key = legacy.legacy_key(job.id, number) if old else finished_tasks.key(job.id, first)
             writes.append(Write(key, encode(text)))
         return writes
--- a/pitchtally/formats/legacy.py
+++ b/pitchtally/formats/legacy.py
@@ -24,7 +24,7 @@
 
 
 def machines_per_chunk(value_kb: float) -> int:
-    """Consecutive machine numbers of a part that 0.5.1 named in one value."""
+    """Consecutive machine numbers of a shard that 0.5.1 named in one value."""
     return max(1, int(value_kb * 1024 * _VALUE_SHARE / _MACHINE_BYTES))
 
 
--- a/pitchtally/formats/migration.py
+++ b/pitchtally/formats/migration.py
@@ -14,12 +14,13 @@
 
 import trio
 
-from .. import tokens
-from ..store import StoreDown, Write
+from ..state_store import rate_limits
+from ..state_store.client import Write
+from ..state_store.errors import StoreUnavailable
 from .job_layout import JobLayout
 
 if TYPE_CHECKING:
-    from ..control.jobs import Job, JobStore
+    from ..jobs.index import Job, JobIndex
 
 log = logging.getLogger("migration")
 
@@ -27,21 +28,21 @@
 class JobMigration:
     """Converts open jobs whose stored form can't be rewritten under the limits to keep."""
 
-    def __init__(self, job_store: JobStore, layout: JobLayout, pause: float):
+    def __init__(self, job_index: JobIndex, layout: JobLayout, pause: float):
         """`pause`: seconds between two looks for jobs that need it."""
-        self.job_store = job_store
+        self.job_index = job_index
         self.layout = layout
         self.pause = pause
 
     async def run(self) -> None:
-        """Convert what needs it, the jobs of parts that this node owns."""
+        """Convert what needs it, the jobs of shards that this node owns."""
         while True:
             await trio.sleep(self.pause)
             try:
-                for job in list(self.job_store.open.values()):
+                for job in list(self.job_index.open.values()):
                     if self.layout.needs_conversion(job):
-                        await self.convert(job, tokens.PROGRESS)
-            except StoreDown as error:
+                        await self.convert(job, rate_limits.PROGRESS)
+            except StoreUnavailable as error:
                 log.debug("not converted: %s", error)
 
     async def convert(self, job: Job, priority: int) -> bool:
@@ -49,23 +50,23 @@
 
         Raises StoreDown.
         """
-        part = self.job_store.writable_part(job)
-        if part is None and job.record.ranges:
+        shard = self.job_index.writable_shard(job)
+        if shard is None and job.record.ranges:
             return False
         guard = {f"pt/jobs/{job.id}": job.version}
-        if part is not None:
-            guard[f"pt/parts/{part[0]}"] = part[1]
+        if shard is not None:
+            guard[f"pt/parts/{shard[0]}"] = shard[1]
         first, record = self.layout.convert(job)
         # Versions as of now: a key that changes later holds more than what is written here.
-        versions = {change.key: self.job_store.replica.version(change.key) for change in first}
-        most = self.job_store.store.limits.txn_ops
+        versions = {change.key: self.job_index.replica.version(change.key) for change in first}
+        most = self.job_index.state_store.limits.txn_ops
         for start in range(0, len(first), most):
             group = first[start : start + most]
             conditions = {**guard, **{change.key: versions[change.key] for change in group}}
-            if not await self.job_store.commit(conditions, group, priority=priority):
+            if not await self.job_index.commit(conditions, group, priority=priority):
                 return False
         change = Write(f"pt/jobs/{job.id}", self.layout.encode_record(job, record))
-        done = await self.job_store.commit(guard, [change], priority=priority)
+        done = await self.job_index.commit(guard, [change], priority=priority)
         if done:
             log.info("job converted job=%s keys=%d", job.id, len(first))
         return done
@@ -75,10 +76,10 @@
     """The leader removes what ended jobs have left besides their records."""
 
     def __init__(
-        self, job_store: JobStore, leader: Callable[[], tuple[str, int] | None], pause: float
+        self, job_index: JobIndex, leader: Callable[[], tuple[str, int] | None], pause: float
     ):
         """`leader`: the key and version that a leader's write rests on, if this node leads."""
-        self.job_store = job_store
+        self.job_index = job_index
         self.leader = leader
         self.pause = pause
 
@@ -89,24 +90,24 @@
             try:
                 while await self._remove_some():
                     pass
-            except StoreDown as error:
+            except StoreUnavailable as error:
                 log.debug("not cleaned up: %s", error)
 
     async def _remove_some(self) -> bool:
         guard = self.leader()
-        keys = self.left_over(self.job_store.store.limits.txn_ops)
+        keys = self.left_over(self.job_index.state_store.limits.txn_ops)
         if guard is None or not keys:
             return False
-        conditions = {key: self.job_store.replica.version(key) for key in keys}
+        conditions = {key: self.job_index.replica.version(key) for key in keys}
         conditions[guard[0]] = guard[1]
         changes = [Write(key, None) for key in keys]
-        return await self.job_store.commit(conditions, changes, priority=tokens.PROGRESS)
+        return await self.job_index.commit(conditions, changes, priority=rate_limits.PROGRESS)
 
     def left_over(self, most: int) -> list[str]:
         """Keys of jobs that are over, at most so many."""
         found: list[str] = []
-        for id, keys in self.job_store.extra_keys.items():
-            job = self.job_store.jobs.get(id)
+        for id, keys in self.job_index.extra_keys.items():
+            job = self.job_index.jobs.get(id)
             if job is None or job.open:
                 continue
             found.extend(sorted(keys))
--- a/pitchtally/formats/team_shares.py
+++ b/pitchtally/formats/quota_shares.py
@@ -1,4 +1,4 @@
-"""How a team's limit is shared out between parts: the record of it in the state service.
+"""How a team's limit is shared out between shards: the record of it in the state store.
 
 Up to format 1 one value holds all teams; since format 2 each team has a key of its own,
 which then counts alone. A write of the old form that arrives late can change the old value
@@ -12,27 +12,27 @@
 
 import msgspec
 
-from ..replica import Replica
-from ..store import Write
+from ..state_store.client import Write
+from ..state_store.replica import Replica
 from .gate import FormatGate
 
-PartShare = tuple[float, float]  # CPUs, GPUs
+ShardQuotaShare = tuple[float, float]  # CPUs, GPUs
 
 _KEY = "pt/shares"
 
-_decode_all = msgspec.json.Decoder(dict[str, list[PartShare]]).decode
-_decode_team = msgspec.json.Decoder(list[PartShare]).decode
+_decode_all = msgspec.json.Decoder(dict[str, list[ShardQuotaShare]]).decode
+_decode_team = msgspec.json.Decoder(list[ShardQuotaShare]).decode
 _encode = msgspec.json.encode
 
 
-class TeamShares:
+class QuotaShares:
     """Shares by team and part, as this controller's copy of the store shows them."""
 
     def __init__(self, replica: Replica, gate: FormatGate):
         self.replica = replica
         self.gate = gate
-        self._together: dict[str, list[PartShare]] = {}
-        self._by_key: dict[str, list[PartShare]] = {}
+        self._together: dict[str, list[ShardQuotaShare]] = {}
+        self._by_key: dict[str, list[ShardQuotaShare]] = {}
         replica.listen("shares", self._on_record)
 
     def _on_record(self, rest: str, value: bytes | None, version: int) -> None:
@@ -44,15 +44,15 @@
         else:
             self._by_key[key] = _decode_team(value)
 
-    def of(self, team: str) -> list[PartShare] | None:
-        """A team's share in each part; None while every part has an equal one."""
+    def of(self, team: str) -> list[ShardQuotaShare] | None:
+        """A team's share in each shard; None while every shard has an equal one."""
         return self._by_key.get(self._own_key(team)) or self._together.get(team)
 
     @staticmethod
     def _own_key(team: str) -> str:
         return f"{_KEY}/{quote(team, safe='')}"
 
-    def change(self, team: str, rows: list[PartShare]) -> Write:
+    def change(self, team: str, rows: list[ShardQuotaShare]) -> Write:
         """The write that gives a team these shares."""
         key = self._own_key(team) if self.gate.open else _KEY
         return Write(key, self._value(key, team, rows))
@@ -62,11 +62,11 @@
         keys = [_KEY, self._own_key(team)] if self.gate.open else [_KEY]
         return {key: self.replica.version(key) for key in keys}
 
-    def unchanged(self, key: str, team: str, rows: list[PartShare]) -> bytes:
+    def unchanged(self, key: str, team: str, rows: list[ShardQuotaShare]) -> bytes:
         """The value that leaves things as they stand: `rows` if the team has no record yet."""
         return self._value(key, team, self.of(team) or rows)
 
-    def _value(self, key: str, team: str, rows: list[PartShare]) -> bytes:
+    def _value(self, key: str, team: str, rows: list[ShardQuotaShare]) -> bytes:
         if key == _KEY:
             return _encode({**self._together, team: rows})
         return _encode(rows)
--- a/pitchtally/formats/pieces.py
+++ b/pitchtally/formats/text_chunks.py
@@ -26,9 +26,9 @@
     pieces: int
 
 
-def key(owner: str, ref: TextRef, number: int) -> str:
-    """The key of one piece of an owner's text."""
-    return f"pt/{PREFIX}/{owner}/{ref.digest}/{number}"
+def key(leader: str, ref: TextRef, number: int) -> str:
+    """The key of one piece of an leader's text."""
+    return f"pt/{PREFIX}/{leader}/{ref.digest}/{number}"
 
 
 def cut(text: str, value_bytes: int) -> tuple[TextRef, list[bytes]]:
--- a/pitchtally/http/client.py
+++ b/pitchtally/http/client.py
@@ -9,7 +9,7 @@
 import h11
 import trio
 
-from .heads import KnownHeads, remember
+from .header_cache import HeaderCache, remember
 from .messages import HttpError, Response
 from .sockets import CHUNK, receive, send_all
 
@@ -60,7 +60,7 @@
         self.idle = idle
         self.max_body = max_body
         self._idle: dict[tuple[str, int], list[Connection]] = {}  # least used address first
-        # As in `KnownHeads`: what h11 has written, and read, before.
+        # As in `HeaderCache`: what h11 has written, and read, before.
         self._written: dict[tuple[str, tuple[str, int]], list[bytes]] = {}
         self._read: dict[bytes, tuple[int, tuple[tuple[str, str], ...]]] = {}
 
@@ -153,7 +153,7 @@
         head = self._written.get((method, address))
         if head is None:
             asked = self._asked(method, address)[1]
-            head = asked.split(KnownHeads.MARK.encode())
+            head = asked.split(HeaderCache.MARK.encode())
             if len(head) != 3:
                 raise h11.LocalProtocolError(f"no head for {method} {address}")
             remember(self._written, (method, address), head)
@@ -161,7 +161,7 @@
         await send_all(sock, out + body)
         data = await self._some(sock)
         end = data.find(b"\r\n\r\n") + 4
-        headers, length = KnownHeads.cut(data, 0, end) if end >= 4 else (b"", None)
+        headers, length = HeaderCache.cut(data, 0, end) if end >= 4 else (b"", None)
         known = self._read.get(headers) if length is not None else None
         if known is not None and length is not None and length <= self.max_body:
             status, found = known
@@ -179,9 +179,9 @@
         headers = [
             ("Host", f"{address[0]}:{address[1]}"),
             ("Content-Type", "application/json"),
-            ("Content-Length", KnownHeads.MARK),
+            ("Content-Length", HeaderCache.MARK),
         ]
-        target = f"/{KnownHeads.MARK}"
+        target = f"/{HeaderCache.MARK}"
         return conn, conn.send(h11.Request(method=method, target=target, headers=headers)) or b""
 
     async def _slowly(
@@ -212,14 +212,14 @@
         lengths = [int(v) for n, v in found if n == "content-length"]
         if (
             good
-            and 4 <= end <= KnownHeads.LONGEST
+            and 4 <= end <= HeaderCache.LONGEST
             and head.http_version == b"1.1"
             and (
                 lengths == [len(got)]
                 and not any(n in ("connection", "transfer-encoding") for n, _ in found)
             )
         ):
-            headers, length = KnownHeads.cut(data, 0, end)
+            headers, length = HeaderCache.cut(data, 0, end)
             if length == len(got):
                 remember(self._read, headers, (head.status_code, tuple(found)))
         return Response(head.status_code, bytes(got), found), good
--- a/pitchtally/http/heads.py
+++ b/pitchtally/http/header_cache.py
@@ -15,10 +15,10 @@
 V = TypeVar("V")
 
 
-class KnownHeads:
+class HeaderCache:
     """Heads that h11 has read or written before, by their bytes.
 
-    A worker sends the same headers with each report, and most answers begin alike,
+    An agent sends the same headers with each report, and most answers begin alike,
     while h11 takes longer over them than all else that a report asks for. What h11 made
     of the same bytes once holds for good. Only plain ones are kept: HTTP/1.1, a length
     or no body, and nothing that says how to go on afterwards.
@@ -99,6 +99,6 @@
 
 def remember(memory: dict[K, V], key: K, value: V) -> None:
     """Bounded: what comes again is soon known again."""
-    if len(memory) >= KnownHeads.MOST:
+    if len(memory) >= HeaderCache.MOST:
         memory.clear()
     memory[key] = value
--- a/pitchtally/http/server.py
+++ b/pitchtally/http/server.py
@@ -13,7 +13,7 @@
 import h11
 import trio
 
-from .heads import KnownHeads, head_of
+from .header_cache import HeaderCache, head_of
 from .messages import MAX_BODY, BadRequest, Handler, Request, Response, fault, split_target
 from .sockets import receive, send_all
 
@@ -36,7 +36,7 @@
 
     When all places are taken the connection that has been idle longest makes room,
     but none that last carried a vital path: users' idle connections can't crowd out
-    workers, and a new caller, the load balancer's probe above all, gets in.
+    agents, and a new caller, the load balancer's probe above all, gets in.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
         self.max_body = max_body
         self.vital = vital
         self.links: set[Inbound] = set()
-        self.heads = KnownHeads()
+        self.heads = HeaderCache()
 
     async def serve(self, host: str, port: int) -> None:
         """Accept connections until cancelled."""
@@ -64,7 +64,7 @@
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.setblocking(False)
         listener.bind((host, port))
-        # Hundreds of workers come at once when another controller ends.
+        # Hundreds of agents come at once when another controller ends.
         listener.listen(1024)
         try:
             async with trio.open_nursery() as nursery:
--- a/pitchtally/control/jobs.py
+++ b/pitchtally/jobs/index.py
@@ -1,7 +1,7 @@
-"""All jobs, followed from the state service, and commits of their records.
+"""All jobs, followed from the state store, and commits of their records.
 
 One record per job lives at `jobs/<id>`. Its finished set is a packed bitmap; where that
-would not fit a value it stands in keys of its own (`formats.finished`). The finished set
+would not fit a value it stands in keys of its own (`formats.finished_tasks`). The finished set
 only ever grows, so copies of any age can be joined. Every write is conditional on the
 record's version and on the writer's part (or on nothing else, for a user's cancellation).
 """
@@ -16,14 +16,15 @@
 import msgspec
 import trio
 
-from .. import wire
-from ..formats import finished, legacy, pieces
+from ..formats import finished_tasks, legacy, text_chunks
 from ..formats.gate import FormatGate
-from ..formats.pieces import TextRef
-from ..replica import Replica
-from ..store import Conflict, NoLease, Store, Write
-from .bits import Bits
-from .job_records import CANCELLED, OPEN, Record, decode_record, decode_spec, encode
+from ..formats.text_chunks import TextRef
+from ..protocol import user_api
+from ..state_store.client import StateStoreClient, Write
+from ..state_store.errors import CompareFailed, LeaseExpired
+from ..state_store.replica import Replica
+from .job_record import CANCELLED, OPEN, JobRecord, decode_record, decode_spec, encode
+from .task_bitmap import TaskBitmap
 
 log = logging.getLogger("jobs")
 
@@ -45,19 +46,19 @@
         "version",
     )
 
-    def __init__(self, id: str, record: Record, version: int, legacy_chunk_tasks: int):
+    def __init__(self, id: str, record: JobRecord, version: int, legacy_chunk_tasks: int):
         self.id = id
         self.record = record
         self.version = version
         self.legacy_chunk_tasks = legacy_chunk_tasks  # of a record in the layout of 0.5.1
         self.stored_bytes = 0  # of the record, as the store holds it
-        self.finished = Bits(record.tasks if record.stage == OPEN else 0)  # durable
+        self.finished = TaskBitmap(record.tasks if record.stage == OPEN else 0)  # durable
         self.local: set[int] = set()  # finished, known here, not durable yet
         self.flushed_at = trio.current_time()
         self.awaited = False  # others wait for what is known here
 
     @property
-    def spec(self) -> wire.JobSpec:
+    def spec(self) -> user_api.JobSpec:
         """What was submitted; only while the job is open."""
         assert self.record.spec is not None
         return self.record.spec
@@ -92,14 +93,14 @@
         """Whether a task is done, durably or not yet; a service's replica never is."""
         return not self.open or task in self.finished or task in self.local
 
-    def current_record(self) -> Record:
+    def current_record(self) -> JobRecord:
         """The record with all that is known to be durable: what a rewrite of it holds."""
         if not self.open or self.chunk_tasks or self.service:
             return self.record
         return msgspec.structs.replace(self.record, finished=self.finished.text())
 
 
-Watcher = Callable[[Job, "Record | None"], None]
+Watcher = Callable[[Job, "JobRecord | None"], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -111,17 +112,17 @@
     text: str
 
 
-class JobStore:
+class JobIndex:
     """All jobs, followed from the store."""
 
     def __init__(
         self,
-        store: Store,
+        state_store: StateStoreClient,
         replica: Replica,
         gate: FormatGate,
         guard: Callable[[int], int | None],
     ):
-        self.store = store
+        self.state_store = state_store
         self.replica = replica
         self.gate = gate
         self.guard = guard  # part -> this node's token for it, or None
@@ -132,14 +133,14 @@
         self.wake = trio.Event()  # something is to be written at once
         self.cancelled: list[tuple[int, str]] = []  # (version, id) of every one, in that order
         self.early: dict[str, list[StoredBits]] = {}  # read before their record
-        self.early_records: dict[str, tuple[Record, int, int]] = {}  # read before their spec
+        self.early_records: dict[str, tuple[JobRecord, int, int]] = {}  # read before their spec
         self.texts: dict[str, dict[tuple[str, int], str]] = {}  # job -> pieces of its spec
         # Keys that a job has besides its record; they outlive it for a while.
         self.extra_keys: dict[str, set[str]] = {}
         replica.listen("jobs/", self._on_record)
         replica.listen(f"{legacy.FINISHED_PREFIX}/", self._on_legacy_bits)
-        replica.listen(f"{finished.PREFIX}/", self._on_bits)
-        replica.listen(f"{pieces.PREFIX}/", self._on_piece)
+        replica.listen(f"{finished_tasks.PREFIX}/", self._on_bits)
+        replica.listen(f"{text_chunks.PREFIX}/", self._on_piece)
 
     # --- following -----------------------------------------------------
 
@@ -158,14 +159,14 @@
         """Take in a record once all of its spec has been read."""
         record, version, size = self.early_records[id]
         assert record.spec_text is not None
-        text = pieces.join(TextRef(*record.spec_text), self.texts.get(id, {}))
+        text = text_chunks.join(TextRef(*record.spec_text), self.texts.get(id, {}))
         if text is None:
             return
         del self.early_records[id]
         record.spec = decode_spec(text)
         self._take_record(id, record, version, size)
 
-    def _take_record(self, id: str, record: Record, version: int, size: int) -> None:
+    def _take_record(self, id: str, record: JobRecord, version: int, size: int) -> None:
         job = self.jobs.get(id)
         if job is None:
             job = self.jobs[id] = Job(id, record, version, self.gate.legacy_chunk_tasks)
@@ -186,7 +187,7 @@
             self.dirty.discard(id)
             self.texts.pop(id, None)
             self.early.pop(id, None)
-            job.finished = Bits(0)
+            job.finished = TaskBitmap(0)
             job.local.clear()
             if record.stage == CANCELLED and (old is None or old.stage == OPEN):
                 bisect.insort(self.cancelled, (version, id))
@@ -197,7 +198,7 @@
         self._take_bits(legacy.FINISHED_PREFIX, key, value)
 
     def _on_bits(self, key: str, value: bytes | None, version: int) -> None:
-        self._take_bits(finished.PREFIX, key, value)
+        self._take_bits(finished_tasks.PREFIX, key, value)
 
     def _take_bits(self, prefix: str, key: str, value: bytes | None) -> None:
         id, _, number = key.partition("/")
@@ -216,7 +217,7 @@
     def _on_piece(self, key: str, value: bytes | None, version: int) -> None:
         id, digest, number = key.split("/")
         self._note_extra_key(
-            id, f"{Replica.PREFIX}{pieces.PREFIX}/{key}", present=value is not None
+            id, f"{Replica.PREFIX}{text_chunks.PREFIX}/{key}", present=value is not None
         )
         texts = self.texts.setdefault(id, {})
         if value is None:
@@ -264,15 +265,15 @@
         """A peer tells of a committed cancellation, perhaps before the watch shows it.
 
         Into the copy with it, as the watch would put it there: whatever asks about the job
-        from now on, a part that is loaded or settled later too, finds it over.
+        from now on, a shard that is loaded or settled later too, finds it over.
         """
-        final = Record(CANCELLED, tasks, count=done)
+        final = JobRecord(CANCELLED, tasks, count=done)
         self.replica.learn(f"pt/jobs/{id}", encode(final), version)
 
-    # --- what the owner of a range says ----------------------------------
+    # --- what the leader of a range says ----------------------------------
 
     def task_done(self, job: Job, task: int, urgent: bool) -> None:
-        """A worker has reported a task done."""
+        """An agent has reported a task done."""
         if job.is_finished(task):
             return
         job.local.add(task)
@@ -283,12 +284,12 @@
 
     # --- writing -----------------------------------------------------------
 
-    def writable_part(self, job: Job) -> tuple[int, int] | None:
+    def writable_shard(self, job: Job) -> tuple[int, int] | None:
         """A part of the job's that this node owns, with its token."""
-        for _, _, part in job.record.ranges:
-            token = self.guard(part)
+        for _, _, shard in job.record.ranges:
+            token = self.guard(shard)
             if token is not None:
-                return part, token
+                return shard, token
         return None
 
     async def commit(
@@ -297,15 +298,15 @@
         """Commit and apply to the copy; False if a condition failed.
 
         After a conflict the copy is brought up to date before anyone tries again:
-        the usual cause is another owner's write that the watch has yet to show.
+        the usual cause is another leader's write that the watch has yet to show.
         """
         try:
-            revision = await self.store.commit(conditions, changes, priority=priority)
-        except Conflict as conflict:
+            revision = await self.state_store.commit(conditions, changes, priority=priority)
+        except CompareFailed as conflict:
             log.debug("conflict on %s", conflict)
             await self.replica.refresh()
             return False
-        except NoLease:
+        except LeaseExpired:
             return False
         self.replica.own(changes, revision)
         return True
--- a/pitchtally/control/job_records.py
+++ b/pitchtally/jobs/job_record.py
@@ -1,4 +1,4 @@
-"""The record of a job, as the state service keeps it at `jobs/<id>`."""
+"""The record of a job, as the state store keeps it at `jobs/<id>`."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 import msgspec
 from msgspec import Struct
 
-from .. import wire
-from ..formats.pieces import TextRef
+from ..formats.text_chunks import TextRef
+from ..protocol import user_api
 
 OPEN = "open"
 DONE = "done"
@@ -17,11 +17,11 @@
 
 
 class TaskRange(NamedTuple):
-    """Tasks of a job that a part has; stored as an array of three."""
+    """Tasks of a job that a shard has; stored as an array of three."""
 
     first: int
     end: int  # not included
-    part: int
+    shard: int
 
     @property
     def tasks(self) -> int:
@@ -29,37 +29,37 @@
         return self.end - self.first
 
 
-class Record(Struct, omit_defaults=True):
-    """A job as the state service keeps it."""
+class JobRecord(Struct, omit_defaults=True):
+    """A job as the state store keeps it."""
 
     stage: str
     tasks: int
-    spec: wire.JobSpec | None = None  # dropped once the job is over
+    spec: user_api.JobSpec | None = None  # dropped once the job is over
     at: float = 0.0  # time of day of acceptance
     ranges: list[TaskRange] = msgspec.field(default_factory=list)
     finished: str = ""
     zone: str | None = None  # for one-zone jobs, fixed before the first start
-    attempt: int = 0  # for gangs over several parts: the attempt all of them start
-    caps: list[tuple[int, str, int]] = msgspec.field(default_factory=list)  # see `split`
+    attempt: int = 0  # for gangs over several shards: the attempt all of them start
+    caps: list[tuple[int, str, int]] = msgspec.field(default_factory=list)  # see `scheduler`
     count: int = 0  # tasks done when a job was cancelled
     # Since format 2; an earlier version would drop both when it rewrites the record.
-    chunk_tasks: int = 0  # finished tasks are in keys of that many, see `formats.finished`
+    chunk_tasks: int = 0  # finished tasks are in keys of that many, see `formats.finished_tasks`
     spec_text: TextRef | None = None  # where the spec is, if it is too long for the record
 
 
-decode_record = msgspec.json.Decoder(Record).decode
-decode_spec = msgspec.json.Decoder(wire.JobSpec).decode
+decode_record = msgspec.json.Decoder(JobRecord).decode
+decode_spec = msgspec.json.Decoder(user_api.JobSpec).decode
 encode = msgspec.json.encode
 
 
 def merge(ranges: Iterable[tuple[int, int, int]]) -> list[TaskRange]:
-    """Sorted ranges with neighbours of the same part joined."""
+    """Sorted ranges with neighbours of the same shard joined."""
     out: list[TaskRange] = []
-    for first, end, part in sorted(ranges):
+    for first, end, shard in sorted(ranges):
         if first >= end:
             continue
-        if out and out[-1].part == part and out[-1].end == first:
-            out[-1] = TaskRange(out[-1].first, end, part)
+        if out and out[-1].shard == shard and out[-1].end == first:
+            out[-1] = TaskRange(out[-1].first, end, shard)
         else:
-            out.append(TaskRange(first, end, part))
+            out.append(TaskRange(first, end, shard))
     return out
--- a/pitchtally/control/progress.py
+++ b/pitchtally/jobs/progress_writer.py
@@ -1,8 +1,8 @@
 """Finished tasks and ended jobs, made durable in batches.
 
-Progress is written at most once a period, unless users or other parts wait for it; the
+Progress is written at most once a period, unless users or other shards wait for it; the
 write that completes a job goes at once. What the store refuses for its size is put aside:
-nothing is lost, since workers keep what ended until it is durable.
+nothing is lost, since agents keep what ended until it is durable.
 """
 
 from __future__ import annotations
@@ -13,14 +13,15 @@
 
 import trio
 
-from .. import tokens
 from ..formats.job_layout import JobLayout
 from ..formats.migration import JobMigration
-from ..store import Refused, StoreDown, Write
-from .bits import Bits
-from .decisions import Decided, Decision, Grounds, ignore_decision
-from .job_records import DONE, Record, encode
-from .jobs import Job, JobStore
+from ..observability.decision_log import Decision, DecisionListener, DecisionReason, ignore_decision
+from ..state_store import rate_limits
+from ..state_store.client import Write
+from ..state_store.errors import InvalidTransaction, StoreUnavailable
+from .index import Job, JobIndex
+from .job_record import DONE, JobRecord, encode
+from .task_bitmap import TaskBitmap
 
 log = logging.getLogger("progress")
 
@@ -44,47 +45,47 @@
     """The loop that writes what is known here of finished tasks."""
 
     def __init__(
-        self, job_store: JobStore, layout: JobLayout, migration: JobMigration, period: float
+        self, job_index: JobIndex, layout: JobLayout, migration: JobMigration, period: float
     ):
-        self.job_store = job_store
-        self.store = job_store.store
+        self.job_index = job_index
+        self.state_store = job_index.state_store
         self.layout = layout
         self.migration = migration
         self.period = period
         # Filled in by the service: whether users wait whose submissions were refused.
         self.submissions_wait: Callable[[], bool] = lambda: False
-        self.decided: Decided = ignore_decision
+        self.on_decision: DecisionListener = ignore_decision
         self._put_aside: dict[str, float] = {}  # job -> until when it isn't tried again
 
     async def run(self) -> None:
         """Write what is due, again and again."""
         while True:
             with trio.move_on_after(LOOK_EVERY_S):
-                await self.job_store.wake.wait()
-            self.job_store.wake = trio.Event()
+                await self.job_index.wake.wait()
+            self.job_index.wake = trio.Event()
             await trio.sleep(BATCHING_S)
             try:
                 await self._flush()
-            except StoreDown as error:
+            except StoreUnavailable as error:
                 log.debug("progress not written: %s", error)
                 await trio.sleep(LOOK_EVERY_S)
 
     def _due(self) -> tuple[list[Job], list[Job], list[Job]]:
-        """Jobs to write: those that are over, what other parts wait for, the rest."""
+        """Jobs to write: those that are over, what other shards wait for, the rest."""
         now = trio.current_time()
         over, urgent, later = [], [], []
-        for id in list(self.job_store.dirty):
-            job = self.job_store.jobs[id]
+        for id in list(self.job_index.dirty):
+            job = self.job_index.jobs[id]
             if not job.open or not (job.local or job.complete):
-                self.job_store.dirty.discard(id)
-            elif self.job_store.writable_part(job) is None or self._put_aside.get(id, now) > now:
-                # Another owner will learn of these tasks from the workers' reports.
+                self.job_index.dirty.discard(id)
+            elif self.job_index.writable_shard(job) is None or self._put_aside.get(id, now) > now:
+                # Another leader will learn of these tasks from the agents' reports.
                 continue
             elif job.complete:
                 over.append(job)
             elif job.awaited or (
-                # Under a flood progress comes last, but not never: workers go on
-                # reporting ended tasks until these are durable, a new owner too. So
+                # Under a flood progress comes last, but not never: agents go on
+                # reporting ended tasks until these are durable, a new leader too. So
                 # nothing is lost meanwhile, only reports grow.
                 now - job.flushed_at >= self.period * LATEST_PERIODS
             ):
@@ -95,20 +96,20 @@
 
     async def _flush(self) -> None:
         over, urgent, later = self._due()
-        burst = self.store.writes.burst
-        first, most_first = tokens.COMPLETIONS, burst
+        burst = self.state_store.writes.burst
+        first, most_first = rate_limits.COMPLETIONS, burst
         if self.submissions_wait():
             # After an outage completions have piled up as well. They are late already, while
             # users whose submissions are refused give up before long: both get their share.
-            first, most_first = tokens.ACCEPTANCES, burst / 2
+            first, most_first = rate_limits.ACCEPTANCES, burst / 2
         await self._write_all(over, first, most_first)
-        await self._write_all(urgent, tokens.ACCEPTANCES, burst / 2)
+        await self._write_all(urgent, rate_limits.ACCEPTANCES, burst / 2)
         # Progress takes no more at once than leaves the next submission its tokens.
-        await self._write_all(later, tokens.PROGRESS, burst / 2)
+        await self._write_all(later, rate_limits.PROGRESS, burst / 2)
 
     async def _write_all(self, jobs: list[Job], priority: int, burst: float) -> None:
         """Write jobs in transactions of at most so many changes."""
-        most = min(self.store.limits.txn_ops, burst)
+        most = min(self.state_store.limits.txn_ops, burst)
         batch: list[Step] = []
         size = 0
         for job in jobs:
@@ -135,22 +136,22 @@
         if not job.open:
             return []  # it ended while others were written
         if job.complete:
-            final = Record(DONE, job.record.tasks)
+            final = JobRecord(DONE, job.record.tasks)
             # Its other keys are removed later (`formats.cleanup`): they mean nothing now.
             return [Step(job, [Write(f"pt/jobs/{job.id}", encode(final))], last=True)]
-        joined = Bits(job.record.tasks)
+        joined = TaskBitmap(job.record.tasks)
         joined.join(bytes(job.finished.data))
         for task in job.local:
             joined.add(task)
         changes = self.layout.progress(job, joined)
-        most = self.store.limits.txn_ops
+        most = self.state_store.limits.txn_ops
         groups = [changes[i : i + most] for i in range(0, len(changes), most)]
         return [Step(job, group, last=group is groups[-1]) for group in groups]
 
     async def _write(self, steps: list[Step], priority: int) -> None:
         try:
             await self._commit(steps, priority)
-        except Refused as error:
+        except InvalidTransaction as error:
             if len(steps) > 1:
                 for step in steps:
                     await self._write([step], priority)
@@ -165,19 +166,19 @@
         kept: list[Step] = []
         for step in steps:
             job = step.job
-            part = self.job_store.writable_part(job)
-            if part is None or not job.open:
+            shard = self.job_index.writable_shard(job)
+            if shard is None or not job.open:
                 continue
-            conditions[f"pt/parts/{part[0]}"] = part[1]
+            conditions[f"pt/parts/{shard[0]}"] = shard[1]
             conditions[f"pt/jobs/{job.id}"] = job.version
             for change in step.changes:
-                # Chunks are written by several owners: each must join the latest.
-                conditions[change.key] = self.job_store.replica.version(change.key)
+                # Chunks are written by several leaders: each must join the latest.
+                conditions[change.key] = self.job_index.replica.version(change.key)
             changes += step.changes
             kept.append(step)
         if not kept:
             return
-        if not await self.job_store.commit(conditions, changes, priority=priority):
+        if not await self.job_index.commit(conditions, changes, priority=priority):
             return  # whoever waits for it still does
         now = trio.current_time()
         for step in kept:
@@ -188,4 +189,4 @@
             job.awaited = False
             self._put_aside.pop(job.id, None)
             if job.record.stage == DONE:
-                self.decided(Decision.DONE, job.id, Grounds(version=job.version))
+                self.on_decision(Decision.DONE, job.id, DecisionReason(version=job.version))
--- a/pitchtally/control/bits.py
+++ b/pitchtally/jobs/task_bitmap.py
@@ -5,7 +5,7 @@
 import base64
 
 
-class Bits:
+class TaskBitmap:
     """A set of small integers, packed."""
 
     __slots__ = ("count", "data", "size")
--- a/pitchtally/control/evidence.py
+++ b/pitchtally/membership/freshness.py
@@ -6,15 +6,15 @@
 own has no such moment; a cut may have held it for minutes.
 
 The deadlines of a cancellation are worked out here too, and nowhere else. Confirmed at
-c, the job's tasks must be gone by c + `cancel_s`. An owner that has not heard of it can
+c, the job's tasks must be gone by c + `cancel_s`. An leader that has not heard of it can
 have been sure of all cancellations up to c at the latest, so it renews leases until
-c + `max_evidence_age` at most; and a worker counts its lease from when it *sent* the report, which
+c + `max_evidence_age` at most; and an agent counts its lease from when it *sent* the report, which
 was no later. So every task is gone by c + `max_evidence_age` + `lease_s`, plus drift and the
-worker's own timer: `longest_evidence_age` is the largest `max_evidence_age` that keeps this
+agent's own timer: `longest_evidence_age` is the largest `max_evidence_age` that keeps this
 within `cancel_s`.
 
-An owner that has heard of it needs no deadline of its own: every answer that renews a
-lease carries a kill for each listed task whose job is over (`Workers.serve`). A worker
+An leader that has heard of it needs no deadline of its own: every answer that renews a
+lease carries a kill for each listed task whose job is over (`Agents.serve`). An agent
 that gets the answer ends the task; one that doesn't ends it with its lease.
 """
 
@@ -23,7 +23,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ..settings import WorkerTimes
+from ..config.settings import AgentTimes
 
 # Steady clocks drift by up to 0.05 %, each of two; the rest covers timers that fire late.
 DRIFT = 1.002
@@ -79,25 +79,25 @@
 
 
 def owned_alone(copy_at: float, answers: Iterable[Answer | None]) -> float:
-    """Up to when nobody else can have renewed a lease in a part that we hold.
+    """Up to when nobody else can have renewed a lease in a shard that we hold.
 
-    The store showed the part as ours, or every peer told the newest owner it knows of:
-    its predecessor's takeovers too, since it has read the store after that one's end.
+    The store showed the shard as ours, or every peer told the newest leader it knows of:
+    its predecessor's failovers too, since it has read the store after that one's end.
     """
     asked = all_asked_at(answers)
     return copy_at if asked is None else max(copy_at, asked)
 
 
-def timer(times: WorkerTimes) -> float:
-    """What a worker may take to notice that its lease is over."""
+def timer(times: AgentTimes) -> float:
+    """What an agent may take to notice that its lease is over."""
     return times.report_s / 4
 
 
-def lease_over(answered_at: float, times: WorkerTimes) -> float:
+def lease_over(answered_at: float, times: AgentTimes) -> float:
     """When a machine's lease has ended for certain, if we last answered it then."""
     return answered_at + times.lease_s * DRIFT + timer(times)
 
 
-def longest_evidence_age(times: WorkerTimes) -> float:
-    """The longest that an owner may renew leases without news of cancellations."""
+def longest_evidence_age(times: AgentTimes) -> float:
+    """The longest that an leader may renew leases without news of cancellations."""
     return (times.cancel_s - timer(times)) / DRIFT - times.lease_s * DRIFT
--- a/pitchtally/control/members.py
+++ b/pitchtally/membership/membership.py
@@ -1,9 +1,9 @@
-"""Who is alive, who owns which part, who leads, and what nodes tell one another.
+"""Who is alive, who owns which shard, who leads, and what nodes tell one another.
 
-There are `deployment.count` parts; a machine belongs to the part its number
-gives. Owning a part means holding the newest version of `parts/<k>`, and that
-version is the token put on machines, so a stale owner is fenced by machines and
-store alike, whatever its clock says. The owner of part 0 leads.
+There are `deployment.count` shards; a machine belongs to the shard its number
+gives. Owning a shard means holding the newest version of `shards/<k>`, and that
+version is the token put on machines, so a stale leader is fenced by machines and
+store alike, whatever its clock says. The leader of shard 0 leads.
 """
 
 from __future__ import annotations
@@ -16,14 +16,16 @@
 import trio
 from msgspec import Struct
 
-from .. import tokens, wire
+from ..config.policy import Policy
+from ..config.settings import Settings
 from ..formats.gate import FIRST_FORMAT, FORMAT
 from ..http import Client, HttpError, Request, Response
-from ..policy import Policy
-from ..replica import Replica
-from ..settings import Settings
-from ..store import Conflict, NoLease, Store, StoreDown, Write
-from .evidence import NEVER, Answer, cancellations_known, owned_alone
+from ..protocol import user_api
+from ..state_store import rate_limits
+from ..state_store.client import StateStoreClient, Write
+from ..state_store.errors import CompareFailed, LeaseExpired, StoreUnavailable
+from ..state_store.replica import Replica
+from .freshness import NEVER, Answer, cancellations_known, owned_alone
 from .messages import (
     UNNUMBERED,
     Ack,
@@ -31,10 +33,10 @@
     Cancelled,
     Forward,
     Forwarded,
-    Heartbeat,
     Message,
-    SplitAnswer,
-    SplitRequest,
+    PeerHeartbeat,
+    ScheduleReply,
+    ScheduleRequest,
     decode,
     encode,
 )
@@ -44,55 +46,57 @@
 
 RETRY_SOON = [("Retry-After", "1")]
 
-LEADER_PART = 0
+CLUSTER_LEADER_SHARD = 0
 # Of all sockets: users' requests that one node passes on to others at a time.
 FORWARDS = 1 / 80
 
 
-def part_of(machine: str, count: int) -> int:
+def shard_of(machine: str, count: int) -> int:
     """The part that a machine's number gives; any other name is spread by its bytes."""
     digits = machine.rpartition("-")[2]
     number = int(digits) if digits.isdigit() and len(digits) < 19 else sum(machine.encode())
     return number % count
 
 
-def preference(nodes: list[str], part: int) -> list[str]:
-    """The order in which nodes should own a part: its home first."""
-    start = part % len(nodes)
+def preference(nodes: list[str], shard: int) -> list[str]:
+    """The order in which nodes should own a shard: its home first."""
+    start = shard % len(nodes)
     return nodes[start:] + nodes[:start]
 
 
-class Owner(Struct, frozen=True):
-    """The record of a part: who owns it."""
+class ShardLeader(Struct, frozen=True):
+    """The record of a shard: who owns it."""
 
     node: str
     incarnation: str
 
 
-class Node(Struct, frozen=True):
+class NodeRecord(Struct, frozen=True):
     """The record of a living node, bound to its lease."""
 
     incarnation: str
     # Reaches the store but not its machines. Stored under the name of earlier versions.
-    workers_unreachable: bool = msgspec.field(default=False, name="deaf")
+    agents_unreachable: bool = msgspec.field(default=False, name="deaf")
     reads: int = FIRST_FORMAT  # the newest stored format that it can read
 
 
-class Members:
-    """Which nodes live, which parts they own, and what peers have told."""
+class Membership:
+    """Which nodes live, which shards they own, and what peers have told."""
 
-    def __init__(self, settings: Settings, policy: Policy, store: Store, replica: Replica):
+    def __init__(
+        self, settings: Settings, policy: Policy, state_store: StateStoreClient, replica: Replica
+    ):
         self.settings = settings
         self.policy = policy
-        self.store = store
+        self.state_store = state_store
         self.replica = replica
         self.me = settings.name
         self.nodes = settings.nodes
         self.count = settings.deployment.count
         # Unlike a time or a counter, this can't repeat after a restart with no disk.
         self.incarnation = f"{random.SystemRandom().getrandbits(64):016x}"
-        self.owners: dict[int, tuple[Owner, int]] = {}
-        self.alive: dict[str, Node] = {}
+        self.leaders: dict[int, tuple[ShardLeader, int]] = {}
+        self.alive: dict[str, NodeRecord] = {}
         self.fences: dict[int, int] = {}
         self.peers = {
             m.name: Peer(m.name, m.address) for m in settings.members if m.name != settings.name
@@ -103,7 +107,7 @@
         connections = settings.deployment.machine_limits.max_connections
         self._forwards = trio.CapacityLimiter(max(2, int(connections * FORWARDS)))
         self.lease: int | None = None
-        self.workers_unreachable = False
+        self.agents_unreachable = False
         self.wake = trio.Event()
         self.held: dict[int, int] = {}  # part -> token, as announced to the slices
         self.started_at = trio.current_time()
@@ -113,102 +117,104 @@
         self._calls = 0  # messages to peers that call for a reply
         # What was known for certain once stays so, also when whoever told it is gone.
         self._cancellations_known_at = -1e9
-        self._ownership_known_at = -1e9
+        self._leadership_known_at = -1e9
         # Filled in by the service.
-        self.on_gain: Callable[[int, int], None] = lambda part, token: None
-        self.on_loss: Callable[[int], None] = lambda part: None
+        self.on_gain: Callable[[int, int], None] = lambda shard, token: None
+        self.on_loss: Callable[[int], None] = lambda shard: None
         self.on_cancel: Callable[[Cancellation], None] = lambda cancellation: None
         self.on_forward: Callable[[Request], Awaitable[Response]]
-        self.on_split: Callable[[wire.JobSpec], SplitAnswer] = lambda spec: SplitAnswer([])
-        self.on_heartbeat: Callable[[Heartbeat], None] = lambda heartbeat: None
-        self.fill_in: Callable[[Heartbeat, int], None] = lambda heartbeat, seen: None
-        replica.listen("parts/", self._on_part)
+        self.on_schedule_request: Callable[[user_api.JobSpec], ScheduleReply] = lambda spec: (
+            ScheduleReply([])
+        )
+        self.on_heartbeat: Callable[[PeerHeartbeat], None] = lambda heartbeat: None
+        self.fill_in: Callable[[PeerHeartbeat, int], None] = lambda heartbeat, seen: None
+        replica.listen("parts/", self._on_shard)
         replica.listen("nodes/", self._on_node)
 
     # --- following ---------------------------------------------------------
 
-    def _on_part(self, key: str, value: bytes | None, version: int) -> None:
-        part = int(key)
+    def _on_shard(self, key: str, value: bytes | None, version: int) -> None:
+        shard = int(key)
         if value is None:
-            self.owners.pop(part, None)
+            self.leaders.pop(shard, None)
         else:
-            self.owners[part] = (msgspec.json.decode(value, type=Owner), version)
-        self._announce(part)
+            self.leaders[shard] = (msgspec.json.decode(value, type=ShardLeader), version)
+        self._announce(shard)
         self.wake.set()
 
     def _on_node(self, name: str, value: bytes | None, version: int) -> None:
         if value is None:
             self.alive.pop(name, None)
         else:
-            self.alive[name] = msgspec.json.decode(value, type=Node)
+            self.alive[name] = msgspec.json.decode(value, type=NodeRecord)
         # A node that is starting isn't listed yet, so at least one is left for it.
-        self.store.share_among(min(len(self.nodes), len(self.alive) + 1))
+        self.state_store.share_among(min(len(self.nodes), len(self.alive) + 1))
         self.wake.set()
 
-    def _announce(self, part: int) -> None:
-        token = self.token(part)
-        if self.held.get(part) == token:
+    def _announce(self, shard: int) -> None:
+        token = self.token(shard)
+        if self.held.get(shard) == token:
             return
-        if part in self.held:
-            del self.held[part]
-            log.info("part lost part=%d owner=%s", part, self.owner(part))
-            self.on_loss(part)
+        if shard in self.held:
+            del self.held[shard]
+            log.info("part lost part=%d owner=%s", shard, self.leader(shard))
+            self.on_loss(shard)
         if token is not None:
-            self.held[part] = token
-            log.info("part taken part=%d token=%d", part, token)
-            self.on_gain(part, token)
+            self.held[shard] = token
+            log.info("part taken part=%d token=%d", shard, token)
+            self.on_gain(shard, token)
 
     # --- what the slices ask -------------------------------------------------
 
-    def token(self, part: int) -> int | None:
-        """This node's token for a part, None if it isn't the owner."""
-        found = self.owners.get(part)
+    def token(self, shard: int) -> int | None:
+        """This node's token for a shard, None if it isn't the leader."""
+        found = self.leaders.get(shard)
         if found is None:
             return None
-        owner, token = found
-        if owner.node != self.me or owner.incarnation != self.incarnation:
+        leader, token = found
+        if leader.node != self.me or leader.incarnation != self.incarnation:
             return None
-        return token if self.fences.get(part, 0) <= token else None
+        return token if self.fences.get(shard, 0) <= token else None
 
-    def owner(self, part: int) -> str | None:
-        """The node that owns a part, as far as our copy shows."""
-        found = self.owners.get(part)
+    def leader(self, shard: int) -> str | None:
+        """The node that owns a shard, as far as our copy shows."""
+        found = self.leaders.get(shard)
         return found[0].node if found else None
 
     @property
-    def leading(self) -> int | None:
+    def cluster_leader_token(self) -> int | None:
         """The leader's token, None if this node doesn't lead."""
-        return self.token(LEADER_PART)
+        return self.token(CLUSTER_LEADER_SHARD)
 
-    def fenced(self, part: int, token: int) -> None:
-        """A machine has seen a newer token: whatever our copy says, we are not the owner."""
-        if token > self.fences.get(part, 0):
-            self.fences[part] = token
-            self._announce(part)
+    def fenced(self, shard: int, token: int) -> None:
+        """A machine has seen a newer token: whatever our copy says, we are not the leader."""
+        if token > self.fences.get(shard, 0):
+            self.fences[shard] = token
+            self._announce(shard)
 
     def cancellations_known_at(self) -> float:
         """Up to when no confirmed cancellation can be unknown to this node."""
-        known = cancellations_known(self.replica.fresh_at, self._answers())
+        known = cancellations_known(self.replica.verified_at, self._answers())
         self._cancellations_known_at = max(self._cancellations_known_at, known)
         return self._cancellations_known_at
 
-    def ownership_known_at(self) -> float:
-        """Up to when nobody else can have renewed a machine of a part that we hold."""
-        owned = owned_alone(self.replica.fresh_at, self._answers())
-        self._ownership_known_at = max(self._ownership_known_at, owned)
-        return self._ownership_known_at
+    def leadership_known_at(self) -> float:
+        """Up to when nobody else can have renewed a machine of a shard that we hold."""
+        owned = owned_alone(self.replica.verified_at, self._answers())
+        self._leadership_known_at = max(self._leadership_known_at, owned)
+        return self._leadership_known_at
 
     def _answers(self) -> list[Answer | None]:
         return [peer.answer for peer in self.peers.values()]
 
-    def confirmed_leader(self) -> int | None:
+    def verified_cluster_leader(self) -> int | None:
         """The leader's token, None as well if another may have taken the lead by now.
 
         The cloud knows no tokens: a leader that was cut off, or stood still, must not hire
         and release beside its successor.
         """
         limit = max(trio.current_time() - self.policy.session_ttl, self.resumed_at())
-        return self.leading if self.ownership_known_at() >= limit else None
+        return self.cluster_leader_token if self.leadership_known_at() >= limit else None
 
     def resumed_at(self) -> float:
         """When this process last went on after standing still.
@@ -231,13 +237,13 @@
             self.resumed_at()
             self._tick_at = trio.current_time()
 
-    def may_start(self) -> bool:
+    def may_start_tasks(self) -> bool:
         """Whether what is known of cancellations is recent enough to start tasks on.
 
         Renewing a lease on older evidence is safe until `max_evidence_age`, since a task that was
         cancelled meanwhile still ends in time. A start is not: users are told that no task
-        of a cancelled job begins any more. After a session without any evidence a part has,
-        or soon will have, another owner, and a start here would be wasted anyway.
+        of a cancelled job begins any more. After a session without any evidence a shard has,
+        or soon will have, another leader, and a start here would be wasted anyway.
         """
         return trio.current_time() - self.cancellations_known_at() <= self.policy.session_ttl
 
@@ -253,31 +259,31 @@
         while True:
             try:
                 if self.lease is None:
-                    self.lease = await self.store.grant(ttl)
+                    self.lease = await self.state_store.grant(ttl)
                 else:
-                    await self.store.renew(self.lease)
-                if self.replica.seen < 0:
+                    await self.state_store.renew(self.lease)
+                if self.replica.revision < 0:
                     # What stands in our place, if anything, isn't known yet.
                     await trio.sleep(ttl / 20)
                     continue
                 node = self.alive.get(self.me)
                 if node is None or node != self._own_node():
                     await self._write_node(self.lease)
-            except NoLease:
+            except LeaseExpired:
                 self.lease = None
                 continue
-            except Conflict:
+            except CompareFailed:
                 # The watch has yet to show what is there: a predecessor's record, or its end.
                 await trio.sleep(ttl / 20)
                 continue
-            except StoreDown as error:
+            except StoreUnavailable as error:
                 log.debug("lease: %s", error)
                 await trio.sleep(ttl / 20)
                 continue
             await trio.sleep(ttl / 3)
 
-    def _own_node(self) -> Node:
-        return Node(self.incarnation, self.workers_unreachable, FORMAT)
+    def _own_node(self) -> NodeRecord:
+        return NodeRecord(self.incarnation, self.agents_unreachable, FORMAT)
 
     def answering(self) -> dict[str, str]:
         """The incarnation of each node, ours included, that has answered within a session."""
@@ -291,82 +297,82 @@
         key = f"pt/nodes/{self.me}"
         value = msgspec.json.encode(self._own_node())
         changes = [Write(key, value, lease)]
-        revision = await self.store.commit(
-            {key: self.replica.version(key)}, changes, priority=tokens.LEASES
+        revision = await self.state_store.commit(
+            {key: self.replica.version(key)}, changes, priority=rate_limits.LEASES
         )
         self.replica.own(changes, revision)
 
-    def set_workers_unreachable(self, unreachable: bool) -> None:
-        """Let others have our parts while our machines can't be reached."""
-        if unreachable != self.workers_unreachable:
-            self.workers_unreachable = unreachable
+    def set_agents_unreachable(self, unreachable: bool) -> None:
+        """Let others have our shards while our machines can't be reached."""
+        if unreachable != self.agents_unreachable:
+            self.agents_unreachable = unreachable
             log.info("machines %s", "can't be reached" if unreachable else "can be reached again")
 
-    def _wanted(self, part: int) -> str | None:
-        order = preference(self.nodes, part)
+    def _wanted(self, shard: int) -> str | None:
+        order = preference(self.nodes, shard)
         for accept_unreachable in (False, True):
             for name in order:
                 node = self.alive.get(name)
-                if node is not None and (accept_unreachable or not node.workers_unreachable):
+                if node is not None and (accept_unreachable or not node.agents_unreachable):
                     return name
         return None
 
-    async def run_ownership(self) -> None:
-        """Take the parts that this node should own."""
+    async def run_leadership(self) -> None:
+        """Take the shards that this node should own."""
         while True:
             with trio.move_on_after(self.policy.heartbeat_interval):
                 await self.wake.wait()
             self.wake = trio.Event()
             node = self.alive.get(self.me)
-            if self.replica.seen < 0 or node is None or node.incarnation != self.incarnation:
+            if self.replica.revision < 0 or node is None or node.incarnation != self.incarnation:
                 # What stands there may still be a predecessor's.
                 await trio.sleep(0.05)
                 continue
             # At a start of all nodes at once, each leaves the others time to appear.
             early = trio.current_time() - self.started_at < self.policy.session_ttl / 2
-            for part in range(self.count):
-                if self._wanted(part) != self.me or self.token(part) is not None:
+            for shard in range(self.count):
+                if self._wanted(shard) != self.me or self.token(shard) is not None:
                     continue
-                if early and preference(self.nodes, part)[0] != self.me:
+                if early and preference(self.nodes, shard)[0] != self.me:
                     continue
                 try:
-                    await self._take(part)
-                except (Conflict, NoLease, StoreDown) as error:
-                    log.debug("taking part %d: %s", part, error)
+                    await self._take(shard)
+                except (CompareFailed, LeaseExpired, StoreUnavailable) as error:
+                    log.debug("taking part %d: %s", shard, error)
                     await trio.sleep(0.1)
 
-    async def _take(self, part: int) -> None:
-        key = f"pt/parts/{part}"
+    async def _take(self, shard: int) -> None:
+        key = f"pt/parts/{shard}"
         node_key = f"pt/nodes/{self.me}"
         mine = self.replica.version(node_key)
         if not mine:
             return
         conditions = {key: self.replica.version(key), node_key: mine}
-        value = msgspec.json.encode(Owner(self.me, self.incarnation))
-        log.debug("taking part=%d from=%s", part, self.owner(part))
+        value = msgspec.json.encode(ShardLeader(self.me, self.incarnation))
+        log.debug("taking part=%d from=%s", shard, self.leader(shard))
         changes = [Write(key, value)]
-        revision = await self.store.commit(conditions, changes, priority=tokens.LEASES)
+        revision = await self.state_store.commit(conditions, changes, priority=rate_limits.LEASES)
         self.replica.own(changes, revision)
 
     # --- peers -------------------------------------------------------------------
 
-    def compose(self, seen: int) -> Heartbeat:
+    def compose(self, seen: int) -> PeerHeartbeat:
         """Our heartbeat for a peer whose copy of the store covers that revision."""
         self._sent += 1
         now = trio.current_time()
-        heartbeat = Heartbeat(
+        heartbeat = PeerHeartbeat(
             self.me,
             self.incarnation,
             self._sent,
-            self.replica.seen,
-            min(NEVER, now - self.replica.fresh_at),
+            self.replica.revision,
+            min(NEVER, now - self.replica.verified_at),
             min(NEVER, now - self.cancellations_known_at()),
             [],
             [],
             [],
             [],
         )
-        heartbeat.tokens = [(part, token) for part, (_, token) in self.owners.items()]
+        heartbeat.tokens = [(shard, token) for shard, (_, token) in self.leaders.items()]
         self.fill_in(heartbeat, seen)
         return heartbeat
 
@@ -375,7 +381,7 @@
         while True:
             sent = trio.current_time()
             reply = await self.send(peer, self.compose(peer.seen))
-            if isinstance(reply, Heartbeat) and reply.node == peer.name:
+            if isinstance(reply, PeerHeartbeat) and reply.node == peer.name:
                 self._take_heartbeat(reply, sent)
                 # Only now: what it tells is known here from this moment on.
                 peer.answer = Answer(sent, reply.store_age, reply.sure_age)
@@ -407,7 +413,7 @@
             peer.failing = ""
         return reply
 
-    def alone(self) -> bool:
+    def is_isolated(self) -> bool:
         """No peer has answered of late: others may well be in service."""
         limit = trio.current_time() - self.policy.session_ttl
         return bool(self.peers) and all(p.heard_at < limit for p in self.peers.values())
@@ -440,26 +446,26 @@
         headers = [("Retry-After", found.retry_after)] if found.retry_after else []
         return Response(found.status, found.body, headers)
 
-    async def ask_split(self, spec: wire.JobSpec) -> SplitAnswer | None:
+    async def request_schedule(self, spec: user_api.JobSpec) -> ScheduleReply | None:
         """Ask the leader where a job goes, so that its acceptance can say so.
 
         Without it the leader would have to write the record once more, and changes are
         scarce: one small job after the other used up the leader's share of them. None if
         we lead ourselves, or if the leader doesn't answer at once; it will find the job.
         """
-        leader = self.peers.get(self.owner(LEADER_PART) or "")
+        leader = self.peers.get(self.leader(CLUSTER_LEADER_SHARD) or "")
         if leader is None or leader.failing:
             return None
         with trio.move_on_after(self.policy.call_timeout / 4):
-            reply = await self.send(leader, SplitRequest(spec))
-            return reply if isinstance(reply, SplitAnswer) else None
+            reply = await self.send(leader, ScheduleRequest(spec))
+            return reply if isinstance(reply, ScheduleReply) else None
         return None
 
     async def tell_cancelled(self, cancellation: Cancellation) -> None:
         """Owners that lost only the store must still stop the job's tasks.
 
         Sent once, for speed alone: each heartbeat repeats it until the peer's own copy
-        covers it, and an owner that hears none of them stops renewing leases.
+        covers it, and an leader that hears none of them stops renewing leases.
         """
         async with trio.open_nursery() as nursery:
             for peer in self.peers.values():
@@ -472,7 +478,7 @@
         except msgspec.MsgspecError:
             return Response(400, b"")
         reply: Message = Ack()
-        if isinstance(message, Heartbeat):
+        if isinstance(message, PeerHeartbeat):
             self._take_heartbeat(message, None)
             # What it asks rests on its own words, not on what we remember of it: the
             # answer holds every cancellation newer than the copy that it had as it asked.
@@ -484,27 +490,27 @@
             ):
                 # Our own heartbeats bring it our statuses, by far the most of a message; where they
                 # are refused, this answer must.
-                reply.parts = []
+                reply.shards = []
         elif isinstance(message, Cancelled):
             self.on_cancel(message.cancellation)
-        elif isinstance(message, SplitRequest):
-            reply = self.on_split(message.spec)
+        elif isinstance(message, ScheduleRequest):
+            reply = self.on_schedule_request(message.spec)
         elif isinstance(message, Forward):
             found = await self.on_forward(Request(message.method, message.path, {}, message.body))
             reply = Forwarded(found.status, found.body, dict(found.headers).get("Retry-After", ""))
         reply.call = message.call
         return Response(200, encode(reply), type="application/msgpack")
 
-    def _take_heartbeat(self, heartbeat: Heartbeat, asked_at: float | None) -> None:
+    def _take_heartbeat(self, heartbeat: PeerHeartbeat, asked_at: float | None) -> None:
         peer = self.peers.get(heartbeat.node)
         if peer is None:
             return
         # Tokens and cancellations are committed: true however late they come.
-        for part, token in heartbeat.tokens:
-            mine = self.token(part)
+        for shard, token in heartbeat.tokens:
+            mine = self.token(shard)
             if mine is not None and token > mine:
                 # Our copy of the store is behind, or cut off from it.
-                self.fenced(part, token)
+                self.fenced(shard, token)
         for cancellation in heartbeat.cancellations:
             self.on_cancel(cancellation)
         listed = self.alive.get(heartbeat.node)
