--- a/pitchtally/control/messages.py
+++ b/pitchtally/membership/messages.py
@@ -14,8 +14,8 @@
 import msgspec
 from msgspec import Struct
 
-from .. import wire
-from .job_records import TaskRange
+from ..jobs.job_record import TaskRange
+from ..protocol import user_api
 
 # The number of a call by a version that numbers nothing.
 UNNUMBERED = 0
@@ -27,7 +27,7 @@
     USABLE = ""
     NEW = "new"  # not recorded yet, or of a type not known yet
     LOST = "lost"  # silent, its lease is over
-    UNHEARD = "unheard"  # recorded, not heard since its part was taken over
+    UNHEARD = "unheard"  # recorded, not heard since its shard was taken over
     UNRESPONSIVE = "deaf"  # it reports, but hears nothing of what it is told
     NOTICE = "notice"  # the cloud is about to take it back
     DRAINING = "drain"  # to be returned once it is empty
@@ -50,10 +50,10 @@
     over: tuple[float, float, float] = (0.0, 0.0, 0.0)  # by teams beyond their guarantee
 
 
-class PartStatus(Struct, array_like=True):
-    """What the owner of a part tells of it."""
+class ShardStatus(Struct, array_like=True):
+    """What the leader of a shard tells of it."""
 
-    part: int
+    shard: int
     token: int
     settled: bool
     queued: float  # machine-seconds not started
@@ -64,7 +64,7 @@
     reserved: list[str] = []  # jobs that a machine is kept free for
     running: dict[str, int] = {}  # job -> tasks running
     kept: list[str] = []  # machines kept free
-    ready: list[str] = []  # gangs over several parts that have their room here
+    ready: list[str] = []  # gangs over several shards that have their room here
     use: dict[str, tuple[float, float]] = {}  # team -> CPUs and GPUs in use here
 
 
@@ -77,7 +77,7 @@
     done: int
 
 
-class Heartbeat(Struct, array_like=True, tag="heartbeat"):
+class PeerHeartbeat(Struct, array_like=True, tag="heartbeat"):
     """What a node knows, sent to each peer and given back as the answer."""
 
     node: str
@@ -87,10 +87,10 @@
     store_age: float
     sure_age: float  # since when cancellations may be unknown to the sender
     cancellations: list[Cancellation]  # that the receiver's copy can't show yet
-    parts: list[PartStatus]
+    shards: list[ShardStatus]
     released: list[str]
     drain: list[str]
-    tokens: list[tuple[int, int]] = []  # the newest fencing token known of each part
+    tokens: list[tuple[int, int]] = []  # the newest fencing token known of each shard
     call: int = UNNUMBERED
 
 
@@ -119,14 +119,14 @@
     call: int = UNNUMBERED
 
 
-class SplitRequest(Struct, array_like=True, tag="split"):
+class ScheduleRequest(Struct, array_like=True, tag="split"):
     """A job that no part of its accepting controller keeps: the leader is to place it."""
 
-    spec: wire.JobSpec
+    spec: user_api.JobSpec
     call: int = UNNUMBERED
 
 
-class SplitAnswer(Struct, array_like=True, tag="split_answer"):
+class ScheduleReply(Struct, array_like=True, tag="split_answer"):
     """Where the leader places the job; no ranges if it can't tell yet."""
 
     ranges: list[TaskRange]
@@ -140,7 +140,7 @@
     call: int = UNNUMBERED
 
 
-Message = Heartbeat | Cancelled | Forward | Forwarded | SplitRequest | SplitAnswer | Ack
+Message = PeerHeartbeat | Cancelled | Forward | Forwarded | ScheduleRequest | ScheduleReply | Ack
 
 
 encode = msgspec.msgpack.Encoder().encode
--- a/pitchtally/control/peer.py
+++ b/pitchtally/membership/peer.py
@@ -4,9 +4,9 @@
 
 import trio
 
-from ..settings import host_port
-from .evidence import Answer
-from .messages import Heartbeat
+from ..config.settings import host_port
+from .freshness import Answer
+from .messages import PeerHeartbeat
 
 
 class Peer:
@@ -28,7 +28,7 @@
         """A question sent at this time was answered."""
         return -1e9 if self.answer is None else self.answer.asked_at
 
-    def renews(self, heartbeat: Heartbeat, asked_at: float | None, listed: str) -> bool:
+    def renews(self, heartbeat: PeerHeartbeat, asked_at: float | None, listed: str) -> bool:
         """Whether a heartbeat is newer than all that were taken in, and takes it for that.
 
         A cut may hold one back and deliver it after newer ones, of the next incarnation
--- a/pitchtally/control/decisions.py
+++ b/pitchtally/observability/decision_log.py
@@ -15,7 +15,7 @@
 
 import trio
 
-from ..replica import Refresh
+from ..state_store.replica import Refresh
 
 log = logging.getLogger("decisions")
 
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Grounds:
+class DecisionReason:
     """What a decision rests on, where it applies."""
 
     version: int | None = None  # of the job's record
@@ -42,12 +42,12 @@
     machine: str | None = None  # that gets the order
 
 
-NO_GROUNDS = Grounds()
+NO_REASON = DecisionReason()
 
-Decided = Callable[[Decision, str, Grounds], None]
+DecisionListener = Callable[[Decision, str, DecisionReason], None]
 
 
-def ignore_decision(decision: Decision, about: str, grounds: Grounds) -> None:
+def ignore_decision(decision: Decision, about: str, reason: DecisionReason) -> None:
     """Take a decision and tell nobody; the default of components that stand alone."""
 
 
@@ -76,30 +76,30 @@
         self._counts: Counter[str] = Counter()
         self._told: dict[str, int] = {}
 
-    def decided(self, decision: Decision, about: str, grounds: Grounds) -> None:
+    def on_decision(self, decision: Decision, about: str, reason: DecisionReason) -> None:
         """Count a decision, and tell it with its grounds at `debug`."""
         self._counts[decision] += 1
         if not log.isEnabledFor(logging.DEBUG):
             return
         evidence = self._evidence()
-        read = grounds.read or self._last_read()
+        read = reason.read or self._last_read()
         fields = [
             f"decided={decision}",
             f"about={about}",
             f"copy={evidence.copy_revision}",
-            f"confirmed_here={grounds.read is not None}",
+            f"confirmed_here={reason.read is not None}",
             f"evidence_age={trio.current_time() - evidence.cancellations_known_at:.3f}",
         ]
         if read is not None:
             fields.append(
                 f"read={read.revision} asked={read.asked_at:.3f} answered={read.answered_at:.3f}"
             )
-        if grounds.version is not None:
-            fields.append(f"version={grounds.version}")
-        if grounds.token is not None:
-            fields.append(f"token={grounds.token}")
-        if grounds.machine is not None:
-            fields.append(f"machine={grounds.machine}")
+        if reason.version is not None:
+            fields.append(f"version={reason.version}")
+        if reason.token is not None:
+            fields.append(f"token={reason.token}")
+        if reason.machine is not None:
+            fields.append(f"machine={reason.machine}")
         log.debug(" ".join(fields))
 
     def summary(self) -> str:
--- /dev/null
+++ b/pitchtally/protocol/__init__.py
@@ -0,0 +1,1 @@
+"""Wire structs, by counterpart."""
--- a/pitchtally/control/holdings.py
+++ b/pitchtally/scheduling/allocations.py
@@ -1,22 +1,20 @@
-"""What a part holds: tasks not started, tasks placed, queues of like machines."""
+"""What a shard holds: tasks not started, tasks placed, queues of like machines."""
 
 from __future__ import annotations
 
 import trio
 
-from .. import wire
-from .capacity import (
-    RANK,
-)
-from .cheaper_room import GroupRooms, TaskRoom
-from .jobs import Job
-from .machines import Group, Machine, Need, Placement, need_of
+from ..agents.machines import Machine, MachineGroupKey, Placement, Resources, resource_request
+from ..jobs.index import Job
+from ..protocol import cloud_api, user_api
+from .capacity import RANK
+from .lower_price_capacity import GroupRooms, TaskRoom
 
 # Machines: a group wholly taken by services still has a queue, if an endless one.
 LEAST_WIDTH = 0.05
 
 
-class Pool:
+class PendingTasks:
     """Tasks not started: ranges, so that a wide array costs little."""
 
     def __init__(self) -> None:
@@ -53,33 +51,33 @@
         return out
 
 
-def most_in_zone(spec: wire.JobSpec) -> int:
-    """How many tasks of a spread job may be in one zone, all parts together."""
+def most_in_zone(spec: user_api.JobSpec) -> int:
+    """How many tasks of a spread job may be in one zone, all shards together."""
     return (spec.tasks + 1) // 2
 
 
-class Holding:
-    """The tasks of one job in one part that this node owns."""
+class ShardAllocation:
+    """The tasks of one job in one shard that this node owns."""
 
-    def __init__(self, job: Job, part: int, release: float):
+    def __init__(self, job: Job, shard: int, release: float):
         self.job = job
-        self.part = part
+        self.shard = shard
         spec = job.spec
         self.spec = spec
-        self.need = need_of(spec)
+        self.resources = resource_request(spec)
         self.rank = RANK[spec.rank]
-        self.gang = spec.kind == wire.GANG
+        self.gang = spec.kind == user_api.GANG
         self.service = spec.is_service
         self.short_runs = 0  # replicas in a row that ended soon after their start
         self.one_zone = spec.one_zone and spec.tasks > 1
         self.release = release  # acceptance on this node's steady clock
         self.size = 0.0  # w, and what lateness adds: renewed with each survey
         self.late = 0.0
-        self.bound = 1e9  # seconds from release, see `Order.bound`
+        self.bound = 1e9  # seconds from release, see `PriorityOrder.bound`
         self.aged = False  # has waited too long for its first start, or the next
-        self.groups: dict[Group, bool] = {}  # machines that the job allows
-        self.room_in: dict[Group, TaskRoom] = {}  # renewed with each survey
-        self.pool = Pool()
+        self.groups: dict[MachineGroupKey, bool] = {}  # machines that the job allows
+        self.room_in: dict[MachineGroupKey, TaskRoom] = {}  # renewed with each survey
+        self.pending = PendingTasks()
         self.placed: dict[int, Placement] = {}
         self.ranges: list[tuple[int, int]] = []
         self.since = trio.current_time()  # waiting for room since
@@ -93,9 +91,9 @@
         self.tried = 0  # the shared attempt that was placed last
 
     def most_in_zone(self, zone: str) -> int:
-        """How many tasks of a spread job this part may have in a zone."""
+        """How many tasks of a spread job this shard may have in a zone."""
         if self.service and self.job.record.caps:
-            return sum(n for p, z, n in self.job.record.caps if (p, z) == (self.part, zone))
+            return sum(n for p, z, n in self.job.record.caps if (p, z) == (self.shard, zone))
         return most_in_zone(self.spec)
 
     def placed_in(self, zone: str) -> int:
@@ -104,8 +102,8 @@
 
     def rebuild(self) -> None:
         """Everything in the ranges that is neither finished nor placed."""
-        self.ranges = [(a, b) for a, b, p in self.job.record.ranges if p == self.part]
-        self.pool = Pool()
+        self.ranges = [(a, b) for a, b, p in self.job.record.ranges if p == self.shard]
+        self.pending = PendingTasks()
         runs = []
         for first, end in self.ranges:
             start: int | None = None
@@ -119,24 +117,24 @@
             if start is not None:
                 runs.append((start, end))
         for first, end in reversed(runs):
-            self.pool.put(first, end)
+            self.pending.put(first, end)
 
     def give_back(self, task: int) -> None:
-        """A task is nowhere any more: it waits again, unless it is done or another part's."""
+        """A task is nowhere any more: it waits again, unless it is done or another shard's."""
         if any(a <= task < b for a, b in self.ranges) and not self.job.is_finished(task):
-            if self.service and not self.pool.count:
+            if self.service and not self.pending.count:
                 self.since = trio.current_time()  # all of it ran until now
-            self.pool.put(task, task + 1)
+            self.pending.put(task, task + 1)
 
 
 class MachineGroup:
-    """Machines of a part that are alike, and the queue that they share evenly.
+    """Machines of a shard that are alike, and the queue that they share evenly.
 
     A matrix by machine would cost more with every machine; like machines with one
     queue promise the same, since any of them takes the next task.
     """
 
-    def __init__(self, kind: wire.MachineType) -> None:
+    def __init__(self, kind: cloud_api.MachineType) -> None:
         self.kind = kind
         self.machines: list[Machine] = []
         self.work: dict[str, float] = {}  # job -> machine-seconds running and queued
@@ -150,28 +148,28 @@
         return max(LEAST_WIDTH, len(self.machines) - self.held)
 
 
-class PartWork:
-    """All that a part has to do: jobs, queues, and groups of like machines."""
+class ShardState:
+    """All that a shard has to do: jobs, queues, and groups of like machines."""
 
     def __init__(self) -> None:
         self.loaded = False
         self.settled = False
         self.blocked: set[str] = set()  # jobs whose tasks an unheard machine may hold
-        self.holdings: dict[str, Holding] = {}
-        self.gangs: dict[str, Holding] = {}  # those of them that are gangs
+        self.allocations: dict[str, ShardAllocation] = {}
+        self.gangs: dict[str, ShardAllocation] = {}  # those of them that are gangs
         # The least CPUs and memory that a waiting task needs, as of the last survey: most
         # machines that report are too full for any.
         self.least: tuple[float, float] = (0.0, 0.0)
         self.known_levels: dict[
-            Group, tuple[float, float]
+            MachineGroupKey, tuple[float, float]
         ] = {}  # machine_group -> (when, its level)
-        self.queues: dict[Group, dict[str, int]] = {}  # like machines -> job -> tasks
-        self.machine_groups: dict[Group, MachineGroup] = {}
-        self.rooms: dict[Group, GroupRooms] = {}  # as of the last survey
-        self.running: list[int] = [0] * len(wire.RANKS)  # tasks on machines, by rank
-        self.ready: set[str] = set()  # gangs over several parts that have their room here
-        self.early: list[Placement] = []  # seen on machines before the part settled
-
-    def expect(self, need: Need) -> None:
+        self.queues: dict[MachineGroupKey, dict[str, int]] = {}  # like machines -> job -> tasks
+        self.machine_groups: dict[MachineGroupKey, MachineGroup] = {}
+        self.rooms: dict[MachineGroupKey, GroupRooms] = {}  # as of the last survey
+        self.running: list[int] = [0] * len(user_api.RANKS)  # tasks on machines, by rank
+        self.ready: set[str] = set()  # gangs over several shards that have their room here
+        self.early: list[Placement] = []  # seen on machines before the shard settled
+
+    def expect(self, resources: Resources) -> None:
         """Such a task waits from now on: see `least`."""
-        self.least = (min(self.least[0], need[0]), min(self.least[1], need[2]))
+        self.least = (min(self.least[0], resources[0]), min(self.least[1], resources[2]))
--- a/pitchtally/control/capacity.py
+++ b/pitchtally/scheduling/capacity.py
@@ -5,54 +5,58 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from .. import wire
-from .job_records import TaskRange
-from .jobs import Job
-from .machines import Need, Placement, need_of
+from ..agents.machines import Placement, Resources, resource_request
+from ..jobs.index import Job
+from ..jobs.job_record import TaskRange
+from ..protocol import cloud_api, user_api
 
-RANK = {rank: i for i, rank in enumerate(wire.RANKS)}
+RANK = {rank: i for i, rank in enumerate(user_api.RANKS)}
 
 
-def fits(need: Need, room: Need) -> bool:
+def fits(resources: Resources, room: Resources) -> bool:
     """Whether a task of this need fits into what is free."""
     # Written out: asked some ten thousand times a second.
-    return need[0] <= room[0] + 1e-6 and need[1] <= room[1] + 1e-6 and need[2] <= room[2] + 1e-6
+    return (
+        resources[0] <= room[0] + 1e-6
+        and resources[1] <= room[1] + 1e-6
+        and resources[2] <= room[2] + 1e-6
+    )
 
 
-def times(need: Need, room: Need) -> int:
+def times(resources: Resources, room: Resources) -> int:
     """How many tasks of this need fit into a room."""
     most = 1e6
     for i in (0, 1, 2):
-        if need[i] > 0:
-            most = min(most, (room[i] + 1e-6) / need[i])
+        if resources[i] > 0:
+            most = min(most, (room[i] + 1e-6) / resources[i])
     return int(max(0.0, most))
 
 
-def whole(spec: wire.JobSpec) -> bool:
-    """Jobs that stay in one part: their tasks constrain one another."""
-    return spec.kind == wire.GANG or (spec.tasks > 1 and (spec.one_zone or spec.spread))
+def whole(spec: user_api.JobSpec) -> bool:
+    """Jobs that stay in one shard: their tasks constrain one another."""
+    return spec.kind == user_api.GANG or (spec.tasks > 1 and (spec.one_zone or spec.spread))
 
 
 def is_gang(placement: Placement) -> bool:
     """Whether the placement belongs to a gang."""
-    return placement.spec.kind == wire.GANG
+    return placement.spec.kind == user_api.GANG
 
 
 def covered(job: Job) -> bool:
-    """Whether every task of the job is assigned to a part."""
+    """Whether every task of the job is assigned to a shard."""
     return sum(r.tasks for r in job.record.ranges) >= job.record.tasks
 
 
-def share_of(need: Need, kind: wire.MachineType) -> float:
+def share_of(resources: Resources, kind: cloud_api.MachineType) -> float:
     """The dominant share of a machine that a task takes."""
     return max(
-        need[0] / kind.cpus if kind.cpus else 0.0,
-        need[1] / kind.gpus if kind.gpus else 0.0,
-        need[2] / kind.memory if kind.memory else 0.0,
+        resources[0] / kind.cpus if kind.cpus else 0.0,
+        resources[1] / kind.gpus if kind.gpus else 0.0,
+        resources[2] / kind.memory if kind.memory else 0.0,
     )
 
 
-def group_ok(spec: wire.JobSpec, kind: wire.MachineType, zone: str, spot: bool) -> bool:
+def group_ok(spec: user_api.JobSpec, kind: cloud_api.MachineType, zone: str, spot: bool) -> bool:
     """Whether a job allows machines of this type, zone and kind, and fits on one."""
     if spec.types is not None and kind.name not in spec.types:
         return False
@@ -60,7 +64,7 @@
         return False
     if spot and not spec.spot:
         return False
-    return fits(need_of(spec), (kind.cpus, kind.gpus, kind.memory))
+    return fits(resource_request(spec), (kind.cpus, kind.gpus, kind.memory))
 
 
 def allowed(job: Job, type_: str, zone: str, spot: bool) -> bool:
@@ -74,7 +78,7 @@
 
 
 class Plan(NamedTuple):
-    """Who gets a job's tasks, and what binds gangs over several parts."""
+    """Who gets a job's tasks, and what binds gangs over several shards."""
 
     ranges: list[TaskRange]
     zone: str | None = None
@@ -106,13 +110,13 @@
         left = tasks
         inside = dict.fromkeys(choice, limit)
         plan: dict[tuple[int, str], int] = {}
-        for (part, zone), room in sorted(rooms.items(), key=lambda r: -r[1]):
+        for (shard, zone), room in sorted(rooms.items(), key=lambda r: -r[1]):
             n = min(room, left, inside.get(zone, 0))
             if n:
-                plan[(part, zone)] = n
+                plan[(shard, zone)] = n
                 left -= n
                 inside[zone] -= n
-        # Fewer parts, fewer owners whose places have to come free at the same time.
+        # Fewer shards, fewer leaders whose places have to come free at the same time.
         if not left and (best is None or len(plan) < len(best)):
             best = plan
     return best
--- a/pitchtally/control/estimates.py
+++ b/pitchtally/scheduling/estimates.py
@@ -1,4 +1,4 @@
-"""How long tasks take: what owners say, corrected class by class by runs that finished.
+"""How long tasks take: what leaders say, corrected class by class by runs that finished.
 
 A service's replica has no length: it holds its place until the job is cancelled. For the
 order of queues it counts as `horizon` seconds, the span that planning looks ahead, so w is
@@ -10,7 +10,7 @@
 
 import math
 
-from .. import wire
+from ..protocol import user_api
 
 
 class Estimates:
@@ -21,7 +21,7 @@
         self.horizon = horizon
         self.logs: dict[str, tuple[float, float]] = {}  # class -> (weight, mean of log ratio)
 
-    def learn(self, spec: wire.JobSpec, ran: float) -> None:
+    def learn(self, spec: user_api.JobSpec, ran: float) -> None:
         """Take in how long a task of the job really ran."""
         if ran <= 0 or spec.estimate <= 0 or spec.is_service:
             return
@@ -30,8 +30,8 @@
         weight = min(weight + 1, 200.0)
         self.logs[spec.job_class] = (weight, mean + (ratio - mean) / weight)
 
-    def task(self, spec: wire.JobSpec) -> float:
-        """Expected seconds of one task; a few runs barely move the owner's estimate."""
+    def task(self, spec: user_api.JobSpec) -> float:
+        """Expected seconds of one task; a few runs barely move the leader's estimate."""
         if spec.is_service:
             return self.horizon
         weight, mean = self.logs.get(spec.job_class, (0.0, 0.0))
--- a/pitchtally/control/gang_planning.py
+++ b/pitchtally/scheduling/gang_planner.py
@@ -1,4 +1,4 @@
-"""Gangs, and other jobs that stay whole, planned over all parts from their statuses."""
+"""Gangs, and other jobs that stay whole, planned over all shards from their statuses."""
 
 from __future__ import annotations
 
@@ -10,24 +10,17 @@
 import msgspec
 import trio
 
-from .. import wire
-from .bits import Bits
-from .capacity import (
-    CapacitySource,
-    Plan,
-    fits,
-    group_ok,
-    plan_gang,
-    times,
-)
+from ..agents.machines import Resources, resource_request
+from ..jobs.index import Job
+from ..jobs.job_record import TaskRange, merge
+from ..jobs.task_bitmap import TaskBitmap
+from ..membership.messages import MachineFlag, ShardStatus
+from ..protocol import user_api
+from .capacity import CapacitySource, Plan, fits, group_ok, plan_gang, times
 from .component import SchedulerComponent
-from .job_records import TaskRange, merge
-from .jobs import Job
-from .machines import Need, need_of
-from .messages import MachineFlag, PartStatus
 
 if TYPE_CHECKING:
-    from .split import Split
+    from .scheduler import Scheduler
 
 log = logging.getLogger("gangs")
 
@@ -38,36 +31,36 @@
 
 
 def goes_on(job: Job, ranges: Iterable[TaskRange]) -> bool:
-    """Whether a task in these ranges may be on a machine, or be started by its part."""
+    """Whether a task in these ranges may be on a machine, or be started by its shard."""
     return any(not job.is_finished(t) for a, b, _ in ranges for t in range(a, b))
 
 
-class GangPlanning(SchedulerComponent):
-    """Where jobs that stay whole go: a part with room for all, or several together."""
+class GangPlanner(SchedulerComponent):
+    """Where jobs that stay whole go: a shard with room for all, or several together."""
 
-    def __init__(self, split: Split) -> None:
-        super().__init__(split)
+    def __init__(self, scheduler: Scheduler) -> None:
+        super().__init__(scheduler)
         self.counter = 0
         self.keeping: tuple[str, float] | None = None  # the gang that waits for kept room
         # Room promised to gangs that statuses can't show yet: (at, (part, zone), need, tasks).
-        self.booked: list[tuple[float, tuple[int, str], Need, int]] = []
+        self.booked: list[tuple[float, tuple[int, str], Resources, int]] = []
 
-    def plan(self, spec: wire.JobSpec, token: int, job: Job | None = None) -> Plan | None:
-        """Room for a whole gang: in one part if one has it, else over several.
+    def plan(self, spec: user_api.JobSpec, token: int, job: Job | None = None) -> Plan | None:
+        """Room for a whole gang: in one shard if one has it, else over several.
 
-        Over several parts all start the same attempt; its number rests on a token of
+        Over several shards all start the same attempt; its number rests on a token of
         this node, so nobody else ever uses it.
         """
-        if self.split.teams.limit_left(spec) < spec.tasks:
+        if self.scheduler.quotas.limit_left(spec) < spec.tasks:
             return None
         now = trio.current_time()
-        under = self.split.teams.under(spec)
+        under = self.scheduler.quotas.under(spec)
         sources = [CapacitySource.FREE]
-        if spec.rank != wire.RANKS[-1]:
+        if spec.rank != user_api.RANKS[-1]:
             sources.append(CapacitySource.YIELDING)
-        if under and len(self.split.teams.known) > 1:
+        if under and len(self.scheduler.quotas.known) > 1:
             sources.append(CapacitySource.OVER_GUARANTEE)
-        if job is not None and self.split.order.late(job) and self._may_keep(job.id, now):
+        if job is not None and self.scheduler.priorities.late(job) and self._may_keep(job.id, now):
             sources.append(CapacitySource.KEPT)
         for source in sources:
             rooms = self.free_capacity(spec, source)
@@ -75,15 +68,15 @@
             if found is None:
                 continue
             for key, count in found.items():
-                self.booked.append((now, key, need_of(spec), count))
-            parts = sorted({part for part, _ in found})
+                self.booked.append((now, key, resource_request(spec), count))
+            shards = sorted({shard for shard, _ in found})
             ranges, first = [], 0
-            for part in parts:
-                n = sum(count for (p, _), count in found.items() if p == part)
-                ranges.append(TaskRange(first, first + n, part))
+            for shard in shards:
+                n = sum(count for (p, _), count in found.items() if p == shard)
+                ranges.append(TaskRange(first, first + n, shard))
                 first += n
             attempt = 0
-            if len(parts) > 1:
+            if len(shards) > 1:
                 self.counter += 1
                 attempt = (token << 24) + (1 << 23) + self.counter
             if source is CapacitySource.KEPT:
@@ -92,7 +85,7 @@
             log.info(
                 "gang planned job=%s parts=%d attempt=%d source=%s",
                 spec.id,
-                len(parts),
+                len(shards),
                 attempt,
                 source.name,
             )
@@ -101,82 +94,84 @@
                 zones.pop() if spec.one_zone else None,
                 attempt,
                 [(p, zone, n) for (p, zone), n in found.items()]
-                if spec.spread and len(parts) > 1
+                if spec.spread and len(shards) > 1
                 else [],
             )
         return None
 
-    def plan_service(self, spec: wire.JobSpec, parts: Iterable[int]) -> Plan | None:
-        """One of these parts that has room for every replica of a service, by preemption if
+    def plan_service(self, spec: user_api.JobSpec, shards: Iterable[int]) -> Plan | None:
+        """One of these shards that has room for every replica of a service, by preemption if
         need be; None if none has, so that the replicas go wherever there is some."""
         now = trio.current_time()
         for source in (CapacitySource.FREE, CapacitySource.YIELDING):
             rooms = self.free_capacity(spec, source)
             rows = []
-            for part in parts:
-                here = {key: count for key, count in rooms.items() if key[0] == part}
+            for shard in shards:
+                here = {key: count for key, count in rooms.items() if key[0] == shard}
                 found = plan_gang(here, spec.tasks, one_zone=spec.one_zone, spread=spec.spread)
                 if found is not None:
-                    rows.append((-sum(here.values()), part, found))
+                    rows.append((-sum(here.values()), shard, found))
             if rows:
-                _, part, found = min(rows, key=lambda row: row[:2])
+                _, shard, found = min(rows, key=lambda row: row[:2])
                 for key, count in found.items():
-                    self.booked.append((now, key, need_of(spec), count))
+                    self.booked.append((now, key, resource_request(spec), count))
                 bound = spec.one_zone and spec.tasks > 1
                 zone = next(zone for _, zone in found) if bound else None
-                return Plan([TaskRange(0, spec.tasks, part)], zone)
+                return Plan([TaskRange(0, spec.tasks, shard)], zone)
         return None
 
     def _may_keep(self, id: str, now: float) -> bool:
         """Room is kept for one gang at a time: two could each hold half of the other's."""
         if self.keeping is None or self.keeping[0] == id:
             return True
-        job = self.job_store.open.get(self.keeping[0])
+        job = self.job_index.open.get(self.keeping[0])
         waits = job is not None and not any(
-            job.id in n.running for n in self.split.statuses.newest.values()
+            job.id in n.running for n in self.scheduler.statuses.newest.values()
         )
         return not waits or now - self.keeping[1] > self.policy.start_within / 4
 
-    def _by_capacity(self, spec: wire.JobSpec) -> Plan | None:
+    def _by_capacity(self, spec: user_api.JobSpec) -> Plan | None:
         """The part whose machines, were they empty, hold the gang best: it keeps room."""
         plan = self.plan_whole(spec)
         if plan is not None:
-            _, _, part = plan.ranges[0]
-            log.info("gang waits for room job=%s part=%d zone=%s", spec.id, part, plan.zone)
+            _, _, shard = plan.ranges[0]
+            log.info("gang waits for room job=%s part=%d zone=%s", spec.id, shard, plan.zone)
         return plan
 
     def free_capacity(
-        self, spec: wire.JobSpec, source: CapacitySource
+        self, spec: user_api.JobSpec, source: CapacitySource
     ) -> dict[tuple[int, str], int]:
-        """Tasks that each part could start in each zone, less what was booked just now."""
-        need = need_of(spec)
+        """Tasks that each shard could start in each zone, less what was booked just now."""
+        resources = resource_request(spec)
         limit = trio.current_time() - self.policy.heartbeat_interval * 3
         self.booked = [row for row in self.booked if row[0] > limit]
         rooms: dict[tuple[int, str], int] = {}
-        for status in self.split.statuses.newest.values():
+        for status in self.scheduler.statuses.newest.values():
             for zone, count in self._free_capacity_in(status, spec, source).items():
-                rooms[(status.part, zone)] = count
+                rooms[(status.shard, zone)] = count
         for _, key, (a, b, c), count in self.booked:
             if key in rooms:
-                share = max((x / y for x, y in zip((a, b, c), need, strict=True) if y), default=0)
+                share = max(
+                    (x / y for x, y in zip((a, b, c), resources, strict=True) if y), default=0
+                )
                 rooms[key] = max(0, rooms[key] - math.ceil(count * min(1.0, share)))
         return rooms
 
     def _free_capacity_in(
-        self, status: PartStatus, spec: wire.JobSpec, source: CapacitySource
+        self, status: ShardStatus, spec: user_api.JobSpec, source: CapacitySource
     ) -> dict[str, int]:
-        """Tasks that a part could start in each zone; worked out once a status and shape.
+        """Tasks that a shard could start in each zone; worked out once a status and shape.
 
         The leader plans every gang that waits, several times a second.
         """
-        need = need_of(spec)
-        known = self.split.statuses.zones.setdefault(status.part, {})
-        key = (source, need, spec.types, spec.zone, spec.spot)
+        resources = resource_request(spec)
+        known = self.scheduler.statuses.zones.setdefault(status.shard, {})
+        key = (source, resources, spec.types, spec.zone, spec.spot)
         found = known.get(key)
         if found is not None:
             return found
         found = known[key] = {}
-        for (type_, zone, spot), machines in self.split.statuses.groups_of(status).items():
+        for (type_, zone, spot), machines in self.scheduler.statuses.groups_of(status).items():
             kind = self.types().get(type_)
             if kind is None or not group_ok(spec, kind, zone, spot):
                 continue
@@ -193,25 +188,25 @@
                     if source is CapacitySource.OVER_GUARANTEE:
                         x, y, z = machine.over
                         a, b, c = a + x, b + y, c + z
-                if fits(need, (a, b, c)):
-                    total += times(need, (a, b, c))
+                if fits(resources, (a, b, c)):
+                    total += times(resources, (a, b, c))
             if total:
                 found[zone] = found.get(zone, 0) + total
         return found
 
     async def assign(self, job: Job, token: int) -> None:
-        """A job whose tasks constrain one another: to one part, or reserved over several."""
+        """A job whose tasks constrain one another: to one shard, or reserved over several."""
         spec = job.spec
         plan: Plan | None = None
-        if spec.kind == wire.GANG:
+        if spec.kind == user_api.GANG:
             plan = self.plan(spec, token, job)
-            if plan is None and spec.tasks == 1 and self.split.teams.limit_left(spec):
+            if plan is None and spec.tasks == 1 and self.scheduler.quotas.limit_left(spec):
                 # It needs one machine, and that can be kept for it.
                 plan = self._by_capacity(spec)
         else:
             plan = self.plan_whole(spec)
         if plan is not None:
-            await self.split.write_ranges(
+            await self.scheduler.write_ranges(
                 job,
                 {"pt/parts/0": token},
                 plan.ranges,
@@ -220,13 +215,13 @@
                 caps=plan.caps,
             )
 
-    def plan_whole(self, spec: wire.JobSpec) -> Plan | None:
+    def plan_whole(self, spec: user_api.JobSpec) -> Plan | None:
         """The part, and the zone if it needs one, for an array or service that stays whole."""
         if spec.is_service:
-            plan = self.plan_service(spec, self.split.statuses.newest)
+            plan = self.plan_service(spec, self.scheduler.statuses.newest)
             if plan is not None:
                 return plan
-        best = self.best_part(spec)
+        best = self.best_shard(spec)
         if best is None:
             return None
         ranges = [TaskRange(0, spec.tasks, best)]
@@ -236,7 +231,7 @@
         return Plan(ranges, zone)
 
     async def assign_rest(self, job: Job, token: int) -> None:
-        """What a part gave back of a whole job after other tasks of it were done.
+        """What a shard gave back of a whole job after other tasks of it were done.
 
         One task of a gang done means that all are: the rest ends as soon as it starts
         somewhere. Of an array bound to one zone, or spread, the rest goes where there is
@@ -244,21 +239,21 @@
         """
         if goes_on(job, job.record.ranges):
             return
-        done = Bits(job.record.tasks)
+        done = TaskBitmap(job.record.tasks)
         for first, end, _ in job.record.ranges:
             for task in range(first, end):
                 done.add(task)
         left = merge((t, t + 1, 0) for t in range(job.record.tasks) if t not in done)
         count = sum(r.tasks for r in left)
         rest = msgspec.structs.replace(job.spec, tasks=count)
-        best = self.best_part(rest)
+        best = self.best_shard(rest)
         if best is None:
             return
         zone = self.pick_zone(rest, [TaskRange(0, count, best)], bound=job.spec.tasks > 1)
         if zone is None and job.spec.one_zone:
             return
         log.info("rest of a job assigned job=%s tasks=%d part=%d", job.id, count, best)
-        await self.split.write_ranges(
+        await self.scheduler.write_ranges(
             job,
             {"pt/parts/0": token},
             merge([*job.record.ranges, *((a, b, best) for a, b, _ in left)]),
@@ -268,17 +263,17 @@
         )
 
     def pick_zone(
-        self, spec: wire.JobSpec, ranges: list[TaskRange], *, bound: bool | None = None
+        self, spec: user_api.JobSpec, ranges: list[TaskRange], *, bound: bool | None = None
     ) -> str | None:
         """The zone for a one-zone job of several tasks, fixed before its first start."""
         if not spec.one_zone or not (spec.tasks > 1 if bound is None else bound):
             return None
         if spec.zone is not None:
             return spec.zone
-        parts = {p for _, _, p in ranges}
+        shards = {p for _, _, p in ranges}
         rooms: dict[str, tuple[float, float]] = {}
-        for status in self.split.statuses.newest.values():
-            if parts and status.part not in parts:
+        for status in self.scheduler.statuses.newest.values():
+            if shards and status.shard not in shards:
                 continue
             for machine in status.machines:
                 kind = self.types().get(machine.type)
@@ -288,10 +283,10 @@
                     continue
                 now, ever = rooms.get(machine.zone, (0.0, 0.0))
                 rooms[machine.zone] = (
-                    now + times(need_of(spec), machine.free),
-                    ever + times(need_of(spec), (kind.cpus, kind.gpus, kind.memory)),
+                    now + times(resource_request(spec), machine.free),
+                    ever + times(resource_request(spec), (kind.cpus, kind.gpus, kind.memory)),
                 )
-        wanted = spec.tasks if spec.kind == wire.GANG else 1
+        wanted = spec.tasks if spec.kind == user_api.GANG else 1
         best = max(
             rooms.items(),
             default=None,
@@ -299,29 +294,29 @@
         )
         return best[0] if best is not None and best[1][1] >= wanted else None
 
-    def best_part(self, spec: wire.JobSpec) -> int | None:
-        """For a job that stays whole: the part with room now, else the likeliest."""
+    def best_shard(self, spec: user_api.JobSpec) -> int | None:
+        """For a job that stays whole: the shard with room now, else the likeliest."""
         rows = []
-        for status in self.split.statuses.newest.values():
+        for status in self.scheduler.statuses.newest.values():
             able = sum(
-                times(need_of(spec), (k.cpus, k.gpus, k.memory))
+                times(resource_request(spec), (k.cpus, k.gpus, k.memory))
                 for m in status.machines
                 if m.flag in UP_FLAGS
                 and (k := self.types().get(m.type)) is not None
                 and group_ok(spec, k, m.zone, m.spot)
             )
-            if able < (spec.tasks if spec.kind == wire.GANG else 1):
+            if able < (spec.tasks if spec.kind == user_api.GANG else 1):
                 continue
             queued = sum(
-                count * self.split.rebalancing.share_ratio(spec, id)
+                count * self.scheduler.rebalancing.share_ratio(spec, id)
                 for id, count in status.waiting.items()
             )
-            owed = sum(1 for at, _ in self.split.statuses.unreported.get(status.part, ()))
-            now = self.split.statuses.free_capacity(status, spec, yielding=False) - owed
-            soon = self.split.statuses.free_capacity(status, spec, yielding=True) - owed
-            rows.append((now < spec.tasks, soon < spec.tasks, queued / able, status.part))
+            owed = sum(1 for at, _ in self.scheduler.statuses.unreported.get(status.shard, ()))
+            now = self.scheduler.statuses.free_capacity(status, spec, yielding=False) - owed
+            soon = self.scheduler.statuses.free_capacity(status, spec, yielding=True) - owed
+            rows.append((now < spec.tasks, soon < spec.tasks, queued / able, status.shard))
         if not rows:
             return None
         best = min(rows)[3]
-        self.split.statuses.record_allocation(best, spec, spec.tasks)
+        self.scheduler.statuses.record_allocation(best, spec, spec.tasks)
         return best
--- a/pitchtally/control/gangs.py
+++ b/pitchtally/scheduling/gangs.py
@@ -1,4 +1,4 @@
-"""Gangs, and other jobs that stay whole, in a part: kept room, started at once, given back."""
+"""Gangs, and other jobs that stay whole, in a shard: kept room, started at once, given back."""
 
 from __future__ import annotations
 
@@ -7,19 +7,14 @@
 
 import trio
 
-from ..store import StoreDown
-from .capacity import (
-    covered,
-    fits,
-    times,
-    whole,
-)
+from ..agents.machines import Machine, Resources, resource_request
+from ..jobs.index import Job
+from ..jobs.job_record import TaskRange, merge
+from ..state_store.errors import StoreUnavailable
+from .allocations import ShardAllocation, ShardState
+from .capacity import covered, fits, times, whole
 from .component import SchedulerComponent
-from .gang_planning import goes_on
-from .holdings import Holding, PartWork
-from .job_records import TaskRange, merge
-from .jobs import Job
-from .machines import Machine, Need, need_of
+from .gang_planner import goes_on
 
 if TYPE_CHECKING:
     pass
@@ -40,101 +35,109 @@
 
 
 class Gangs(SchedulerComponent):
-    """Jobs that stay whole, in a part: kept room, started at once, given back."""
+    """Jobs that stay whole, in a shard: kept room, started at once, given back."""
 
-    def start(self, work: PartWork, part: int) -> None:
-        """Place the gangs of a part that find all their room now."""
+    def start(self, work: ShardState, shard: int) -> None:
+        """Place the gangs of a shard that find all their room now."""
         if not work.gangs:
             return
         now = trio.current_time()
         rows = []
-        for id, holding in work.gangs.items():
-            job = holding.job
-            if holding.placed or not self.split.parts.ready(work, id, holding, now):
+        for id, allocation in work.gangs.items():
+            job = allocation.job
+            if allocation.placed or not self.scheduler.shards.ready(work, id, allocation, now):
                 continue
             if job.finished.count or job.local:
                 # One done means all done: what was lost with its machine has its result
                 # kept, and ends as soon as it is started again.
                 pass
             elif job.record.attempt:
-                if holding.tried == job.record.attempt or not covered(job):
+                if allocation.tried == job.record.attempt or not covered(job):
                     continue
-            elif holding.pool.count < job.spec.tasks - job.finished.count - len(job.local):
+            elif allocation.pending.count < job.spec.tasks - job.finished.count - len(job.local):
                 continue
-            rows.append((*self.split.order.key(holding, self.split.stretches[-1]), id))
+            rows.append(
+                (*self.scheduler.priorities.key(allocation, self.scheduler.stretches[-1]), id)
+            )
         for _, _, _, id in sorted(rows):
-            holding = work.holdings[id]
-            plan = self._machines(holding, part, now)
+            allocation = work.allocations[id]
+            plan = self._machines(allocation, shard, now)
             if plan is None:
                 work.ready.discard(id)
                 continue
-            job = holding.job
+            job = allocation.job
             shared = job.record.attempt
             if job.finished.count or job.local:
                 shared = 0
-            if shared and not self._all_ready(work, holding, plan, now):
+            if shared and not self._all_ready(work, allocation, plan, now):
                 continue
-            attempt = shared or self.split.placing.attempt(part)
-            holding.tried = attempt
+            attempt = shared or self.scheduler.placer.attempt(shard)
+            allocation.tried = attempt
             for machine in plan:
-                self.split.placing.place(holding, holding.pool.pop(), machine, attempt)
+                self.scheduler.placer.place(allocation, allocation.pending.pop(), machine, attempt)
                 if machine.reserved and machine.reserved[0] == id:
                     machine.reserved = None
-            holding.aged = False
+            allocation.aged = False
 
-    def _all_ready(self, work: PartWork, holding: Holding, plan: list[Machine], now: float) -> bool:
+    def _all_ready(
+        self, work: ShardState, allocation: ShardAllocation, plan: list[Machine], now: float
+    ) -> bool:
         """Whether every part of a gang has its room; ours is kept until then.
 
-        Started part by part, a gang would occupy machines while the rest of it waits
+        Started part by shard, a gang would occupy machines while the rest of it waits
         for room, and end as incomplete. A part that isn't heard of late can't tell.
         """
-        id, part = holding.job.id, holding.part
+        id, shard = allocation.job.id, allocation.shard
         work.ready.add(id)
         fresh = now - self.policy.heartbeat_interval * 4
-        for other in {p for _, _, p in holding.job.record.ranges if p != part}:
-            theirs = self.split.parts.work.get(other)
+        for other in {p for _, _, p in allocation.job.record.ranges if p != shard}:
+            theirs = self.scheduler.shards.work.get(other)
             if theirs is not None:
                 ready = id in theirs.ready
             elif (
-                self.split.statuses.received_at.get(other, -1e9) < fresh
-                or other not in self.split.statuses.newest
+                self.scheduler.statuses.received_at.get(other, -1e9) < fresh
+                or other not in self.scheduler.statuses.newest
             ):
                 ready = True
             else:
-                ready = id in self.split.statuses.newest[other].ready
+                ready = id in self.scheduler.statuses.newest[other].ready
             if not ready:
                 for machine in plan:
                     machine.reserved = (id, now + self.policy.heartbeat_interval * 4)
                 return False
         return True
 
-    def _machines(self, holding: Holding, part: int, now: float) -> list[Machine] | None:
+    def _machines(
+        self, allocation: ShardAllocation, shard: int, now: float
+    ) -> list[Machine] | None:
         """A machine for every task at once, in one zone where that is asked; or None."""
-        job = holding.job
+        job = allocation.job
         spec = job.spec
-        need = need_of(spec)
-        wanted = holding.pool.count
-        if self.split.teams.tasks_within_limit(part, spec) < wanted:
+        resources = resource_request(spec)
+        wanted = allocation.pending.count
+        if self.scheduler.quotas.tasks_within_limit(shard, spec) < wanted:
             return None
         machines = []
-        for machine in self.workers.of_part(part):
+        for machine in self.agents.of_shard(shard):
             if not machine.usable or machine.resting_until >= now:
                 continue
             if machine.reserved and machine.reserved[0] != job.id and machine.reserved[1] >= now:
                 continue
-            if fits(need, machine.free()) and self.split.parts.machine_ok(holding, machine):
-                machines.append((machine, times(need, machine.free())))
+            if fits(resources, machine.free()) and self.scheduler.shards.machine_ok(
+                allocation, machine
+            ):
+                machines.append((machine, times(resources, machine.free())))
         # The least other use first: a machine with cards is left for work that needs them.
         machines.sort(
             key=lambda mc: (
                 not (mc[0].reserved and mc[0].reserved[0] == job.id),
                 mc[0].errors,
-                self._waste(need, mc[0]),
+                self._waste(resources, mc[0]),
                 spec.image not in mc[0].images,
                 mc[0].slow,
             )
         )
-        caps = {zone: cap for p, zone, cap in job.record.caps if p == part}
+        caps = {zone: cap for p, zone, cap in job.record.caps if p == shard}
         limit = (spec.tasks + 1) // 2 if spec.spread and spec.tasks > 1 else wanted
         plan: list[Machine] = []
         zones: dict[str, int] = {}
@@ -147,74 +150,74 @@
                 plan.append(machine)
         return plan if len(plan) == wanted else None
 
-    def _waste(self, need: Need, machine: Machine) -> float:
+    def _waste(self, resources: Resources, machine: Machine) -> float:
         """What the task would leave unused that others may need: cards most of all."""
         kind = machine.kind
         assert kind is not None
         price = (kind.spot_price or kind.price) if machine.spot else kind.price
-        return price * (1.0 if kind.gpus and not need[1] else 0.0)
+        return price * (1.0 if kind.gpus and not resources[1] else 0.0)
 
-    def reserve(self, part: int) -> None:
+    def reserve(self, shard: int) -> None:
         """Keep the machines that soonest have room free for a gang that waits.
 
         Arrays take room task by task as it frees up; a gang of equal rank would wait
         until they run dry. One gang at a time, unless one machine holds it whole, and
         none whose room is far off: machines that drain bring nothing meanwhile.
         """
-        work = self.split.parts.work[part]
+        work = self.scheduler.shards.work[shard]
         now = trio.current_time()
-        machines = [m for m in self.workers.of_part(part) if m.usable and m.resting_until < now]
+        machines = [m for m in self.agents.of_shard(shard) if m.usable and m.resting_until < now]
         kept = {m.reserved[0] for m in machines if m.reserved and m.reserved[1] >= now}
-        held = [h for id in kept if (h := work.holdings.get(id)) is not None]
+        held = [h for id in kept if (h := work.allocations.get(id)) is not None]
         wide = any(h.gang and h.spec.tasks > 1 for h in held)
         large = any(not h.gang and h.aged for h in held)
         # Also for a task so large that small ones always take what frees up first.
-        waiting = [(h.release, id, h) for id, h in work.holdings.items() if h.gang or h.aged]
-        for _, id, holding in sorted(waiting, key=lambda r: r[:2]):
-            if id in kept or not self._may_reserve(work, holding, now):
+        waiting = [(h.release, id, h) for id, h in work.allocations.items() if h.gang or h.aged]
+        for _, id, allocation in sorted(waiting, key=lambda r: r[:2]):
+            if id in kept or not self._may_reserve(work, allocation, now):
                 continue
-            wanted = holding.pool.count if holding.gang else 1
-            if wanted > 1 and (wide or not self.split.order.late(holding.job)):
+            wanted = allocation.pending.count if allocation.gang else 1
+            if wanted > 1 and (wide or not self.scheduler.priorities.late(allocation.job)):
                 continue
-            if not holding.gang and (
-                large or not self.split.teams.tasks_within_limit(part, holding.spec)
+            if not allocation.gang and (
+                large or not self.scheduler.quotas.tasks_within_limit(shard, allocation.spec)
             ):
                 continue  # in a flood beyond the limit every array has waited long
-            chosen = self._soonest(holding, machines, wanted, now)
+            chosen = self._soonest(allocation, machines, wanted, now)
             if not chosen or chosen[-1].eta <= 0:
                 continue
             eta = chosen[-1].eta
             if wanted > 1:
                 if eta > self.policy.start_within / 8:
                     continue
-                if self.split.teams.tasks_within_limit(part, holding.spec) < wanted:
+                if self.scheduler.quotas.tasks_within_limit(shard, allocation.spec) < wanted:
                     continue  # its team's limit is what it waits for
                 wide = True
-            large = large or not holding.gang
+            large = large or not allocation.gang
             names = {opening.machine.name: opening.machine for opening in chosen}
             for machine in names.values():
                 machine.reserved = (id, now + eta * 1.5 + self.report_s * 3)
             log.info("kept machines=%d for=%s eta=%.1f", len(names), id, eta)
 
-    def _may_reserve(self, work: PartWork, holding: Holding, now: float) -> bool:
+    def _may_reserve(self, work: ShardState, allocation: ShardAllocation, now: float) -> bool:
         """Whether room may be kept for a job: it waits, and has done so for a report."""
-        attempt = holding.job.record.attempt
-        if holding.placed or (attempt and holding.tried == attempt):
+        attempt = allocation.job.record.attempt
+        if allocation.placed or (attempt and allocation.tried == attempt):
             return False
-        if now - holding.since < self.report_s:
+        if now - allocation.since < self.report_s:
             return False
-        return self.split.parts.ready(work, holding.job.id, holding, now)
+        return self.scheduler.shards.ready(work, allocation.job.id, allocation, now)
 
     def _soonest(
-        self, holding: Holding, machines: list[Machine], wanted: int, now: float
+        self, allocation: ShardAllocation, machines: list[Machine], wanted: int, now: float
     ) -> list[Opening]:
         """Where that many tasks find room soonest; nothing if there is none for all."""
-        a, b, c = holding.need
+        a, b, c = allocation.resources
         openings = []
         for machine in machines:
             if machine.reserved and machine.reserved[1] >= now:
                 continue
-            if not self.split.parts.machine_ok(holding, machine):
+            if not self.scheduler.shards.machine_ok(allocation, machine):
                 continue
             for n in range(1, wanted + 1):
                 eta = self._room_at(machine, (a * n, b * n, c * n), now)
@@ -224,91 +227,93 @@
         chosen = sorted(openings, key=lambda opening: opening[:3])[:wanted]
         return chosen if len(chosen) == wanted else []
 
-    def _room_at(self, machine: Machine, need: Need, now: float) -> float | None:
+    def _room_at(self, machine: Machine, resources: Resources, now: float) -> float | None:
         """Seconds until a machine has room for a need if nothing more starts there."""
         room = machine.free()
-        if fits(need, room):
+        if fits(resources, room):
             return 0.0
         ends = []
         for placement in machine.placements.values():
             if placement.spec.is_service:
                 continue  # it never leaves by itself
             ran = now - (placement.run_at or now)
-            ends.append((max(1.0, self.split.estimates.task(placement.spec) - ran), placement.need))
+            ends.append(
+                (max(1.0, self.scheduler.estimates.task(placement.spec) - ran), placement.resources)
+            )
         for end, (a, b, c) in sorted(ends):
             room = (room[0] + a, room[1] + b, room[2] + c)
-            if fits(need, room):
+            if fits(resources, room):
                 return end
         return None
 
-    def kept_for(self, part: int, id: str) -> bool:
-        """Whether a machine of the part is kept free for the job."""
+    def kept_for(self, shard: int, id: str) -> bool:
+        """Whether a machine of the shard is kept free for the job."""
         now = trio.current_time()
         return any(
             m.reserved and m.reserved[0] == id and m.reserved[1] >= now
-            for m in self.workers.of_part(part)
+            for m in self.agents.of_shard(shard)
         )
 
     async def give_back(self) -> None:
         """Whole jobs that can't start here go back to the leader, for a fresh look."""
-        for part, work in list(self.split.parts.work.items()):
-            token = self.members.token(part)
+        for shard, work in list(self.scheduler.shards.work.items()):
+            token = self.membership.token(shard)
             if not work.settled or token is None:
                 continue
-            for holding in list(work.holdings.values()):
-                job = holding.job
-                if not job.open or not whole(job.spec) or holding.moving:
+            for allocation in list(work.allocations.values()):
+                job = allocation.job
+                if not job.open or not whole(job.spec) or allocation.moving:
                     continue
-                if holding.placed:
-                    self._stop_if_incomplete(holding)
-                elif self._alone(holding) and self._gives_up(work, holding):
-                    await self._give_back(work, holding, token)
+                if allocation.placed:
+                    self._stop_if_incomplete(allocation)
+                elif self._alone(allocation) and self._gives_up(work, allocation):
+                    await self._give_back(work, allocation, token)
 
     @staticmethod
-    def _alone(holding: Holding) -> bool:
-        """Whether it has tasks that wait, and isn't a service that runs in other parts too."""
-        if holding.service and len(holding.job.record.ranges) > 1:
+    def _alone(allocation: ShardAllocation) -> bool:
+        """Whether it has tasks that wait, and isn't a service that runs in other shards too."""
+        if allocation.service and len(allocation.job.record.ranges) > 1:
             return False  # what it lacks moves alone, see `service_moves`
-        return holding.pool.count > 0
+        return allocation.pending.count > 0
 
-    def _stop_if_incomplete(self, holding: Holding) -> None:
-        """Stop the tasks of an attempt that another part has given up."""
-        job = holding.job
+    def _stop_if_incomplete(self, allocation: ShardAllocation) -> None:
+        """Stop the tasks of an attempt that another shard has given up."""
+        job = allocation.job
         begun = bool(job.finished.count or job.local)
         if job.record.attempt and not covered(job) and not begun:
-            for placement in list(holding.placed.values()):
-                self.workers.stop(placement, job.spec.save)
+            for placement in list(allocation.placed.values()):
+                self.agents.stop(placement, job.spec.save)
 
-    def _gives_up(self, work: PartWork, holding: Holding) -> bool:
+    def _gives_up(self, work: ShardState, allocation: ShardAllocation) -> bool:
         """Whether a job has waited here in vain, or its attempt has failed."""
-        job = holding.job
+        job = allocation.job
         begun = bool(job.finished.count or job.local)
         attempt = job.record.attempt
-        if not begun and attempt and (holding.tried == attempt or not covered(job)):
+        if not begun and attempt and (allocation.tried == attempt or not covered(job)):
             return True
         patience = self.settings.deployment.workers.gang_wait_s / 2
-        if self.kept_for(holding.part, job.id):
+        if self.kept_for(allocation.shard, job.id):
             patience *= 4
         elif (
-            holding.gang
+            allocation.gang
             and not begun
-            and not self.split.order.late(job)
+            and not self.scheduler.priorities.late(job)
             and job.id not in work.ready
-            and self.split.teams.limit_left(job.spec) >= job.spec.tasks
+            and self.scheduler.quotas.limit_left(job.spec) >= job.spec.tasks
         ):
             # What it was planned on went to others: look elsewhere at once.
             patience = self.report_s * 2
-        return trio.current_time() - holding.since >= patience
+        return trio.current_time() - allocation.since >= patience
 
-    def _without(self, job: Job, part: int) -> list[TaskRange] | None:
-        """A job's ranges once a part has given its rest back; None if that must wait."""
-        # What is done stays with the part that did it.
+    def _without(self, job: Job, shard: int) -> list[TaskRange] | None:
+        """A job's ranges once a shard has given its rest back; None if that must wait."""
+        # What is done stays with the shard that did it.
         rest = merge(
             (a, b, p)
             for first, end, p in job.record.ranges
             for a, b in (
                 [(first, end)]
-                if p != part
+                if p != shard
                 else [(t, t + 1) for t in range(first, end) if job.is_finished(t)]
             )
         )
@@ -317,28 +322,28 @@
         # Too many pieces for a record: all of it goes, once what is done is durable.
         if job.local:
             return None
-        return [r for r in job.record.ranges if r.part != part]
+        return [r for r in job.record.ranges if r.shard != shard]
 
-    async def _give_back(self, work: PartWork, holding: Holding, token: int) -> None:
-        job, part = holding.job, holding.part
-        rest = self._without(job, part)
+    async def _give_back(self, work: ShardState, allocation: ShardAllocation, token: int) -> None:
+        job, shard = allocation.job, allocation.shard
+        rest = self._without(job, shard)
         if rest is None:
             return
-        holding.since = trio.current_time()
-        holding.moving = True
+        allocation.since = trio.current_time()
+        allocation.moving = True
         version = job.version
         work.ready.discard(job.id)
         try:
-            await self.split.write_ranges(
+            await self.scheduler.write_ranges(
                 job,
-                {f"pt/parts/{part}": token},
+                {f"pt/parts/{shard}": token},
                 rest,
                 zone=job.record.zone if goes_on(job, rest) else None,
             )
-        except StoreDown as error:
-            await self.split.settle_job(error, job, version, part, token)
+        except StoreUnavailable as error:
+            await self.scheduler.settle_job(error, job, version, shard, token)
         finally:
-            holding.moving = False
+            allocation.moving = False
             if job.open:
-                self.split.parts.hold(job, part)
-                holding.rebuild()
+                self.scheduler.shards.hold(job, shard)
+                allocation.rebuild()
--- a/pitchtally/control/cheaper_room.py
+++ b/pitchtally/scheduling/lower_price_capacity.py
@@ -1,6 +1,6 @@
-"""Room that cheaper machines of a part have for a task, so that it leaves dear ones free.
+"""Room that cheaper machines of a shard have for a task, so that it leaves dear ones free.
 
-Asked for at each report. The rooms of a part's machines are listed once a survey, by groups
+Asked for at each report. The rooms of a shard's machines are listed once a survey, by groups
 of like machines; a job then walks a group at most once a survey, and only if one of its
 machines may have room, until it has found room for all that waits.
 """
@@ -10,8 +10,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
+from ..agents.machines import Machine, MachineGroupKey, Resources
 from .capacity import fits, times
-from .machines import Group, Machine, Need
 
 
 @dataclass(slots=True)
@@ -32,9 +32,9 @@
 class GroupRooms:
     """What is free on each machine of a group that takes work."""
 
-    busy: list[Need] = field(default_factory=list)
-    idle: list[Need] = field(default_factory=list)
-    largest: Need = (0.0, 0.0, 0.0)  # by resource, of all of them
+    busy: list[Resources] = field(default_factory=list)
+    idle: list[Resources] = field(default_factory=list)
+    largest: Resources = (0.0, 0.0, 0.0)  # by resource, of all of them
 
     def add(self, machine: Machine) -> None:
         """List a machine."""
@@ -43,18 +43,18 @@
         a, b, c = self.largest
         self.largest = (max(a, free[0]), max(b, free[1]), max(c, free[2]))
 
-    def for_tasks(self, need: Need, most: int) -> TaskRoom:
+    def for_tasks(self, resources: Resources, most: int) -> TaskRoom:
         """Room for tasks of this need, counted up to `most` of each kind."""
-        if not fits(need, self.largest):
+        if not fits(resources, self.largest):
             return TaskRoom()
-        return TaskRoom(_count(need, self.busy, most), _count(need, self.idle, most))
+        return TaskRoom(_count(resources, self.busy, most), _count(resources, self.idle, most))
 
 
-def _count(need: Need, rooms: list[Need], most: int) -> int:
+def _count(resources: Resources, rooms: list[Resources], most: int) -> int:
     found = 0
     for room in rooms:
-        if fits(need, room):
-            found += times(need, room)
+        if fits(resources, room):
+            found += times(resources, room)
             if found >= most:
                 break
     return found
@@ -62,9 +62,9 @@
 
 def list_rooms(
     machines: Iterable[Machine], now: float, longest_silence: float
-) -> dict[Group, GroupRooms]:
+) -> dict[MachineGroupKey, GroupRooms]:
     """The rooms of machines that take work and report, by group."""
-    found: dict[Group, GroupRooms] = {}
+    found: dict[MachineGroupKey, GroupRooms] = {}
     for machine in machines:
         if machine.reserved is not None and machine.reserved[1] >= now:
             continue
--- a/pitchtally/control/order.py
+++ b/pitchtally/scheduling/priorities.py
@@ -9,16 +9,16 @@
 
 import trio
 
-from .. import wire
-from ..settings import Objective
+from ..config.settings import Objective
+from ..jobs.index import Job
+from ..protocol import user_api
 from . import stretch
+from .allocations import ShardAllocation
 from .capacity import whole
 from .component import SchedulerComponent
-from .holdings import Holding
-from .jobs import Job
 
 if TYPE_CHECKING:
-    from .split import Split
+    from .scheduler import Scheduler
 
 log = logging.getLogger("order")
 
@@ -32,26 +32,26 @@
 STRICT = 0.95
 
 
-class Order(SchedulerComponent):
+class PriorityOrder(SchedulerComponent):
     """Who comes first: stretch deadlines, ranks, guarantees, aims, and long waits."""
 
-    def __init__(self, split: Split) -> None:
-        super().__init__(split)
+    def __init__(self, scheduler: Scheduler) -> None:
+        super().__init__(scheduler)
         self.released: dict[str, float] = {}  # job -> acceptance on our steady clock
         self.aims: dict[str | None, list[Objective]] = {}  # by class
         for aim in self.settings.deployment.objectives:
             self.aims.setdefault(aim.job_class, []).append(aim)
 
-    def slack(self, spec: wire.JobSpec) -> float:
+    def slack(self, spec: user_api.JobSpec) -> float:
         """Seconds a job of this class may wait and still be in time, by the tightest aim."""
-        task = self.split.estimates.task(spec)
+        task = self.scheduler.estimates.task(spec)
         found = [] if spec.deadline is None else [spec.deadline - task]
         found.extend(
             aim.within_s - (0.0 if aim.kind == "wait" else task)
             for aim in self.aims.get(spec.job_class, ())
             if aim.within_s is not None
         )
-        if spec.kind == wire.GANG and self.split.teams.guaranteed(spec.team):
+        if spec.kind == user_api.GANG and self.scheduler.quotas.guaranteed(spec.team):
             # Arrays fill what frees up, but a gang within its team's guarantee starts in
             # time only where room for all of it is up already.
             found.extend(
@@ -63,9 +63,9 @@
         usual = self.report_s if spec.is_service else task * 3
         return max(1.0, min(found, default=usual))
 
-    def size(self, spec: wire.JobSpec) -> float:
+    def size(self, spec: user_api.JobSpec) -> float:
         """w of the paper: the whole size of a job, in task-seconds."""
-        return spec.tasks * self.split.estimates.task(spec)
+        return spec.tasks * self.scheduler.estimates.task(spec)
 
     def release(self, job: Job) -> float:
         """The job's acceptance on this node's steady clock."""
@@ -81,14 +81,14 @@
         due = stretch.deadline(release, self.size(job.spec), level)
         return min(due, release + self.bound(job.spec)) + self.lateness(job, release)
 
-    def bound(self, spec: wire.JobSpec) -> float:
+    def bound(self, spec: user_api.JobSpec) -> float:
         """Seconds from release by which tasks must have begun, whatever the stretch says.
 
-        The owner's deadline, and an aim that lets hardly any job miss it. By stretch
+        The leader's deadline, and an aim that lets hardly any job miss it. By stretch
         the widest jobs of a class wait longest in a flood, and are the ones to miss; an
         aim that lets many miss is served best just so, and doesn't count here.
         """
-        task = self.split.estimates.task(spec)
+        task = self.scheduler.estimates.task(spec)
         found = [math.inf if spec.deadline is None else spec.deadline]
         found.extend(
             aim.within_s - task
@@ -97,38 +97,42 @@
         )
         return max(0.0, min(found))
 
-    def renew(self, holding: Holding) -> None:
+    def renew(self, allocation: ShardAllocation) -> None:
         """What the order needs of a job and changes slowly: once a survey."""
         now = trio.current_time()
-        job = holding.job
-        holding.size = self.size(holding.spec)
-        holding.late = self.lateness(job, holding.release)
-        holding.bound = self.bound(holding.spec)
-        holding.room_in.clear()
-        begun = bool(holding.placed) or job.finished.count > 0 or bool(job.local)
-        waits_since = holding.since if begun else min(holding.since, holding.release)
-        holding.aged = now - waits_since > self.policy.start_within * AGED
-
-    def due_of(self, holding: Holding, level: float) -> float:
+        job = allocation.job
+        allocation.size = self.size(allocation.spec)
+        allocation.late = self.lateness(job, allocation.release)
+        allocation.bound = self.bound(allocation.spec)
+        allocation.room_in.clear()
+        begun = bool(allocation.placed) or job.finished.count > 0 or bool(job.local)
+        waits_since = allocation.since if begun else min(allocation.since, allocation.release)
+        allocation.aged = now - waits_since > self.policy.start_within * AGED
+
+    def due_of(self, allocation: ShardAllocation, level: float) -> float:
         """`due`, from what the last survey found."""
-        due = stretch.deadline(holding.release, holding.size, level)
-        return min(due, holding.release + holding.bound) + holding.late
+        due = stretch.deadline(allocation.release, allocation.size, level)
+        return min(due, allocation.release + allocation.bound) + allocation.late
 
-    def key(self, holding: Holding, level: float) -> tuple[int, bool, float]:
+    def key(self, allocation: ShardAllocation, level: float) -> tuple[int, bool, float]:
         """Rank, then guarantee, then deadline; first of all who waits since too long.
 
         A stretch deadline alone keeps nobody from starving where ranks stand above it:
         a job that has had no start for most of what users bear comes before all others
         until it has one, in order of acceptance.
         """
-        if holding.aged:
-            return (-1, False, holding.release)
-        return (holding.rank, not self.split.teams.under(holding.spec), self.due_of(holding, level))
+        if allocation.aged:
+            return (-1, False, allocation.release)
+        return (
+            allocation.rank,
+            not self.scheduler.quotas.under(allocation.spec),
+            self.due_of(allocation, level),
+        )
 
     def lateness(self, job: Job, release: float) -> float:
         """Added for each aim that the job can't meet any more."""
         spec = job.spec
-        task = self.split.estimates.task(spec)
+        task = self.scheduler.estimates.task(spec)
         now = trio.current_time()
         missed = 0
         for aim in self.aims.get(spec.job_class, ()):
--- a/pitchtally/control/teams.py
+++ b/pitchtally/scheduling/quotas.py
@@ -1,4 +1,4 @@
-"""Teams: guarantees, limits, and the durable shares of a limit that parts hold."""
+"""Teams: guarantees, limits, and the durable shares of a limit that shards hold."""
 
 from __future__ import annotations
 
@@ -8,48 +8,45 @@
 
 import trio
 
-from .. import tokens, wire
-from ..formats.team_shares import TeamShares
-from ..settings import Team
-from ..store import StoreDown
-from .capacity import (
-    RANK,
-    fits,
-    times,
-)
+from ..config.settings import Team
+from ..formats.quota_shares import QuotaShares
+from ..membership.messages import ShardStatus
+from ..protocol import user_api
+from ..state_store import rate_limits
+from ..state_store.errors import StoreUnavailable
+from .allocations import ShardState
+from .capacity import RANK, fits, times
 from .component import SchedulerComponent
-from .holdings import PartWork
-from .messages import PartStatus
 
 if TYPE_CHECKING:
-    from .split import Split
+    from .scheduler import Scheduler
 
 log = logging.getLogger("teams")
 
 
-class Teams(SchedulerComponent):
-    """Teams: guarantees, limits, and the durable shares of a limit that parts hold."""
+class Quotas(SchedulerComponent):
+    """Teams: guarantees, limits, and the durable shares of a limit that shards hold."""
 
-    def __init__(self, split: Split) -> None:
-        super().__init__(split)
+    def __init__(self, scheduler: Scheduler) -> None:
+        super().__init__(scheduler)
         self.known: dict[str, Team] = {t.name: t for t in self.settings.deployment.teams}
-        self.shares = TeamShares(split.replica, split.job_store.gate)
+        self.shares = QuotaShares(scheduler.replica, scheduler.job_index.gate)
         self.giving: dict[tuple[int, str], tuple[float, float]] = {}
         self.waiting_for_limit: dict[
             str, tuple[float, int, str]
         ] = {}  # team -> gang short of share
 
-    def share(self, part: int, team: str) -> tuple[float, float]:
-        """This part's durable share of a team's limits; infinite without a limit."""
+    def share(self, shard: int, team: str) -> tuple[float, float]:
+        """This shard's durable share of a team's limits; infinite without a limit."""
         settings = self.known.get(team)
         if settings is None:
             return (0.0, 0.0)
         rows = self.shares.of(team)
         if rows is not None:
-            cpus, gpus = rows[part]
+            cpus, gpus = rows[shard]
         else:
             cpus, gpus = settings.cpus_max / self.count, settings.gpus_max / self.count
-        less = self.giving.get((part, team), (0.0, 0.0))
+        less = self.giving.get((shard, team), (0.0, 0.0))
         return (
             cpus - less[0] if settings.cpus_max > 0 else math.inf,
             gpus - less[1] if settings.gpus_max > 0 else math.inf,
@@ -65,103 +62,103 @@
         found = self.known.get(team)
         return found is not None and (found.cpus > 0 or found.gpus > 0)
 
-    def use(self, part: int, team: str) -> tuple[float, float]:
-        """CPUs and GPUs that a team's tasks take in a part."""
-        return self.workers.placements.use(part, team)
+    def use(self, shard: int, team: str) -> tuple[float, float]:
+        """CPUs and GPUs that a team's tasks take in a shard."""
+        return self.agents.placements.use(shard, team)
 
-    def tasks_within_limit(self, part: int, spec: wire.JobSpec) -> int:
-        """How many more tasks of this job the team's share allows in the part."""
+    def tasks_within_limit(self, shard: int, spec: user_api.JobSpec) -> int:
+        """How many more tasks of this job the team's share allows in the shard."""
         if not self.limited(spec.team):
             return 1_000_000
-        unheard = self._unheard(part)
+        unheard = self._unheard(shard)
         if unheard is None:
             return 0
-        share, used = self.share(part, spec.team), self.use(part, spec.team)
+        share, used = self.share(shard, spec.team), self.use(shard, spec.team)
         cpus, gpus = share[0] - used[0] - unheard[0], share[1] - used[1] - unheard[1]
         if self.held_back(spec):
             # The gang's part leaves all that it needs, any other as much of that as it
             # holds of the limit; the rest goes on, for a gang may wait long for shares
             # to move in an outage.
             _, place, id = self.waiting_for_limit[spec.team]
-            gang, team = self.job_store.open[id].spec, self.known[spec.team]
+            gang, team = self.job_index.open[id].spec, self.known[spec.team]
             if team.cpus_max:
-                part_of = 1.0 if place == part else share[0] / team.cpus_max
-                cpus -= gang.cpus * gang.tasks * part_of
+                shard_of = 1.0 if place == shard else share[0] / team.cpus_max
+                cpus -= gang.cpus * gang.tasks * shard_of
             if team.gpus_max:
-                part_of = 1.0 if place == part else share[1] / team.gpus_max
-                gpus -= gang.gpus * gang.tasks * part_of
+                shard_of = 1.0 if place == shard else share[1] / team.gpus_max
+                gpus -= gang.gpus * gang.tasks * shard_of
         return times((spec.cpus, spec.gpus, 0.0), (cpus, gpus, 1.0))
 
-    def _unheard(self, part: int) -> tuple[float, float] | None:
-        """The most that a team may use, unknown to us, on machines since the takeover.
+    def _unheard(self, shard: int) -> tuple[float, float] | None:
+        """The most that a team may use, unknown to us, on machines since the failover.
 
         Any of them may hold nothing but this team's tasks. A zone that is cut off in the
-        midst of a takeover must not stop every limited team on the machines that answer.
+        midst of a failover must not stop every limited team on the machines that answer.
         """
-        machines_with_orphans = self.workers.machines_with_orphans.get(part)
-        if self.split.parts.work[part].settled and not machines_with_orphans:
+        machines_with_orphans = self.agents.machines_with_orphans.get(shard)
+        if self.scheduler.shards.work[shard].settled and not machines_with_orphans:
             return (0.0, 0.0)
-        hold = self.workers.parts.get(part)
+        hold = self.agents.shards.get(shard)
         if hold is None or not hold.loaded:
             return None
         cpus = gpus = 0.0
         # Nor is anything known of what tasks of jobs that are over take until they end.
         for name in hold.suspects | (machines_with_orphans or set()):
-            machine = self.workers.machines.get(name)
+            machine = self.agents.machines.get(name)
             if machine is None or machine.kind is None:
                 return None
             cpus, gpus = cpus + machine.kind.cpus, gpus + machine.kind.gpus
         return (cpus, gpus)
 
-    def held_back(self, spec: wire.JobSpec) -> bool:
+    def held_back(self, spec: user_api.JobSpec) -> bool:
         """Whether a gang of the team comes first and can't gather enough of its limit.
 
         Arrays take what frees up task by task, so a gang would wait for ever for a
         limit that its own team's arrays fill.
         """
         gang = self.waiting_for_limit.get(spec.team)
-        if gang is None or spec.kind == wire.GANG:
+        if gang is None or spec.kind == user_api.GANG:
             return False
-        job, first = self.job_store.open.get(spec.id), self.job_store.open.get(gang[2])
+        job, first = self.job_index.open.get(spec.id), self.job_index.open.get(gang[2])
         if job is None or first is None or RANK[spec.rank] < RANK[first.spec.rank]:
             return False
         # The gang's stretch deadline is far off for its size, while it needs little of
         # the limit, and only once: after a few reports it comes first.
-        waited = trio.current_time() - self.split.order.release(first)
-        return waited > self.report_s * 4 or gang[0] <= self.split.order.due(job, 1.0)
+        waited = trio.current_time() - self.scheduler.priorities.release(first)
+        return waited > self.report_s * 4 or gang[0] <= self.scheduler.priorities.due(job, 1.0)
 
     def find_waiting_for_limit(self) -> None:
         """For each limited team, the first gang that has room on machines but no share."""
         self.waiting_for_limit.clear()
         limited = {team for team in self.known if self.limited(team)}
-        for gang in self.job_store.open.values() if limited else ():
+        for gang in self.job_index.open.values() if limited else ():
             # Not assigned yet, since the limit has no place for all of it.
             team = gang.spec.team
             if (
-                gang.spec.kind == wire.GANG
+                gang.spec.kind == user_api.GANG
                 and not gang.record.ranges
                 and team in limited
                 and self.limit_left(gang.spec) < gang.spec.tasks
             ):
-                row = (self.split.order.due(gang, 1.0), -1, gang.id)
+                row = (self.scheduler.priorities.due(gang, 1.0), -1, gang.id)
                 if team not in self.waiting_for_limit or row < self.waiting_for_limit[team]:
                     self.waiting_for_limit[team] = row
-        for status in self.split.statuses.newest.values():
+        for status in self.scheduler.statuses.newest.values():
             for id, count in status.waiting.items():
-                job = self.job_store.open.get(id)
-                if job is None or job.spec.kind != wire.GANG or not self.limited(job.spec.team):
+                job = self.job_index.open.get(id)
+                if job is None or job.spec.kind != user_api.GANG or not self.limited(job.spec.team):
                     continue
                 spec = job.spec
-                share, used = self.share(status.part, spec.team), status.use.get(spec.team, (0, 0))
+                share, used = self.share(status.shard, spec.team), status.use.get(spec.team, (0, 0))
                 room = (share[0] - used[0], share[1] - used[1], 1.0)
                 if times((spec.cpus, spec.gpus, 0.0), room) >= count:
                     continue
                 if (
                     id not in status.reserved
-                    and self.split.statuses.free_capacity(status, spec, yielding=True) < count
+                    and self.scheduler.statuses.free_capacity(status, spec, yielding=True) < count
                 ):
                     continue
-                row = (self.split.order.due(job, 1.0), status.part, id)
+                row = (self.scheduler.priorities.due(job, 1.0), status.shard, id)
                 if (
                     spec.team not in self.waiting_for_limit
                     or row < self.waiting_for_limit[spec.team]
@@ -169,14 +166,16 @@
                     self.waiting_for_limit[spec.team] = row
 
     def use_anywhere(self, team: str) -> tuple[float, float]:
-        """A team's use in all parts: ours exactly, others' as last told."""
+        """A team's use in all shards: ours exactly, others' as last told."""
         rows = [
-            self.use(p, team) if p in self.split.parts.work else status.use.get(team, (0.0, 0.0))
-            for p, status in self.split.statuses.newest.items()
+            self.use(p, team)
+            if p in self.scheduler.shards.work
+            else status.use.get(team, (0.0, 0.0))
+            for p, status in self.scheduler.statuses.newest.items()
         ]
         return sum(r[0] for r in rows), sum(r[1] for r in rows)
 
-    def under(self, spec: wire.JobSpec) -> bool:
+    def under(self, spec: user_api.JobSpec) -> bool:
         """Whether the team, with one more such task, runs no more than its guarantee.
 
         Guarantees decide order and preemption only, so peers' statuses are exact enough;
@@ -190,8 +189,8 @@
             not team.gpus or gpus + spec.gpus <= team.gpus + 1e-6
         )
 
-    def limit_left(self, spec: wire.JobSpec) -> int:
-        """How many more tasks of a job its team's limit allows, over all parts."""
+    def limit_left(self, spec: user_api.JobSpec) -> int:
+        """How many more tasks of a job its team's limit allows, over all shards."""
         team = self.known.get(spec.team)
         if team is None:
             return 0
@@ -203,7 +202,7 @@
         )
         return times((spec.cpus, spec.gpus, 0.0), room)
 
-    def beyond(self, spec: wire.JobSpec, other: str) -> bool:
+    def beyond(self, spec: user_api.JobSpec, other: str) -> bool:
         """Whether a team other than ours runs more than its own guarantee."""
         return spec.team != other and self.over_guarantee(spec.team)
 
@@ -216,43 +215,45 @@
         return cpus > team.cpus + 1e-6 or (gpus > team.gpus + 1e-6 and team.gpus > 0)
 
     async def move_shares(self) -> None:
-        """Give a part with too small a share what this part neither uses nor waits for.
+        """Give a shard with too small a share what this shard neither uses nor waits for.
 
         One commit lowers our share and raises the other's; we count as lowered from
         before it is sent until the store is known to say otherwise.
         """
-        for part, work in list(self.split.parts.work.items()):
-            token = self.members.token(part)
-            if not work.settled or token is None or part not in self.split.statuses.newest:
+        for shard, work in list(self.scheduler.shards.work.items()):
+            token = self.membership.token(shard)
+            if not work.settled or token is None or shard not in self.scheduler.statuses.newest:
                 continue
             for team in self.known.values():
-                if not self.limited(team.name) or (part, team.name) in self.giving:
+                if not self.limited(team.name) or (shard, team.name) in self.giving:
                     continue
-                if self.split.parts.work.get(part) is not work:
+                if self.scheduler.shards.work.get(shard) is not work:
                     break  # lost while a share of it was being given away
-                spare = self._spare(part, work, team.name)
-                for other in self.split.statuses.newest.values():
-                    if other.part == part:
+                spare = self._spare(shard, work, team.name)
+                for other in self.scheduler.statuses.newest.values():
+                    if other.shard == shard:
                         continue
                     short, least = self._short(other, team.name)
                     give = (min(spare[0], short[0]), min(spare[1], short[1]))
                     waiting_for_limit = self.waiting_for_limit.get(team.name)
                     if waiting_for_limit is not None:
-                        if waiting_for_limit[1] != other.part:
+                        if waiting_for_limit[1] != other.shard:
                             continue  # first the gang that waits for its team's limit
                     elif not fits((least[0], least[1], 0.0), (give[0], give[1], 1.0)):
                         continue  # not enough to start even one task there
                     if give[0] > 1e-6 or give[1] > 1e-6:
-                        await self._give_share(part, token, other.part, team, give)
+                        await self._give_share(shard, token, other.shard, team, give)
                         break
 
-    def _spare(self, part: int, work: PartWork, team: str) -> tuple[float, float]:
-        share, used = self.share(part, team), self.use(part, team)
+    def _spare(self, shard: int, work: ShardState, team: str) -> tuple[float, float]:
+        share, used = self.share(shard, team), self.use(shard, team)
         cpus, gpus = share[0] - used[0], share[1] - used[1]
-        for holding in work.holdings.values():
-            spec = holding.job.spec
-            if spec.team == team and holding.pool.count and not self.held_back(spec):
-                count = self._startable(self.split.statuses.newest[part], spec, holding.pool.count)
+        for allocation in work.allocations.values():
+            spec = allocation.job.spec
+            if spec.team == team and allocation.pending.count and not self.held_back(spec):
+                count = self._startable(
+                    self.scheduler.statuses.newest[shard], spec, allocation.pending.count
+                )
                 # What is too little for one more task here may complete one elsewhere.
                 count = min(count, times((spec.cpus, spec.gpus, 0.0), (cpus, gpus, 1.0)))
                 cpus -= spec.cpus * count
@@ -262,29 +263,29 @@
             gpus if 0 < gpus < math.inf else 0.0,
         )
 
-    def _startable(self, status: PartStatus, spec: wire.JobSpec, waiting: int) -> int:
+    def _startable(self, status: ShardStatus, spec: user_api.JobSpec, waiting: int) -> int:
         """How many waiting tasks machines there have room for, by preemption too.
 
-        Share that goes to tasks without room would lie idle there while other parts
+        Share that goes to tasks without room would lie idle there while other shards
         have room and no share. What the lowest rank holds counts as room: preemption waits
         for the share, so the share must not wait for preemption.
         """
-        yielding = spec.rank != wire.RANKS[-1]
+        yielding = spec.rank != user_api.RANKS[-1]
         return min(
             waiting,
-            self.split.statuses.free_capacity(status, spec, yielding=yielding),
+            self.scheduler.statuses.free_capacity(status, spec, yielding=yielding),
         )
 
     def _short(
-        self, status: PartStatus, team: str
+        self, status: ShardStatus, team: str
     ) -> tuple[tuple[float, float], tuple[float, float]]:
-        """What a part's waiting tasks of a team lack of share; and for one task, the least."""
-        share, used = self.share(status.part, team), status.use.get(team, (0.0, 0.0))
+        """What a shard's waiting tasks of a team lack of share; and for one task, the least."""
+        share, used = self.share(status.shard, team), status.use.get(team, (0.0, 0.0))
         left = (share[0] - used[0], share[1] - used[1])
         cpus = gpus = 0.0
         least = (math.inf, math.inf)
         for id, count in status.waiting.items():
-            job = self.job_store.open.get(id)
+            job = self.job_index.open.get(id)
             if job is None or job.spec.team != team:
                 continue
             spec = job.spec
@@ -292,7 +293,7 @@
             if not count:
                 continue
             cpus, gpus = cpus + spec.cpus * count, gpus + spec.gpus * count
-            at_once = spec.tasks if spec.kind == wire.GANG else 1
+            at_once = spec.tasks if spec.kind == user_api.GANG else 1
             lack = (
                 max(0.0, spec.cpus * at_once - left[0]),
                 max(0.0, spec.gpus * at_once - left[1]),
@@ -303,29 +304,29 @@
         return (max(0.0, cpus - left[0]), max(0.0, gpus - left[1])), least
 
     async def _give_share(
-        self, part: int, token: int, to: int, team: Team, give: tuple[float, float]
+        self, shard: int, token: int, to: int, team: Team, give: tuple[float, float]
     ) -> None:
         rows = (
             self.shares.of(team.name)
             or [(team.cpus_max / self.count, team.gpus_max / self.count)] * self.count
         )
         moved = list(rows)
-        moved[part] = (rows[part][0] - give[0], rows[part][1] - give[1])
+        moved[shard] = (rows[shard][0] - give[0], rows[shard][1] - give[1])
         moved[to] = (rows[to][0] + give[0], rows[to][1] + give[1])
         change = self.shares.change(team.name, moved)
         versions = self.shares.versions(team.name)
-        conditions = {f"pt/parts/{part}": token, **versions}
-        self.giving[(part, team.name)] = give
+        conditions = {f"pt/parts/{shard}": token, **versions}
+        self.giving[(shard, team.name)] = give
         try:
-            await self.job_store.commit(conditions, [change], priority=tokens.ACCEPTANCES)
-        except StoreDown as error:
-            await self.split.settle(
+            await self.job_index.commit(conditions, [change], priority=rate_limits.ACCEPTANCES)
+        except StoreUnavailable as error:
+            await self.scheduler.settle(
                 error,
                 change.key,
                 versions,
-                part,
+                shard,
                 token,
                 lambda: self.shares.unchanged(change.key, team.name, rows),
             )
         finally:
-            self.giving.pop((part, team.name), None)
+            self.giving.pop((shard, team.name), None)
--- a/pitchtally/control/split.py
+++ b/pitchtally/scheduling/scheduler.py
@@ -1,12 +1,12 @@
 """Which part gets a job's tasks, and which of them start on a machine.
 
-The path of the design: an accepting node keeps a job if its part covers it at a
+The path of the design: an accepting node keeps a job if its shard covers it at a
 stretch of at most B times the lowest anywhere, else the leader splits it by
-summed availability; within a part the tasks are allotted to machine queues the
+summed availability; within a shard the tasks are allotted to machine queues the
 same way; a machine with room starts its queue in deadline order and then takes
-from the longest queue of its part. Around it stand what the users' world adds:
-ranks, guarantees and limits of teams, zones, gangs, preemption, and parts that
-give tasks to a part with room."""
+from the longest queue of its shard. Around it stand what the users' world adds:
+ranks, guarantees and limits of teams, zones, gangs, preemption, and shards that
+give tasks to a shard with room."""
 
 from __future__ import annotations
 
@@ -18,40 +18,34 @@
 import msgspec
 import trio
 
-from .. import tokens, wire
+from ..agents.machines import resource_request
+from ..agents.manager import AgentManager
+from ..config.policy import Policy
+from ..config.settings import Settings
 from ..formats.migration import JobMigration
-from ..policy import Policy
-from ..replica import Replica
-from ..settings import Settings
-from ..store import Refused, StoreDown, Write
+from ..jobs.index import Job, JobIndex
+from ..jobs.job_record import JobRecord, TaskRange, merge
+from ..membership.membership import Membership
+from ..membership.messages import ShardStatus
+from ..protocol import cloud_api, user_api
+from ..state_store import rate_limits
+from ..state_store.client import Write
+from ..state_store.errors import InvalidTransaction, OutcomeUnknown, StoreUnavailable
+from ..state_store.replica import Replica
 from . import stretch
-from .capacity import (
-    NOBODY,
-    RANK,
-    Plan,
-    covered,
-    group_ok,
-    share_of,
-    whole,
-)
+from .allocations import ShardState
+from .capacity import NOBODY, RANK, Plan, covered, group_ok, share_of, whole
 from .estimates import Estimates
-from .gang_planning import GangPlanning
+from .gang_planner import GangPlanner
 from .gangs import Gangs
-from .holdings import PartWork
-from .job_records import Record, TaskRange, merge
-from .jobs import Job, JobStore
-from .machines import need_of
-from .members import Members
-from .messages import PartStatus
-from .order import Order
-from .part_statuses import PartStatuses
-from .parts import Parts
-from .placing import Placing
+from .placer import Placer
 from .preemption import Preemption
+from .priorities import PriorityOrder
+from .quotas import Quotas
 from .rebalancing import Rebalancing
-from .service_moves import ServiceMoves
-from .teams import Teams
-from .workers import Workers
+from .service_migration import ServiceMigration
+from .shard_statuses import ShardStatuses
+from .shards import ShardStates
 
 log = logging.getLogger("split")
 
@@ -60,7 +54,7 @@
 _REST = 9.0
 
 
-def _same_plan(job: Job, before: Record) -> bool:
+def _same_plan(job: Job, before: JobRecord) -> bool:
     """Whether a job's record says the same as before of who gets which tasks."""
     now = job.record
     return (now.stage, now.ranges, now.zone, now.attempt, now.caps) == (
@@ -72,27 +66,27 @@
     )
 
 
-class Split:
+class Scheduler:
     """The scheduler: its slices, what is kept and what is split, and the loops."""
 
     def __init__(
         self,
         settings: Settings,
         policy: Policy,
-        members: Members,
-        job_store: JobStore,
-        workers: Workers,
+        membership: Membership,
+        job_index: JobIndex,
+        agents: AgentManager,
         replica: Replica,
         migration: JobMigration,
-        types: Callable[[], dict[str, wire.MachineType]],
+        types: Callable[[], dict[str, cloud_api.MachineType]],
     ):
         self.migration = migration
         self.layout = migration.layout
         self.settings = settings
         self.policy = policy
-        self.members = members
-        self.job_store = job_store
-        self.workers = workers
+        self.membership = membership
+        self.job_index = job_index
+        self.agents = agents
         self.types = types
         self.count = settings.deployment.count
         self.report_s = settings.deployment.workers.report_s
@@ -103,76 +97,77 @@
         self.sizes = stretch.samples(16.0, 2.0**19, int(policy.size_samples))
         self.tasks = stretch.samples(0.25, 0.25 * 3.0**7, int(policy.task_samples))
         self.replica = replica
-        self.order = Order(self)
-        self.statuses = PartStatuses(self)
-        self.teams = Teams(self)
-        self.parts = Parts(self)
-        self.placing = Placing(self)
-        self.gang_planning = GangPlanning(self)
+        self.priorities = PriorityOrder(self)
+        self.statuses = ShardStatuses(self)
+        self.quotas = Quotas(self)
+        self.shards = ShardStates(self)
+        self.placer = Placer(self)
+        self.gang_planner = GangPlanner(self)
         self.gangs = Gangs(self)
         self.preemption = Preemption(self)
         self.rebalancing = Rebalancing(self)
-        self.service_moves = ServiceMoves(self)
+        self.service_migration = ServiceMigration(self)
 
-    def _cover(self, status: PartStatus, spec: wire.JobSpec, level: int) -> int:
-        """n of a part at a stretch sample, from its matrix, less what was sent since."""
+    def _cover(self, status: ShardStatus, spec: user_api.JobSpec, level: int) -> int:
+        """n of a shard at a stretch sample, from its matrix, less what was sent since."""
         total = 0
-        size = stretch.sample_below(self.sizes, self.order.size(spec))
-        sent = sum(w for _, w in self.statuses.unreported.get(status.part, ()))
+        size = stretch.sample_below(self.sizes, self.priorities.size(spec))
+        sent = sum(w for _, w in self.statuses.unreported.get(status.shard, ()))
         for name, cells in status.matrix:
             type_, zone, spot = name.split("|")
             kind = self.types().get(type_)
             if kind is None or not group_ok(spec, kind, zone, spot == "1"):
                 continue
-            task = self.estimates.task(spec) * share_of(need_of(spec), kind)
+            task = self.estimates.task(spec) * share_of(resource_request(spec), kind)
             total += cells[level][size][stretch.sample_above(self.tasks, task)]
             if sent and total:
                 total -= math.ceil(sent / max(task, 1e-6))
                 sent = 0.0
         return max(0, total)
 
-    def decide(self, spec: wire.JobSpec) -> Plan:
-        """On acceptance: keep the job in a part of ours, or NOBODY to send it to the leader.
+    def decide(self, spec: user_api.JobSpec) -> Plan:
+        """On acceptance: keep the job in a shard of ours, or NOBODY to send it to the leader.
 
         A gang's tasks are placed at once wherever there is room for all: it has no
         stretch to compare, and a detour by the leader would only cost time.
         """
-        mine = [p for p, w in self.parts.work.items() if w.loaded and p in self.statuses.newest]
+        mine = [p for p, w in self.shards.work.items() if w.loaded and p in self.statuses.newest]
         if not mine:
             return NOBODY
-        if spec.kind == wire.GANG:
-            token = self.members.token(mine[0])
-            return (token is not None and self.gang_planning.plan(spec, token)) or NOBODY
+        if spec.kind == user_api.GANG:
+            token = self.membership.token(mine[0])
+            return (token is not None and self.gang_planner.plan(spec, token)) or NOBODY
         if spec.is_service:
             # Rooms are compared, not queues: it goes to the leader only if ours lack it.
-            return self.gang_planning.plan_service(spec, mine) or NOBODY
+            return self.gang_planner.plan_service(spec, mine) or NOBODY
         if whole(spec):
-            best = self.gang_planning.best_part(spec)
+            best = self.gang_planner.best_shard(spec)
             if best not in mine:
                 return NOBODY
             ranges = [TaskRange(0, spec.tasks, best)]
-            return Plan(ranges, self.gang_planning.pick_zone(spec, ranges))
+            return Plan(ranges, self.gang_planner.pick_zone(spec, ranges))
         return Plan(self._keep(spec, mine))
 
-    def _keep(self, spec: wire.JobSpec, mine: list[int]) -> list[TaskRange]:
-        """The B test on our parts; the leader splits at once what none of them keeps."""
+    def _keep(self, spec: user_api.JobSpec, mine: list[int]) -> list[TaskRange]:
+        """The B test on our shards; the leader splits at once what none of them keeps."""
         lowest = max(
             min((n.stretch for n in self.statuses.newest.values()), default=0.0), self.stretches[0]
         )
-        for part in mine:
+        for shard in mine:
             counts = [
-                self._cover(self.statuses.newest[part], spec, i) for i in range(len(self.stretches))
+                self._cover(self.statuses.newest[shard], spec, i)
+                for i in range(len(self.stretches))
             ]
             level = stretch.least_cover(counts, spec.tasks)
             if level is not None and self.stretches[level] <= self.policy.bound * lowest:
-                self.statuses.record_allocation(part, spec, spec.tasks)
-                return [TaskRange(0, spec.tasks, part)]
-        return self.divide(spec) if self.members.leading is not None else []
+                self.statuses.record_allocation(shard, spec, spec.tasks)
+                return [TaskRange(0, spec.tasks, shard)]
+        return self.divide(spec) if self.membership.cluster_leader_token is not None else []
 
-    def divide(self, spec: wire.JobSpec) -> list[TaskRange]:
+    def divide(self, spec: user_api.JobSpec) -> list[TaskRange]:
         """The leader's split: in proportion to availability at the least covering stretch."""
         if whole(spec):
-            best = self.gang_planning.best_part(spec)
+            best = self.gang_planner.best_shard(spec)
             return [TaskRange(0, spec.tasks, best)] if best is not None else []
         statuses = [n for n in self.statuses.newest.values() if n.matrix]
         if not statuses:
@@ -190,38 +185,38 @@
             statuses, stretch.shares(found, min(spec.tasks, sum(found))), strict=True
         ):
             if n:
-                out.append(TaskRange(first, first + n, status.part))
-                self.statuses.record_allocation(status.part, spec, n)
+                out.append(TaskRange(first, first + n, status.shard))
+                self.statuses.record_allocation(status.shard, spec, n)
                 first += n
         return out
 
-    def decide_as_leader(self, spec: wire.JobSpec) -> Plan:
+    def decide_as_leader(self, spec: user_api.JobSpec) -> Plan:
         """Where a job goes that no part of its accepting controller keeps; NOBODY if unknown."""
-        if self.members.leading is None or spec.kind == wire.GANG:
+        if self.membership.cluster_leader_token is None or spec.kind == user_api.GANG:
             return NOBODY
         if whole(spec):
-            return self.gang_planning.plan_whole(spec) or NOBODY
+            return self.gang_planner.plan_whole(spec) or NOBODY
         if spec.is_service:
-            plan = self.gang_planning.plan_service(spec, self.statuses.newest)
+            plan = self.gang_planner.plan_service(spec, self.statuses.newest)
             if plan is not None:
                 return plan
         return Plan(self.divide(spec))
 
     async def _assign(self) -> None:
-        token = self.members.leading
+        token = self.membership.cluster_leader_token
         waiting = [
             job
-            for job in self.job_store.open.values()
+            for job in self.job_index.open.values()
             if sum(r.tasks for r in job.record.ranges) < job.record.tasks
         ]
         # In the order of starts: what is planned first gets the room.
         waiting.sort(
             key=lambda job: (
-                self.order.overdue(job),
-                not self.order.late(job),
+                self.priorities.overdue(job),
+                not self.priorities.late(job),
                 RANK[job.spec.rank],
-                not self.teams.under(job.spec),
-                self.order.release(job),
+                not self.quotas.under(job.spec),
+                self.priorities.release(job),
             )
         )
         for job in waiting:
@@ -231,9 +226,9 @@
                 continue
             if whole(job.spec):
                 if not have:
-                    await self.gang_planning.assign(job, token)
+                    await self.gang_planner.assign(job, token)
                 elif job.finished.count:
-                    await self.gang_planning.assign_rest(job, token)
+                    await self.gang_planner.assign_rest(job, token)
                 continue
             rest = (
                 job.spec
@@ -255,14 +250,14 @@
     ) -> bool:
         """Write who gets which tasks of a job; False if a condition failed."""
         key = f"pt/jobs/{job.id}"
-        # Our copy applies our own writes ahead of the watch: a part of ours that was
-        # taken over meanwhile must not be given tasks that its new owner starts too.
-        for _, _, part in ranges:
-            token = self.members.token(part)
+        # Our copy applies our own writes ahead of the watch: a shard of ours that was
+        # taken over meanwhile must not be given tasks that its new leader starts too.
+        for _, _, shard in ranges:
+            token = self.membership.token(shard)
             if token is not None:
-                guard[f"pt/parts/{part}"] = token
+                guard[f"pt/parts/{shard}"] = token
         # Moves are for the better, assignments for going at all.
-        priority = tokens.PROGRESS if covered(job) and not more else tokens.ACCEPTANCES
+        priority = rate_limits.PROGRESS if covered(job) and not more else rate_limits.ACCEPTANCES
         value = self._record_with(job, ranges=ranges, **more)
         if self.layout.needs_conversion(job) or not self.layout.record_fits(value):
             before = job.record
@@ -272,24 +267,24 @@
         if not self.layout.record_fits(value):
             return False  # too many pieces for a record: the tasks stay where they are
         try:
-            return await self.job_store.commit(
+            return await self.job_index.commit(
                 {key: job.version, **guard}, [Write(key, value)], priority=priority
             )
-        except Refused as error:
+        except InvalidTransaction as error:
             log.info("ranges refused job=%s cause=%s", job.id, error)
             return False
 
     def _record_with(self, job: Job, **changes: Any) -> bytes:
         """A job's record as it is now, but for these fields, encoded."""
-        record: Record = msgspec.structs.replace(job.current_record(), **changes)
+        record: JobRecord = msgspec.structs.replace(job.current_record(), **changes)
         return self.layout.encode_record(job, record)
 
     async def settle(
         self,
-        error: StoreDown,
+        error: StoreUnavailable,
         key: str,
         versions: dict[str, int],
-        part: int,
+        shard: int,
         token: int,
         value: Callable[[], bytes],
     ) -> None:
@@ -298,30 +293,30 @@
         To read the store isn't enough: a transaction may be carried out seconds after its
         answer was given up, and what was kept back meanwhile would have gone on by then.
         So the key is written as it stands. Whichever of the two comes first, the other's
-        condition fails; a part that was lost meanwhile is its new owner's affair.
+        condition fails; a shard that was lost meanwhile is its new leader's affair.
         `versions`: those of the key, and of others, that the transaction rested on.
         """
-        if not error.unknown:
+        if not isinstance(error, OutcomeUnknown):
             return
-        while self.members.token(part) == token and all(
+        while self.membership.token(shard) == token and all(
             self.replica.version(name) == version for name, version in versions.items()
         ):
             try:
-                await self.job_store.commit(
-                    {**versions, f"pt/parts/{part}": token},
+                await self.job_index.commit(
+                    {**versions, f"pt/parts/{shard}": token},
                     [Write(key, value())],
-                    priority=tokens.ACCEPTANCES,
+                    priority=rate_limits.ACCEPTANCES,
                 )
-            except StoreDown as again:
+            except StoreUnavailable as again:
                 log.debug("settling %s: %s", key, again)
                 await trio.sleep(0.3)
 
     async def settle_job(
-        self, error: StoreDown, job: Job, version: int, part: int, token: int
+        self, error: StoreUnavailable, job: Job, version: int, shard: int, token: int
     ) -> None:
         """`settle` for a job's record."""
         key = f"pt/jobs/{job.id}"
-        await self.settle(error, key, {key: version}, part, token, lambda: self._record_with(job))
+        await self.settle(error, key, {key: version}, shard, token, lambda: self._record_with(job))
 
     async def run(self) -> None:
         """Allot, preempt, refresh statuses; what is due is worked out anew each time."""
@@ -332,40 +327,40 @@
             # Starts travel with reports: planning much more often than these come is idle.
             await trio.sleep(self.report_s / 10)
             spent = 0.0
-            for part, work in list(self.parts.work.items()):
-                if work.loaded and part in self.parts.work:
+            for shard, work in list(self.shards.work.items()):
+                if work.loaded and shard in self.shards.work:
                     at = trio.current_time()
-                    self._plan(part, work)
+                    self._plan(shard, work)
                     spent += trio.current_time() - at
                     await trio.sleep(0)  # reports come before planning
             spent += self.statuses.refresh()
             # Planning takes a bounded share of the processor, whatever its size.
             await trio.sleep(min(self.report_s, spent * _REST))
 
-    def _plan(self, part: int, work: PartWork) -> None:
-        """One planning round of a part."""
-        self.placing.survey(part)
-        self.placing.allot(part)
-        self.gangs.start(work, part)
-        self.placing.vacate(part)
-        self.preemption.preempt(part)
-        self.gangs.reserve(part)
+    def _plan(self, shard: int, work: ShardState) -> None:
+        """One planning round of a shard."""
+        self.placer.survey(shard)
+        self.placer.allot(shard)
+        self.gangs.start(work, shard)
+        self.placer.vacate(shard)
+        self.preemption.preempt(shard)
+        self.gangs.reserve(shard)
 
-    async def run_splitting(self) -> None:
-        """The leader gives out jobs that nobody kept; owners move what another can start."""
+    async def run_global_scheduling(self) -> None:
+        """The leader gives out jobs that nobody kept; leaders move what another can start."""
         spent = 0.0
         while True:
             await trio.sleep(max(0.2, min(self.report_s, spent * _REST)))
             at = trio.current_time()
             try:
-                if self.members.leading is not None:
+                if self.membership.cluster_leader_token is not None:
                     await self._assign()
                 await self.gangs.give_back()
-                await self.service_moves.move()
+                await self.service_migration.move()
                 await self.rebalancing.rebalance()
                 await self.rebalancing.even_out()
-                await self.teams.move_shares()
+                await self.quotas.move_shares()
                 spent = min(self.report_s, trio.current_time() - at)
-            except StoreDown as error:
+            except StoreUnavailable as error:
                 log.debug("split not written: %s", error)
                 await trio.sleep(0.3)
--- a/pitchtally/store.py
+++ b/pitchtally/state_store/client.py
@@ -1,4 +1,4 @@
-"""The state service: conditional commits, reads and leases.
+"""The state store: conditional commits, reads and leases.
 
 A commit ends in one of four ways, and callers must tell them apart: committed,
 refused by a condition, not executed, or unknown. Unknown ones are read back
@@ -16,46 +16,24 @@
 import msgspec
 import trio
 
-from . import tokens, wire
-from .http import Client, HttpError
-from .settings import StateLimits, host_port
+from ..config.settings import StateLimits, host_port
+from ..http import Client, HttpError
+from ..protocol import state_store_api
+from . import rate_limits
+from .errors import (
+    CompareFailed,
+    InvalidTransaction,
+    LeaseExpired,
+    NoResponse,
+    OutcomeUnknown,
+    StoreUnavailable,
+)
 
 log = logging.getLogger("store")
 
 T = TypeVar("T")
 
 
-class StoreDown(Exception):
-    """Not executed, or (unknown=True) perhaps executed: there was no answer."""
-
-    def __init__(self, reason: str, *, unknown: bool = False):
-        super().__init__(reason)
-        self.unknown = unknown
-
-
-class NoAnswer(StoreDown):
-    """Nothing came back, in time or at all."""
-
-    def __init__(self, reason: str):
-        super().__init__(reason, unknown=True)
-
-
-class Refused(StoreDown):
-    """The store will not execute such a request: a value or a transaction is too large."""
-
-
-class Conflict(Exception):
-    """A condition failed; nothing was changed."""
-
-    def __init__(self, failed: list[str]):
-        super().__init__(", ".join(failed))
-        self.failed = failed
-
-
-class NoLease(Exception):
-    """The lease has ended: a new one is needed."""
-
-
 @dataclass(slots=True)
 class Write:
     """A write, or a removal, within a transaction."""
@@ -65,23 +43,23 @@
     lease: int | None = None
 
 
-_page = msgspec.json.Decoder(wire.StoredPage)
-_events = msgspec.json.Decoder(wire.Events)
-_revision = msgspec.json.Decoder(wire.Revision)
-_lease = msgspec.json.Decoder(wire.LeaseGrant)
+_page = msgspec.json.Decoder(state_store_api.StoredPage)
+_events = msgspec.json.Decoder(state_store_api.Events)
+_revision = msgspec.json.Decoder(state_store_api.Revision)
+_lease = msgspec.json.Decoder(state_store_api.LeaseGrant)
 encode = msgspec.json.encode
 
 
-class Store:
-    """One node's client of the state service."""
+class StateStoreClient:
+    """One node's client of the state store."""
 
     def __init__(self, address: str, limits: StateLimits, nodes: int, timeout: float):
         self.address = host_port(address)
         self.timeout = timeout
         # Nine tenths: other nodes' clocks and our own bursts never quite agree.
         share = 0.9 / nodes
-        self.requests = tokens.Bucket(limits.rps * share, limits.rps * share)
-        self.writes = tokens.Bucket(limits.write_rps * share, limits.write_rps * share)
+        self.requests = rate_limits.TokenBucket(limits.rps * share, limits.rps * share)
+        self.writes = rate_limits.TokenBucket(limits.write_rps * share, limits.write_rps * share)
         self.limits = limits
         self.client = Client(keep=8)
         self.answered_at = -1e9
@@ -115,15 +93,15 @@
         except HttpError as error:
             self.client.drop(self.address)
             self._failed(sent)
-            raise NoAnswer(str(error)) from None
+            raise NoResponse(str(error)) from None
         if response.status == 429:
             self.requests.penalty()
             if method == "POST" and target == "/commit":
                 self.writes.penalty()
-            raise StoreDown("over its limit")
+            raise StoreUnavailable("over its limit")
         if response.status >= 500:
             self._failed(sent)
-            raise StoreDown(f"status {response.status}")
+            raise StoreUnavailable(f"status {response.status}")
         self.failing_since = None
         self.answered_at = max(self.answered_at, sent)
         return response.status, response.body
@@ -132,14 +110,14 @@
         if self.failing_since is None and sent > self.answered_at:
             self.failing_since = sent
 
-    async def page(self, prefix: str, after: str | None) -> wire.StoredPage:
+    async def page(self, prefix: str, after: str | None) -> state_store_api.StoredPage:
         """A page of keys with a prefix, after a key."""
         since = f"&since={after}" if after else ""
         status, body = await self._call(
-            "GET", f"/store?starts={prefix}{since}&limit=500", priority=tokens.LEASES
+            "GET", f"/store?starts={prefix}{since}&limit=500", priority=rate_limits.LEASES
         )
         if status != 200:
-            raise StoreDown(f"status {status}")
+            raise StoreUnavailable(f"status {status}")
         return self._decode(_page, body)
 
     async def commit(
@@ -151,13 +129,19 @@
         on_sent: Callable[[], None] | None = None,
     ) -> int:
         """Commit and return the revision; raises Conflict, NoLease or StoreDown."""
-        puts: list[wire.Put | wire.Delete] = []
+        puts: list[state_store_api.Put | state_store_api.Delete] = []
         for change in changes:
             if change.value is None:
-                puts.append(wire.Delete(change.key))
+                puts.append(state_store_api.Delete(change.key))
             else:
-                puts.append(wire.Put(change.key, msgspec.Raw(change.value), change.lease))
-        body = encode(wire.Transaction([wire.Condition(k, v) for k, v in conditions.items()], puts))
+                puts.append(
+                    state_store_api.Put(change.key, msgspec.Raw(change.value), change.lease)
+                )
+        body = encode(
+            state_store_api.Transaction(
+                [state_store_api.Precondition(k, v) for k, v in conditions.items()], puts
+            )
+        )
         if changes:
             await self.writes.take(priority, len(changes))
         status, answer = await self._call(
@@ -166,28 +150,28 @@
         if status == 200:
             return self._decode(_revision, answer).revision
         if status == 409:
-            raise Conflict(self._decode(_revision, answer).failed)
+            raise CompareFailed(self._decode(_revision, answer).failed)
         if status == 400 and b"lease" in answer:
-            raise NoLease
+            raise LeaseExpired
         if status == 400:
-            raise Refused(f"status {status}: {answer[:100]!r}")
-        raise StoreDown(f"status {status}: {answer[:100]!r}")
+            raise InvalidTransaction(f"status {status}: {answer[:100]!r}")
+        raise StoreUnavailable(f"status {status}: {answer[:100]!r}")
 
     async def grant(self, ttl: float) -> int:
         """A new lease."""
-        body = encode(wire.LeaseRequest(int(ttl * 1000)))
-        status, answer = await self._call("POST", "/leases", body, priority=tokens.LEASES)
+        body = encode(state_store_api.LeaseRequest(int(ttl * 1000)))
+        status, answer = await self._call("POST", "/leases", body, priority=rate_limits.LEASES)
         if status != 200:
-            raise StoreDown(f"status {status}")
+            raise StoreUnavailable(f"status {status}")
         return self._decode(_lease, answer).lease
 
     async def renew(self, lease: int) -> None:
         """Renew a lease; NoLease if it has ended."""
-        status, _ = await self._call("POST", f"/leases/{lease}/extend", priority=tokens.LEASES)
+        status, _ = await self._call("POST", f"/leases/{lease}/extend", priority=rate_limits.LEASES)
         if status == 404:
-            raise NoLease
+            raise LeaseExpired
         if status != 200:
-            raise StoreDown(f"status {status}")
+            raise StoreUnavailable(f"status {status}")
 
     async def follow(
         self,
@@ -195,10 +179,10 @@
         after: int,
         wait: float,
         *,
-        priority: int = tokens.LEASES,
+        priority: int = rate_limits.LEASES,
         timeout: float | None = None,
         on_sent: Callable[[], None] | None = None,
-    ) -> wire.Events | None:
+    ) -> state_store_api.Events | None:
         """Changes after a revision; None if that is too old and keys must be read again.
 
         Without a change the store answers after `wait` seconds; with 0 at once. `timeout`
@@ -215,12 +199,12 @@
         if status == 410:
             return None
         if status != 200:
-            raise StoreDown(f"status {status}")
+            raise StoreUnavailable(f"status {status}")
         events = self._decode(_events, body)
         if events.revision < after:
             # Whoever asked knew more already: this was the answer to another question.
             self._tell_once("answer older than its question")
-            raise StoreDown("answer older than its question")
+            raise StoreUnavailable("answer older than its question")
         return events
 
     def _tell_once(self, cause: str) -> None:
@@ -233,4 +217,4 @@
             return decoder.decode(body)
         except msgspec.MsgspecError as error:
             self._tell_once("rubbish")
-            raise StoreDown(f"rubbish: {error}", unknown=True) from None
+            raise OutcomeUnknown(f"rubbish: {error}") from None
--- a/pitchtally/tokens.py
+++ b/pitchtally/state_store/rate_limits.py
@@ -1,4 +1,4 @@
-"""Token buckets with priorities for calls to the state service and the cloud.
+"""Token buckets with priorities for calls to the state store and the cloud.
 
 The limits are for all nodes together, so each node fills its bucket at its
 share. Waiters are served by priority, then in order. A caller can also ask how
@@ -22,7 +22,7 @@
 _STEP = 0.004
 
 
-class Bucket:
+class TokenBucket:
     """A token bucket whose waiters are served by priority, then in order."""
 
     def __init__(self, rate: float, burst: float, now: Callable[[], float] = trio.current_time):
--- a/pitchtally/replica.py
+++ b/pitchtally/state_store/replica.py
@@ -1,4 +1,4 @@
-"""This controller's copy of its keys in the state service, kept up by a watch.
+"""This controller's copy of its keys in the state store, kept up by a watch.
 
 Besides the watch, any caller may bring the copy up to the store's present by a read of
 its own (`Replica.refresh`). Answers may come in any order, long after newer ones: what an
@@ -13,8 +13,10 @@
 
 import trio
 
-from . import tokens, wire
-from .store import Store, StoreDown, Write
+from ..protocol import state_store_api
+from . import rate_limits
+from .client import StateStoreClient, Write
+from .errors import StoreUnavailable
 
 log = logging.getLogger("replica")
 
@@ -39,14 +41,14 @@
 
     PREFIX = "pt/"
 
-    def __init__(self, store: Store, pause: float, wait: float):
-        self.store = store
+    def __init__(self, state_store: StateStoreClient, pause: float, wait: float):
+        self.state_store = state_store
         self.pause = pause
         self.wait = wait
-        self.seen = -1
+        self.revision = -1
         self.versions: dict[str, int] = {}
         self.listeners: list[tuple[str, Listener]] = []
-        self.fresh_at = -1e9  # a request sent at this time has confirmed the copy
+        self.verified_at = -1e9  # a request sent at this time has confirmed the copy
 
     def listen(self, prefix: str, listener: Listener) -> None:
         """Have a listener told of every change below a prefix."""
@@ -74,7 +76,7 @@
 
     def own(self, changes: Sequence[Write], revision: int) -> None:
         """Apply a commit of ours; one the watch has passed already is left alone."""
-        if revision <= self.seen:
+        if revision <= self.revision:
             return
         for change in changes:
             if change.value is not None:
@@ -92,8 +94,8 @@
         The read is apart from the watch, whose answer may be late. `timeout` is in seconds;
         `on_sent` is called as the request goes out. Raises StoreDown.
         """
-        if self.seen < 0:
-            raise StoreDown("nothing is loaded yet")
+        if self.revision < 0:
+            raise StoreUnavailable("nothing is loaded yet")
         asked_at = trio.current_time()
 
         def sent() -> None:
@@ -102,27 +104,27 @@
             if on_sent is not None:
                 on_sent()
 
-        events = await self.store.follow(
+        events = await self.state_store.follow(
             self.PREFIX,
-            self.seen,
+            self.revision,
             0.0,
-            priority=tokens.COMPLETIONS,
+            priority=rate_limits.COMPLETIONS,
             timeout=timeout,
             on_sent=sent,
         )
         if events is None:
-            raise StoreDown("the copy is too old to be refreshed")
+            raise StoreUnavailable("the copy is too old to be refreshed")
         self._take(events, asked_at)
         return Refresh(events.revision, asked_at, trio.current_time())
 
-    def _take(self, events: wire.Events, asked_at: float) -> None:
+    def _take(self, events: state_store_api.Events, asked_at: float) -> None:
         """Apply an answer to a question that was sent at `asked_at`.
 
         Several questions may be under way. A change that the copy covers already is left
         out: a put that came late would bring a key back that was removed since.
         """
         for event in events.events:
-            if event.version <= self.seen:
+            if event.version <= self.revision:
                 continue
             if event.put is not None:
                 self._apply(event.put, bytes(event.value), event.version)
@@ -132,7 +134,7 @@
         self._advance(events.revision)
         # An answer after a silent wait vouches for its end, not its start;
         # only the sending time is certain.
-        self.fresh_at = max(self.fresh_at, asked_at)
+        self.verified_at = max(self.verified_at, asked_at)
 
     async def load(self) -> None:
         """Read everything; keys that vanished meanwhile are dropped."""
@@ -140,7 +142,7 @@
         after: str | None = None
         revision: int | None = None
         while True:
-            page = await self.store.page(self.PREFIX, after)
+            page = await self.state_store.page(self.PREFIX, after)
             # The watch goes on from the first page: later changes are seen again.
             revision = page.revision if revision is None else revision
             for item in page.items:
@@ -154,7 +156,7 @@
         self._advance(revision)
 
     def _advance(self, revision: int) -> None:
-        self.seen = max(self.seen, revision)
+        self.revision = max(self.revision, revision)
 
     async def run(self) -> None:
         """Follow for ever, reading everything anew whenever the thread is lost."""
@@ -163,18 +165,18 @@
             try:
                 await self._follow()
                 delay = self.pause
-            except StoreDown as error:
+            except StoreUnavailable as error:
                 log.debug("watch: %s", error)
                 delay = min(delay * 2, 1.0)
             await trio.sleep(delay)
 
     async def _follow(self) -> None:
         asked_at = trio.current_time()
-        if self.seen >= 0:
-            events = await self.store.follow(self.PREFIX, self.seen, self.wait)
+        if self.revision >= 0:
+            events = await self.state_store.follow(self.PREFIX, self.revision, self.wait)
             if events is not None:
                 self._take(events, asked_at)
                 return
             log.info("watch too old, reading again")
         await self.load()
-        self.fresh_at = max(self.fresh_at, asked_at)
+        self.verified_at = max(self.verified_at, asked_at)
--- a/run.py
+++ b/run.py
@@ -9,6 +9,6 @@
 sys.path[:0] = [str(ROOT), str(ROOT / "target" / "deps")]
 
 if __name__ == "__main__":
-    from pitchtally.cli import entry
+    from pitchtally.cli.entry import entry
 
     entry(sys.argv[1:])
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m standins`: state service, cloud and workers on loopback, for trying out.
+"""`python -m standins`: state store, cloud and agents on loopback, for trying out.
 
 Prints a settings file for each controller into a folder, then serves until ended.
 """
@@ -15,7 +15,7 @@
 
 from .cloud import World
 from .network import Network
-from .state import State
+from .state_store import State
 
 TYPES: dict[str, dict[str, Any]] = {
     "small": {
@@ -92,7 +92,7 @@
 
 
 class Specs(dict[str, dict[str, Any]]):
-    """Workers fetch descriptions on their own: here, from the jobs' records."""
+    """Agents fetch descriptions on their own: here, from the jobs' records."""
 
     def __init__(self, state: State):
         super().__init__()
@@ -158,7 +158,7 @@
 
     async with trio.open_nursery() as nursery:
         world.nursery = nursery
-        world.listen = lambda worker, port: nursery.start_soon(serve, worker.handle, port)
+        world.listen = lambda agent, port: nursery.start_soon(serve, agent.handle, port)
         nursery.start_soon(state.run)
         nursery.start_soon(serve, state.handle, STATE)
         nursery.start_soon(serve, world.handle, CLOUD)
--- a/standins/worker.py
+++ b/standins/agent.py
@@ -1,4 +1,4 @@
-"""A machine's worker: reports to the controllers, executes their orders, keeps its lease."""
+"""A machine's agent: reports to the controllers, executes their orders, keeps its lease."""
 
 from __future__ import annotations
 
@@ -50,14 +50,14 @@
         return row
 
 
-class Worker:
+class Agent:
     """One machine. It may hang, fail every task, or be taken back by the cloud."""
 
     def __init__(self, world: World, name: str, type_: str, zone: str, spot: bool, port: int):
         self.world = world
         self.name, self.type, self.zone, self.spot = name, type_, zone, spot
         self.address = f"{world.host}:{port}"
-        self.session, self.seq, self.token = 1, 0, 0
+        self.epoch, self.seq, self.token = 1, 0, 0
         self.tasks: dict[str, HeldTask] = {}
         self.born = self.renewed = trio.current_time()
         self.node = world.random.randrange(len(world.nodes))
@@ -86,7 +86,7 @@
     def restart(self) -> None:
         """Down and up again before anybody noticed: nothing is left, a new session."""
         self._lose_all()
-        self.session += 1
+        self.epoch += 1
         self.renewed = trio.current_time()
         self.changed.set()
 
@@ -104,7 +104,7 @@
             nursery.start_soon(self._work)
             while not self.gone:
                 await self._while_hung()
-                await self._report()
+                await self._heartbeat()
                 await trio.sleep(LEAST_PAUSE)
                 with trio.move_on_after(max(0.0, self.world.report_s - LEAST_PAUSE)):
                     await self.changed.wait()
@@ -128,18 +128,18 @@
             "parcel": self.zone,
             "recallS": notice,
             "gleaning": self.spot,
-            "shift": self.session,
+            "shift": self.epoch,
             "tally": self.seq,
             "seal": self.token,
             "rows": [task.as_row(name) for name, task in self.tasks.items()],
         }
 
-    async def _report(self) -> None:
-        sent, session = trio.current_time(), self.session
+    async def _heartbeat(self) -> None:
+        sent, epoch = trio.current_time(), self.epoch
         response = await self._send_report()
         await self._while_hung()
         late = trio.current_time() - sent > REPORT_TIMEOUT
-        if self.gone or session != self.session or late:
+        if self.gone or epoch != self.epoch or late:
             return
         if response.status == 200:
             self._take_answer(json.loads(response.body), sent)
@@ -193,7 +193,7 @@
         if request.path == "/status":
             return self._own_report(200)
         body = json.loads(request.body)
-        if body["seal"] < self.token or body["shift"] != self.session:
+        if body["seal"] < self.token or body["shift"] != self.epoch:
             return self._own_report(409)
         self._see_token(body["seal"])
         self._execute(body["orders"])
@@ -282,7 +282,7 @@
             return
         self.world.rules.leases_over += sum(1 for task in self.tasks.values() if task.active)
         self._lose_all()
-        self.session += 1
+        self.epoch += 1
         self.renewed = now
         self.changed.set()
 
--- a/standins/cloud.py
+++ b/standins/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud that rents machines, and the world of workers and jobs around the controllers."""
+"""The cloud that rents machines, and the world of agents and jobs around the controllers."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 from pitchtally.http import Request, Response
 
+from .agent import RUNNING, WAITING, Agent
 from .network import Address, Network
 from .rules import Rules, job_of
-from .worker import RUNNING, WAITING, Worker
 
 FIRST_PORT = 9000
 LISTED_AGE_S = 60.0  # what the list tells of every machine's age
@@ -41,7 +41,7 @@
         self.report_s, self.lease_s, self.gang_wait_s = report_s, lease_s, gang_wait_s
         self.rules = Rules(cancel_s)
         self.random = random.Random(seed)
-        self.workers: dict[str, Worker] = {}
+        self.agents: dict[str, Agent] = {}
         self.answers: dict[str, list[str]] = {}  # hire -> machines, for repeats
         self.released: list[str] = []
         self.capacity = capacity
@@ -50,29 +50,29 @@
         self.down = False
         self.nursery: trio.Nursery | None = None
         self.host = "10.1.0.1"
-        self.listen: Callable[[Worker, int], object] | None = None  # over real sockets
+        self.listen: Callable[[Agent, int], object] | None = None  # over real sockets
 
     def gang(self, job: str, attempt: int) -> list[str]:
         """A job's tasks of one attempt that wait or run."""
         return [
             name
-            for worker in self.workers.values()
-            for name, task in worker.tasks.items()
+            for agent in self.agents.values()
+            for name, task in agent.tasks.items()
             if job_of(name) == job and task.attempt == attempt and task.state in (WAITING, RUNNING)
         ]
 
-    def add(self, type_: str, zone: str, spot: bool = False) -> Worker:
+    def add(self, type_: str, zone: str, spot: bool = False) -> Agent:
         """A new machine, up at once."""
         self.count += 1
         name, port = f"i-{self.count:06d}", FIRST_PORT + self.count
-        worker = Worker(self, name, type_, zone, spot, port)
-        self.workers[name] = worker
-        self.network.hosts[(self.host, port)] = (name, worker.handle)
+        agent = Agent(self, name, type_, zone, spot, port)
+        self.agents[name] = agent
+        self.network.hosts[(self.host, port)] = (name, agent.handle)
         if self.listen is not None:
-            self.listen(worker, port)
+            self.listen(agent, port)
         assert self.nursery is not None
-        self.nursery.start_soon(worker.run)
-        return worker
+        self.nursery.start_soon(agent.run)
+        return agent
 
     async def handle(self, request: Request) -> Response:
         """A controller's request to the cloud."""
@@ -89,17 +89,17 @@
 
     def _release(self, names: list[str]) -> Response:
         for name in names:
-            worker = self.workers.pop(name, None)
-            if worker is not None:
+            agent = self.agents.pop(name, None)
+            if agent is not None:
                 self.released.append(name)
-                worker.vanish()
+                agent.vanish()
         return _answer({})
 
     def _hire(self, body: dict[str, Any]) -> Response:
         known = self.answers.get(body["hire"])
         if known is not None:
             return _answer({"vats": known})
-        room = self.capacity - len(self.workers)
+        room = self.capacity - len(self.agents)
         if room <= 0:
             return Response(503, b'{"error":"no capacity"}')
         names = [
@@ -121,7 +121,7 @@
                 "stage": "running",
                 "ageS": LISTED_AGE_S,
             }
-            for w in self.workers.values()
+            for w in self.agents.values()
             if w.born <= newest or not self.list_lag_s
         ]
         return _answer({"vats": rows, "truncated": False})
--- a/standins/rules.py
+++ b/standins/rules.py
@@ -1,4 +1,4 @@
-"""What may never happen to tasks and machines, watched from the workers' side."""
+"""What may never happen to tasks and machines, watched from the agents' side."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import trio
 
 if TYPE_CHECKING:
-    from .worker import Worker
+    from .agent import Agent
 
 TOLERANCE = 1e-6  # of sums of amounts
 
@@ -36,7 +36,7 @@
         self.failures = 0  # tasks that ended with an error
         self.leases_over = 0  # tasks that ended with their machine's lease
 
-    def start(self, worker: Worker, task: str) -> None:
+    def start(self, agent: Agent, task: str) -> None:
         """A task takes its place on a machine."""
         job = job_of(task)
         self.started += 1
@@ -46,8 +46,8 @@
             self.broken.append(f"ran_twice {task}")
         if job in self.cancelled:
             self.late_starts.append(trio.current_time() - self.cancelled[job])
-        self._check_place(worker, task)
-        self.places[task] = (worker.name, worker.zone)
+        self._check_place(agent, task)
+        self.places[task] = (agent.name, agent.zone)
         self._check_limit(self.specs[job]["crew"])
         self.check()
 
@@ -55,18 +55,18 @@
         """How many times tasks of a job were started."""
         return self._starts.get(job, 0)
 
-    def _check_place(self, worker: Worker, task: str) -> None:
+    def _check_place(self, agent: Agent, task: str) -> None:
         spec = self.specs[job_of(task)]
         others = [z for t, (_, z) in self.places.items() if job_of(t) == spec["ref"]]
-        if spec.get("presses") and worker.type not in spec["presses"]:
+        if spec.get("presses") and agent.type not in spec["presses"]:
             self.broken.append(f"wrong_place type {task}")
-        if spec.get("parcel") and worker.zone != spec["parcel"]:
+        if spec.get("parcel") and agent.zone != spec["parcel"]:
             self.broken.append(f"wrong_place parcel {task}")
-        if worker.spot and not spec["gleaning"]:
+        if agent.spot and not spec["gleaning"]:
             self.broken.append(f"wrong_place spot {task}")
-        if spec["oneZone"] and any(z != worker.zone for z in others):
+        if spec["oneZone"] and any(z != agent.zone for z in others):
             self.broken.append(f"wrong_place zone {task}")
-        if spec["spread"] and others.count(worker.zone) + 1 > (spec["rows"] + 1) // 2:
+        if spec["spread"] and others.count(agent.zone) + 1 > (spec["rows"] + 1) // 2:
             self.broken.append(f"wrong_place spread {task}")
 
     def used_by(self, team: str) -> float:
--- a/standins/state.py
+++ b/standins/state_store.py
@@ -1,4 +1,4 @@
-"""The state service: versions, conditions, leases, watches, outages."""
+"""The state store: versions, conditions, leases, watches, outages."""
 
 from __future__ import annotations
 
--- a/tests/test_records.py
+++ b/tests/agents/test_machine_records.py
@@ -10,20 +10,21 @@
 import trio
 import trio.testing
 
-from pitchtally import policy, wire
-from pitchtally.control.machines import Machine, PartHold
-from pitchtally.control.members import Owner
-from pitchtally.control.service import Controller
+from pitchtally.agents.machines import LedShard, Machine
+from pitchtally.config import policy
+from pitchtally.controller import Controller
 from pitchtally.http import Response
+from pitchtally.membership.membership import ShardLeader
+from pitchtally.protocol import cloud_api
 
-from .answers import Call, answer_calls
-from .sim import settings
+from ..harness.http_stub import Call, answer_calls
+from ..harness.simulation import settings
 
-PART, TOKEN = 0, 50
-TYPE = wire.MachineType("big", cpus=8.0, memory=32.0, zones=["a"])
+SHARD, TOKEN = 0, 50
+TYPE = cloud_api.MachineType("big", cpus=8.0, memory=32.0, zones=["a"])
 
 
-class Store:
+class StateStoreClient:
     """Commits everything; before each answer it lets the test change the world."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch):
@@ -39,41 +40,44 @@
         return Response(200, b'{"ledger":60}')
 
 
-class Fleet:
-    """An owner of part 0 whose machines' names fall into two chunks of its record."""
+class Autoscaler:
+    """An leader of shard 0 whose machines' names fall into two chunks of its record."""
 
     def __init__(self) -> None:
         config = settings("n0")
         self.controller = controller = Controller(config, policy.parse("", config))
-        controller.fleet.machine_types.known = {"big": TYPE}
-        controller.replica.seen = TOKEN
-        controller.members.owners[PART] = (Owner("n0", controller.members.incarnation), TOKEN)
-        controller.members._announce(PART)
-        self.workers = controller.workers
-        self.workers.load(self.hold)
-        span = controller.workers.records.span * controller.workers.count
+        controller.autoscaler.catalog.known = {"big": TYPE}
+        controller.replica.revision = TOKEN
+        controller.membership.leaders[SHARD] = (
+            ShardLeader("n0", controller.membership.incarnation),
+            TOKEN,
+        )
+        controller.membership._announce(SHARD)
+        self.agents = controller.agents
+        self.agents.load(self.hold)
+        span = controller.agents.records.span * controller.agents.count
         self.first = self._add(0)
         self.second = self._add(span)
 
     @property
-    def hold(self) -> PartHold:
-        return self.workers.parts[PART]
+    def hold(self) -> LedShard:
+        return self.agents.shards[SHARD]
 
     def _add(self, number: int) -> Machine:
-        machine = self.workers._add(f"i-{number:06d}", "big", "a", False, "10.1.0.1:9000")
+        machine = self.agents._add(f"i-{number:06d}", "big", "a", False, "10.1.0.1:9000")
         machine.confirmed = True
         return machine
 
     async def write(self) -> None:
-        await self.workers.records._write(self.hold)
+        await self.agents.records._write(self.hold)
 
     def chunk(self, machine: Machine) -> int:
-        return self.workers.records.chunk_of(machine.name)
+        return self.agents.records.chunk_of(machine.name)
 
 
 def _play(monkeypatch: pytest.MonkeyPatch, body: Any) -> None:
     async def main() -> None:
-        await body(Fleet(), Store(monkeypatch))
+        await body(Autoscaler(), StateStoreClient(monkeypatch))
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
@@ -83,14 +87,14 @@
 ) -> None:
     """KeyError: rows were gathered once, and machines went while chunks before were written."""
 
-    async def body(fleet: Fleet, store: Store) -> None:
+    async def body(fleet: Autoscaler, state_store: StateStoreClient) -> None:
         await fleet.write()
         assert fleet.chunk(fleet.first) != fleet.chunk(fleet.second)
         fleet.first.address = "10.1.0.1:9001"  # its chunk is written anew
-        store.during_commit = lambda: fleet.workers.forget_machine(fleet.second.name)
+        state_store.during_commit = lambda: fleet.agents.forget_machine(fleet.second.name)
         await fleet.write()
         await fleet.write()
-        assert store.written[f"pt/fleet/0/{fleet.chunk(fleet.second)}"] == {}
+        assert state_store.written[f"pt/fleet/0/{fleet.chunk(fleet.second)}"] == {}
 
     _play(monkeypatch, body)
 
@@ -98,27 +102,27 @@
 def test_row_of_a_released_machine_is_not_written(monkeypatch: pytest.MonkeyPatch) -> None:
     """A chunk that changes was written with what had been there before the wait."""
 
-    async def body(fleet: Fleet, store: Store) -> None:
-        store.during_commit = lambda: fleet.workers.forget_machine(fleet.second.name)
+    async def body(fleet: Autoscaler, state_store: StateStoreClient) -> None:
+        state_store.during_commit = lambda: fleet.agents.forget_machine(fleet.second.name)
         await fleet.write()
-        assert fleet.second.name not in store.written.get(
+        assert fleet.second.name not in state_store.written.get(
             f"pt/fleet/0/{fleet.chunk(fleet.second)}", {}
         )
 
     _play(monkeypatch, body)
 
 
-def test_part_lost_while_its_record_is_written(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its machines are forgotten with it; the rest of the record is the next owner's affair."""
+def test_shard_lost_while_its_record_is_written(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Its machines are forgotten with it; the rest of the record is the next leader's affair."""
 
-    async def body(fleet: Fleet, store: Store) -> None:
+    async def body(fleet: Autoscaler, state_store: StateStoreClient) -> None:
         await fleet.write()
         fleet.first.address = "10.1.0.1:9001"
         second = f"pt/fleet/0/{fleet.chunk(fleet.second)}"
-        store.during_commit = lambda: fleet.workers.drop_part(PART)
-        store.written.pop(second)
+        state_store.during_commit = lambda: fleet.agents.release_shard(SHARD)
+        state_store.written.pop(second)
         await fleet.write()
-        assert second not in store.written
+        assert second not in state_store.written
 
     _play(monkeypatch, body)
 
@@ -126,9 +130,9 @@
 def test_machine_is_recorded_only_once_its_row_is_written(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A task may start only where a later owner finds the machine."""
+    """A task may start only where a later leader finds the machine."""
 
-    async def body(fleet: Fleet, store: Store) -> None:
+    async def body(fleet: Autoscaler, state_store: StateStoreClient) -> None:
         assert not fleet.first.recorded
         await fleet.write()
         assert fleet.first.recorded and fleet.second.recorded
--- a/tests/test_confirmations.py
+++ b/tests/api/test_read_barrier.py
@@ -10,21 +10,22 @@
 import trio
 import trio.testing
 
-from pitchtally.control.confirmations import (
+from pitchtally.api.read_barrier import (
     MOST_READS,
     REQUESTS_PER_READ,
-    Confirmations,
     Confirmed,
     Outcome,
+    ReadBarrier,
     Unanswered,
     Unconfirmed,
 )
+from pitchtally.config.settings import StateLimits
 from pitchtally.http import HttpError, Response
-from pitchtally.replica import Replica
-from pitchtally.settings import StateLimits
-from pitchtally.store import Store, StoreDown
+from pitchtally.state_store.client import StateStoreClient
+from pitchtally.state_store.errors import StoreUnavailable
+from pitchtally.state_store.replica import Replica
 
-from .answers import Call, answer_calls
+from ..harness.http_stub import Call, answer_calls
 
 LIMITS = StateLimits(rps=500, write_rps=30, value_kb=8, txn_ops=8)
 CALL_TIMEOUT = 2.0
@@ -65,7 +66,7 @@
         raise HttpError(f"no answer in {call.timeout:g} s")
 
 
-Body = Callable[[Confirmations, StateService], Awaitable[None]]
+Body = Callable[[ReadBarrier, StateService], Awaitable[None]]
 
 
 def play(monkeypatch: pytest.MonkeyPatch, body: Body) -> None:
@@ -73,25 +74,25 @@
 
     async def main() -> None:
         service = StateService(monkeypatch)
-        store = Store("10.2.0.1:2379", LIMITS, 3, CALL_TIMEOUT)
-        replica = Replica(store, 0.1, 1.0)
-        replica.seen = 10
-        confirmations = Confirmations(store, replica, WAIT)
+        state_store = StateStoreClient("10.2.0.1:2379", LIMITS, 3, CALL_TIMEOUT)
+        replica = Replica(state_store, 0.1, 1.0)
+        replica.revision = 10
+        read_barrier = ReadBarrier(state_store, replica, WAIT)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(confirmations.run)
-            await body(confirmations, service)
+            nursery.start_soon(read_barrier.run)
+            await body(read_barrier, service)
             nursery.cancel_scope.cancel()
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-async def ask(confirmations: Confirmations, count: int) -> int:
+async def ask(read_barrier: ReadBarrier, count: int) -> int:
     """How many of so many questions, asked at once, were confirmed."""
     confirmed = 0
 
     async def one() -> None:
         nonlocal confirmed
-        if isinstance(await confirmations.confirm(), Confirmed):
+        if isinstance(await read_barrier.confirm(), Confirmed):
             confirmed += 1
 
     async with trio.open_nursery() as nursery:
@@ -100,10 +101,10 @@
     return confirmed
 
 
-async def timed(confirmations: Confirmations) -> tuple[Outcome, float]:
+async def timed(read_barrier: ReadBarrier) -> tuple[Outcome, float]:
     """An outcome, and the seconds until it came."""
     asked_at = trio.current_time()
-    outcome = await confirmations.confirm()
+    outcome = await read_barrier.confirm()
     return outcome, trio.current_time() - asked_at
 
 
@@ -116,16 +117,16 @@
     of an object that was free again; whoever got that address next, and gave up, was confirmed.
     """
 
-    async def body(confirmations: Confirmations, service: StateService) -> None:
+    async def body(read_barrier: ReadBarrier, service: StateService) -> None:
         service.delay = WAIT + 0.3
-        assert await ask(confirmations, 300) == 0
+        assert await ask(read_barrier, 300) == 0
         await trio.sleep(1)  # the reads end: nobody waits any more
         service.delay = HANGS
         confirmed = 0
         for _ in range(3):
-            confirmed += await ask(confirmations, 300)
+            confirmed += await ask(read_barrier, 300)
         assert confirmed == 0, f"{confirmed} of 900 confirmed by a store that never answered"
-        assert confirmations.counts == {Unanswered.TIMED_OUT: 1200}
+        assert read_barrier.counts == {Unanswered.TIMED_OUT: 1200}
 
     play(monkeypatch, body)
 
@@ -133,13 +134,13 @@
 def test_nothing_is_left_of_a_question_whose_caller_was_cancelled(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def body(confirmations: Confirmations, service: StateService) -> None:
+    async def body(read_barrier: ReadBarrier, service: StateService) -> None:
         service.delay = 0.5
         with trio.move_on_after(0.1):
-            await confirmations.confirm()
+            await read_barrier.confirm()
         await trio.sleep(1)
-        assert not confirmations._waiting
-        assert not confirmations.counts
+        assert not read_barrier._waiting
+        assert not read_barrier.counts
 
     play(monkeypatch, body)
 
@@ -148,12 +149,12 @@
 def test_reads_that_hang_hold_up_no_question(hanging: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """803 answers of 503: one read at a time, each up to 2 s, for waiters of 1.5 s."""
 
-    async def body(confirmations: Confirmations, service: StateService) -> None:
+    async def body(read_barrier: ReadBarrier, service: StateService) -> None:
         service.delays = [HANGS] * hanging
-        outcome, seconds = await timed(confirmations)
+        outcome, seconds = await timed(read_barrier)
         assert isinstance(outcome, Confirmed)
         assert seconds < hanging * INTERVAL + 0.05
-        outcome, seconds = await timed(confirmations)
+        outcome, seconds = await timed(read_barrier)
         assert isinstance(outcome, Confirmed)
         assert seconds < INTERVAL + 0.05
 
@@ -163,36 +164,36 @@
 def test_most_questions_are_confirmed_while_a_tenth_of_answers_is_late(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def body(confirmations: Confirmations, service: StateService) -> None:
+    async def body(read_barrier: ReadBarrier, service: StateService) -> None:
         service.delays = ([2.5] + [USUAL_DELAY] * 9) * 100
         confirmed = 0
         for _ in range(400):
             await trio.sleep(0.02)
-            confirmed += await ask(confirmations, 1)
+            confirmed += await ask(read_barrier, 1)
         assert confirmed == 400
 
     play(monkeypatch, body)
 
 
 def test_reads_are_bounded_while_the_store_hangs(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def body(confirmations: Confirmations, service: StateService) -> None:
+    async def body(read_barrier: ReadBarrier, service: StateService) -> None:
         service.delay = HANGS
         for _ in range(4):
-            await ask(confirmations, 100)
+            await ask(read_barrier, 100)
         assert service.most_under_way == MOST_READS
         assert service.reads <= MOST_READS * 5
         # And they go on as soon as it answers.
         service.delay = USUAL_DELAY
-        assert await ask(confirmations, 100) == 100
+        assert await ask(read_barrier, 100) == 100
 
     play(monkeypatch, body)
 
 
 def test_many_questions_take_a_fifth_of_the_requests(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def body(confirmations: Confirmations, service: StateService) -> None:
+    async def body(read_barrier: ReadBarrier, service: StateService) -> None:
         end = trio.current_time() + 10
         while trio.current_time() < end:
-            await ask(confirmations, 50)
+            await ask(read_barrier, 50)
         assert service.reads <= 10 * REQUESTS_PER_S / REQUESTS_PER_READ + 1
 
     play(monkeypatch, body)
@@ -201,13 +202,13 @@
 def test_read_sent_before_the_question_does_not_confirm_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def body(confirmations: Confirmations, service: StateService) -> None:
+    async def body(read_barrier: ReadBarrier, service: StateService) -> None:
         service.delays = [0.02]
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(confirmations.confirm)
+            nursery.start_soon(read_barrier.confirm)
             await trio.sleep(0.01)
             asked_at = trio.current_time()
-            outcome = await confirmations.confirm()
+            outcome = await read_barrier.confirm()
             assert isinstance(outcome, Confirmed)
             assert outcome.read.asked_at >= asked_at
         assert service.reads == 2
@@ -228,9 +229,9 @@
 def test_answer_that_confirms_nothing_is_passed_on_at_once(
     status: int, ledger: int, log: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def body(confirmations: Confirmations, service: StateService) -> None:
+    async def body(read_barrier: ReadBarrier, service: StateService) -> None:
         service.status, service.ledger, service.log = status, ledger, log
-        outcome, seconds = await timed(confirmations)
+        outcome, seconds = await timed(read_barrier)
         assert isinstance(outcome, Unconfirmed)
         assert outcome.why == Unanswered.REFUSED
         assert seconds < 0.1
@@ -239,9 +240,9 @@
 
 
 def test_copy_that_was_never_loaded_confirms_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def body(confirmations: Confirmations, service: StateService) -> None:
-        confirmations.replica.seen = -1
-        outcome, seconds = await timed(confirmations)
+    async def body(read_barrier: ReadBarrier, service: StateService) -> None:
+        read_barrier.replica.revision = -1
+        outcome, seconds = await timed(read_barrier)
         assert isinstance(outcome, Unconfirmed)
         assert (service.reads, seconds) == (0, 0.0)
 
@@ -251,8 +252,8 @@
 def test_late_answer_brings_no_removed_key_back(monkeypatch: pytest.MonkeyPatch) -> None:
     """Reads overlap, so an answer may come after one that knows more."""
 
-    async def body(confirmations: Confirmations, service: StateService) -> None:
-        replica = confirmations.replica
+    async def body(read_barrier: ReadBarrier, service: StateService) -> None:
+        replica = read_barrier.replica
         put = {"write": "pt/parts/0", "v": {"node": "n0"}, "stamp": 11}
         service.ledger, service.log = 11, [put]
         service.delays = [0.4]
@@ -262,9 +263,9 @@
             service.ledger, service.log = 12, [put, {"remove": "pt/parts/0", "stamp": 12}]
             newer_sent_at = trio.current_time()
             await replica.refresh()
-            assert (replica.seen, replica.version("pt/parts/0")) == (12, 0)
-        assert (replica.seen, replica.version("pt/parts/0")) == (12, 0)
-        assert replica.fresh_at >= newer_sent_at  # no older than the newest evidence
+            assert (replica.revision, replica.version("pt/parts/0")) == (12, 0)
+        assert (replica.revision, replica.version("pt/parts/0")) == (12, 0)
+        assert replica.verified_at >= newer_sent_at  # no older than the newest evidence
 
     play(monkeypatch, body)
 
@@ -274,14 +275,14 @@
 ) -> None:
     """A repeated answer, read from a reused connection, would make old evidence young."""
 
-    async def body(confirmations: Confirmations, service: StateService) -> None:
-        replica = confirmations.replica
+    async def body(read_barrier: ReadBarrier, service: StateService) -> None:
+        replica = read_barrier.replica
         await replica.refresh()
-        fresh_at = replica.fresh_at
+        verified_at = replica.verified_at
         service.ledger = 9
         await trio.sleep(1)
-        with pytest.raises(StoreDown):
+        with pytest.raises(StoreUnavailable):
             await replica.refresh()
-        assert replica.fresh_at == fresh_at
+        assert replica.verified_at == verified_at
 
     play(monkeypatch, body)
--- a/tests/test_api.py
+++ b/tests/api/test_validation.py
@@ -8,12 +8,12 @@
 
 import pytest
 
-from pitchtally import wire
-from pitchtally.control.submission import Invalid, check_runnable, parse_job
+from pitchtally.api.validation import Invalid, check_runnable, parse_job
+from pitchtally.protocol import cloud_api
 
-from .sim import job, settings
+from ..harness.simulation import job, settings
 
-TYPE = wire.MachineType("big", cpus=8, memory=32, zones=["a", "b"])
+TYPE = cloud_api.MachineType("big", cpus=8, memory=32, zones=["a", "b"])
 
 
 def body(**more: Any) -> bytes:
--- a/tests/test_known_red.py
+++ b/tests/ci/test_known_red.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-PATH = Path(__file__).resolve().parent.parent / ".ci" / "known_red.py"
+PATH = Path(__file__).resolve().parent.parent.parent / ".ci" / "known_red.py"
 ENTRY = "tests/test_a.py::test_b | a stale result | issue 1"
 
 
--- a/tests/test_gap.py
+++ b/tests/cluster/test_cancellation_freshness.py
@@ -1,6 +1,6 @@
 """The gap: the store refuses the leader, a peer confirms cancellations, then all are refused.
 
-Meanwhile the workers go on reporting to the old leader, which can't read of the
+Meanwhile the agents go on reporting to the old leader, which can't read of the
 cancellations any more. At the real figures of both deployments.
 """
 
@@ -12,8 +12,9 @@
 import trio
 import trio.testing
 
-from pitchtally import policy
-from pitchtally.control.evidence import (
+from pitchtally.config import policy
+from pitchtally.config.settings import AgentTimes
+from pitchtally.membership.freshness import (
     NEVER,
     Answer,
     cancellations_known,
@@ -21,17 +22,16 @@
     longest_evidence_age,
     owned_alone,
 )
-from pitchtally.control.messages import Cancellation, Heartbeat
-from pitchtally.control.peer import Peer
-from pitchtally.settings import WorkerTimes
+from pitchtally.membership.messages import Cancellation, PeerHeartbeat
+from pitchtally.membership.peer import Peer
 
-from .sim import Sim, job, run, settings
+from ..harness.simulation import Simulation, job, run, settings
 
 SITES = {
-    "brda": WorkerTimes(
+    "brda": AgentTimes(
         report_s=2.5, lease_s=15.25, gang_wait_s=40.0, gang_peer_s=6.0, cancel_s=40.25
     ),
-    "wongsakul": WorkerTimes(
+    "wongsakul": AgentTimes(
         report_s=3.0, lease_s=20.0, gang_wait_s=40.0, gang_peer_s=6.0, cancel_s=40.0
     ),
 }
@@ -91,7 +91,7 @@
 class GapDay:
     """The steps of one day: which jobs are doomed, and who is cut off from whom."""
 
-    def __init__(self, sim: Sim, gap: Gap) -> None:
+    def __init__(self, sim: Simulation, gap: Gap) -> None:
         self.sim = sim
         self.gap = gap
         self.confirmer, self.other = f"n{gap.confirmer}", f"n{3 - gap.confirmer}"
@@ -105,7 +105,7 @@
         with trio.fail_after(sim.times.lease_s * 2):
             while len(sim.world.rules.places) < 18:
                 await trio.sleep(0.1)
-        assert sim.controllers["n0"].members.leading is not None
+        assert sim.controllers["n0"].membership.cluster_leader_token is not None
         sim.state.refuses.add("n0")
         if gap.job == "new":
             await sim.submit(job(4, rows=12, **LONG))
@@ -132,13 +132,13 @@
         sim = self.sim
         sim.network.cut(self.confirmer, "n0")
         sim.network.cut(self.confirmer, self.other)
-        sim.oracle.asked_cancel.add(id)
+        sim.invariants.asked_cancel.add(id)
         await sim.call(self.gap.confirmer, "POST", f"/api/jobs/{id}/cancel")
         sim.network.cuts.clear()
         await trio.sleep(0.5)
 
     async def _withdraw(self, node: int, id: str) -> None:
-        self.sim.oracle.asked_cancel.add(id)
+        self.sim.invariants.asked_cancel.add(id)
         answer = await self.sim.ask(node, "POST", f"/api/jobs/{id}/cancel", about=id)
         assert answer == (200, "withdrawn")
 
@@ -152,7 +152,7 @@
             await trio.sleep(0.5)
         await trio.sleep(0.3)
         sim.state.stop()
-        assert sim.controllers["n0"].members.leading is not None
+        assert sim.controllers["n0"].membership.cluster_leader_token is not None
         if gap.ends in ("in", "gone"):
             await trio.sleep(3.0)
             sim.kill(self.confirmer)
@@ -195,7 +195,7 @@
 def test_cancelled_tasks_are_gone_in_time(
     gap: Gap, site: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def day(sim: Sim) -> None:
+    async def day(sim: Simulation) -> None:
         steps = GapDay(sim, gap)
         await steps.begin()
         await steps.cancel()
@@ -229,7 +229,7 @@
 
 @pytest.mark.parametrize("site", SITES)
 def test_evidence_age_and_a_lease_end_within_cancel_s(site: str) -> None:
-    """The edge: an owner that learns nothing renews last at c + blind, the worker counts on."""
+    """The edge: an leader that learns nothing renews last at c + blind, the agent counts on."""
     times = SITES[site]
     rules = policy.parse("", settings("n0", times))
     assert 0 < rules.max_evidence_age < longest_evidence_age(times)
@@ -245,8 +245,8 @@
         )
 
 
-def _beat(incarnation: str, number: int, seen: int = 5) -> Heartbeat:
-    return Heartbeat(
+def _beat(incarnation: str, number: int, seen: int = 5) -> PeerHeartbeat:
+    return PeerHeartbeat(
         "n1", incarnation, number, seen, 0.1, 0.1, [Cancellation("wk-1", 9, 1, 0)], [], [], []
     )
 
@@ -288,7 +288,7 @@
 def test_cancellations_are_told_however_long_ago(monkeypatch: pytest.MonkeyPatch) -> None:
     """They were told for a limited time; a leader deaf for longer began their tasks again."""
 
-    async def day(sim: Sim) -> None:
+    async def day(sim: Simulation) -> None:
         await sim.submit(job(1, rows=6, realS=900.0, ripenS=900.0, vcpus=1.0))
         await trio.sleep(4)
         for other in ("n1", "n2"):
@@ -300,7 +300,7 @@
         await trio.sleep(sim.times.cancel_s * 2 + 10)
         sim.network.cuts.clear()  # peers again, the store still out
         await trio.sleep(sim.times.lease_s * 2)
-        job_ = sim.controllers["n0"].job_store.jobs["wk-000001"]
+        job_ = sim.controllers["n0"].job_index.jobs["wk-000001"]
         assert not job_.open
         assert not sim.world.rules.places
         sim.state.refuses.clear()
--- a/tests/test_takeover.py
+++ b/tests/cluster/test_failover.py
@@ -1,32 +1,32 @@
-"""What a controller may do on old evidence, and how soon a part goes on after a takeover."""
+"""What a controller may do on old evidence, and how soon a shard goes on after a failover."""
 
 from __future__ import annotations
 
 import pytest
 import trio
 
-from pitchtally.control.members import part_of
-from pitchtally.settings import Team
+from pitchtally.config.settings import Team
+from pitchtally.membership.membership import shard_of
 
-from .meetings import isolate, leader, restart, revive
-from .sim import NODES, TIMES, Sim, job, run
+from ..harness.fault_scenarios import cluster_leader, isolate, restart, revive
+from ..harness.simulation import NODES, TIMES, Simulation, job, run
 
 LONG = {"realS": 900.0, "ripenS": 900.0}
-SESSION = TIMES.lease_s / 4  # a node's lease in the state service
+SESSION = TIMES.lease_s / 4  # a node's lease in the state store
 
 
-def cut_zone_with(sim: Sim, node: str, zone: str) -> None:
+def cut_zone_with(sim: Simulation, node: str, zone: str) -> None:
     """A controller and a zone's machines hear one another, and nobody else."""
-    inside = {node} | {n for n, w in sim.world.workers.items() if w.zone == zone}
+    inside = {node} | {n for n, w in sim.world.agents.items() if w.zone == zone}
     for a in inside:
-        for b in {*NODES, "state", "cloud", *sim.world.workers} - inside:
+        for b in {*NODES, "state", "cloud", *sim.world.agents} - inside:
             sim.network.cut(a, b)
 
 
 def test_no_start_on_evidence_older_than_a_session(monkeypatch: pytest.MonkeyPatch) -> None:
-    """An owner that can't have heard of a cancellation began its tasks for much longer."""
+    """An leader that can't have heard of a cancellation began its tasks for much longer."""
 
-    async def day(sim: Sim) -> None:
+    async def day(sim: Simulation) -> None:
         await sim.submit(job(1, rows=600, vcpus=1.0, realS=1.0, ripenS=1.0))
         await trio.sleep(4)
         cut_zone_with(sim, "n0", "a")
@@ -43,13 +43,13 @@
 
 
 def test_machine_known_to_be_dead_holds_up_no_takeover(monkeypatch: pytest.MonkeyPatch) -> None:
-    """inc-b9c5: a new leader counted its silence anew; the part waited as long again."""
+    """inc-b9c5: a new leader counted its silence anew; the shard waited as long again."""
 
-    async def day(sim: Sim) -> None:
+    async def day(sim: Simulation) -> None:
         sim.world.capacity = 4
         await sim.submit(job(1, rows=12, vcpus=1.0, **LONG))
         await trio.sleep(5)
-        name = next(n for n in sim.world.workers if part_of(n, 3) == 0)
+        name = next(n for n in sim.world.agents if shard_of(n, 3) == 0)
         isolate(sim, name)
         # Its lease is over, and it has been silent for nearly as long as a leader bears.
         await trio.sleep(TIMES.lease_s * 1.75)
@@ -68,30 +68,30 @@
 
 
 def test_silent_machine_holds_up_only_what_it_may_run(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A job bound to another zone goes on at once after a takeover; any other waits."""
+    """A job bound to another zone goes on at once after a failover; any other waits."""
 
-    async def day(sim: Sim) -> None:
+    async def day(sim: Simulation) -> None:
         sim.world.capacity = 4
         bound = job(1, rows=200, vcpus=1.0, parcel="a", realS=3.0, ripenS=3.0)
         free = job(2, rows=200, vcpus=1.0, realS=3.0, ripenS=3.0)
         await sim.submit(bound)
         await sim.submit(free)
         await trio.sleep(6)
-        silent = [n for n, w in sim.world.workers.items() if w.zone == "b"]
+        silent = [n for n, w in sim.world.agents.items() if w.zone == "b"]
         for name in silent:
             isolate(sim, name)
         await restart(sim, after=0.5)
         await trio.sleep(3)
         waiting = 0
         for controller in sim.controllers.values():
-            for part, work in controller.split.parts.work.items():
-                ranges = controller.job_store.jobs[bound["ref"]].record.ranges
-                if work.settled or not any(p == part for _, _, p in ranges):
+            for shard, work in controller.scheduler.shards.work.items():
+                ranges = controller.job_index.jobs[bound["ref"]].record.ranges
+                if work.settled or not any(p == shard for _, _, p in ranges):
                     continue
                 waiting += 1
                 assert bound["ref"] not in work.blocked
                 assert free["ref"] in work.blocked
-                assert work.holdings[bound["ref"]].ranges
+                assert work.allocations[bound["ref"]].ranges
         assert waiting
         sim.network.heal()
         await sim.finish([bound["ref"], free["ref"]])
@@ -108,9 +108,9 @@
 ) -> None:
     """One job each quarter of a second while a controller's work changes hands, and back."""
 
-    async def change_hands(sim: Sim) -> None:
+    async def change_hands(sim: Simulation) -> None:
         if way == "cut_from_workers":
-            for name in list(sim.world.workers):
+            for name in list(sim.world.agents):
                 sim.network.cut("n1", name)
             await trio.sleep(TIMES.lease_s * 0.7)
             sim.network.cuts.clear()
@@ -121,7 +121,7 @@
             revive(sim, "n1")
             await trio.sleep(1.5)
 
-    async def day(sim: Sim) -> None:
+    async def day(sim: Simulation) -> None:
         sim.world.capacity = 8
         ids = []
         for number in range(1, 31):
@@ -153,7 +153,7 @@
 ) -> None:
     """What the cancelled jobs held is free for others only once it is known to be gone."""
 
-    async def day(sim: Sim) -> None:
+    async def day(sim: Simulation) -> None:
         filling = [
             job(1, rows=8, vcpus=1.0, **LONG),
             job(2, rows=8, vcpus=1.0, **LONG),
@@ -176,13 +176,13 @@
             if trouble == "cut":
                 isolate(sim, name)
             else:
-                sim.nursery.start_soon(sim.world.workers[name].hang, TIMES.lease_s * 0.8)
+                sim.nursery.start_soon(sim.world.agents[name].hang, TIMES.lease_s * 0.8)
         for spec in filling:
             sim.nursery.start_soon(sim.cancel, spec["ref"], 1)
         await trio.sleep(0.4)
-        await restart(sim, leader(sim), after=1.0)
+        await restart(sim, cluster_leader(sim), after=1.0)
         await trio.sleep(TIMES.lease_s * 0.6)
-        await restart(sim, leader(sim), after=3.0)
+        await restart(sim, cluster_leader(sim), after=3.0)
         await trio.sleep(TIMES.lease_s)
         sim.network.heal()
         await sim.finish([spec["ref"] for spec in filling + waiting])
--- a/tests/test_failures.py
+++ b/tests/cluster/test_failures.py
@@ -8,28 +8,28 @@
 import trio
 import trio.testing
 
-from .sim import NODES, TIMES, Sim, job, run
+from ..harness.simulation import NODES, TIMES, Simulation, job, run
 
-Fault = Callable[[Sim], Awaitable[None]]
+Fault = Callable[[Simulation], Awaitable[None]]
 
 
-async def nothing(sim: Sim) -> None:
+async def nothing(sim: Simulation) -> None:
     await trio.sleep(0)
 
 
-async def kill_one(sim: Sim) -> None:
+async def kill_one(sim: Simulation) -> None:
     sim.kill("n0")
     await trio.sleep(5)
     sim.start("n0")
 
 
-async def kill_all(sim: Sim) -> None:
+async def kill_all(sim: Simulation) -> None:
     sim.kill()
     await trio.sleep(5)
     sim.start()
 
 
-async def roll(sim: Sim) -> None:
+async def roll(sim: Simulation) -> None:
     for name in NODES:
         sim.kill(name)
         await trio.sleep(4)
@@ -37,7 +37,7 @@
         await trio.sleep(4)
 
 
-async def quick_restart(sim: Sim) -> None:
+async def quick_restart(sim: Simulation) -> None:
     """Ended and started within a fraction of a second, also during an election."""
     for _ in range(4):
         sim.kill("n1")
@@ -46,60 +46,60 @@
         await trio.sleep(1.1)
 
 
-async def cut_from_state(sim: Sim) -> None:
+async def cut_from_state(sim: Simulation) -> None:
     sim.network.cut("n0", "state")
     await trio.sleep(20)
 
 
-async def cut_from_workers(sim: Sim) -> None:
-    for name in list(sim.world.workers):
+async def cut_from_agents(sim: Simulation) -> None:
+    for name in list(sim.world.agents):
         sim.network.cut("n0", name)
     await trio.sleep(20)
 
 
-async def cut_from_peers(sim: Sim) -> None:
+async def cut_from_peers(sim: Simulation) -> None:
     sim.network.cut("n0", "n1")
     sim.network.cut("n0", "n2")
     await trio.sleep(20)
 
 
-async def cut_from_all(sim: Sim) -> None:
+async def cut_from_all(sim: Simulation) -> None:
     sim.network.cut("n0", "*")
     sim.network.cut("*", "n0")
     await trio.sleep(20)
 
 
-async def lost_answers(sim: Sim) -> None:
+async def lost_answers(sim: Simulation) -> None:
     for name in NODES:
         for other in ("state", *NODES):
             sim.network.lost[(name, other)] = 0.2
     await trio.sleep(20)
 
 
-async def late_copies(sim: Sim) -> None:
+async def late_copies(sim: Simulation) -> None:
     """Commands, reports, transactions and hires are carried out a second time, late."""
     for name in NODES:
-        for other in ("state", "cloud", *sim.world.workers):
+        for other in ("state", "cloud", *sim.world.agents):
             sim.network.late[(name, other)] = 7.0
-    for worker in sim.world.workers:
+    for agent in sim.world.agents:
         for name in NODES:
-            sim.network.late[(worker, name)] = 7.0
+            sim.network.late[(agent, name)] = 7.0
     await trio.sleep(20)
 
 
-async def state_outage(sim: Sim) -> None:
+async def state_outage(sim: Simulation) -> None:
     sim.state.stop()
     await trio.sleep(20)
     sim.state.resume()
 
 
-async def state_and_cloud_outage(sim: Sim) -> None:
+async def state_and_cloud_outage(sim: Simulation) -> None:
     sim.world.down = True
     await state_outage(sim)
     sim.world.down = False
 
 
-async def crash_in_outage(sim: Sim) -> None:
+async def crash_in_outage(sim: Simulation) -> None:
     sim.state.stop()
     await trio.sleep(3)
     sim.kill("n2")
@@ -109,22 +109,22 @@
     sim.state.resume()
 
 
-async def machine_cut(sim: Sim) -> None:
-    name = next(iter(sim.world.workers))
+async def machine_cut(sim: Simulation) -> None:
+    name = next(iter(sim.world.agents))
     sim.network.cut("*", name)
     sim.network.cut(name, "*")
     await trio.sleep(15)
 
 
-async def machine_dies(sim: Sim) -> None:
-    name = next(iter(sim.world.workers))
-    sim.world.workers.pop(name).vanish()
+async def machine_dies(sim: Simulation) -> None:
+    name = next(iter(sim.world.agents))
+    sim.world.agents.pop(name).vanish()
     await trio.sleep(5)
 
 
-async def machine_and_owner(sim: Sim) -> None:
-    """The owner ends while one of its machines can't be reached."""
-    name = next(iter(sim.world.workers))
+async def machine_and_leader(sim: Simulation) -> None:
+    """The leader ends while one of its machines can't be reached."""
+    name = next(iter(sim.world.agents))
     sim.network.cut("*", name)
     sim.network.cut(name, "*")
     sim.kill("n0")
@@ -133,43 +133,43 @@
     await trio.sleep(10)
 
 
-async def unlisted_machine(sim: Sim) -> None:
+async def unlisted_machine(sim: Simulation) -> None:
     sim.world.add("big", "b")
     await trio.sleep(5)
 
 
-async def sick_machine(sim: Sim) -> None:
-    next(iter(sim.world.workers.values())).sick = True
+async def sick_machine(sim: Simulation) -> None:
+    next(iter(sim.world.agents.values())).sick = True
     await trio.sleep(15)
 
 
-async def deaf_machine(sim: Sim) -> None:
+async def deaf_machine(sim: Simulation) -> None:
     """Its reports arrive, but neither answers nor commands reach it."""
-    sim.network.deafen(next(iter(sim.world.workers)))
+    sim.network.deafen(next(iter(sim.world.agents)))
     await trio.sleep(25)
 
 
-async def deaf_machine_and_takeover(sim: Sim) -> None:
-    sim.network.deafen(next(iter(sim.world.workers)))
+async def deaf_machine_and_takeover(sim: Simulation) -> None:
+    sim.network.deafen(next(iter(sim.world.agents)))
     sim.kill("n0")
     await trio.sleep(5)
     sim.start("n0")
     await trio.sleep(20)
 
 
-def _copies(sim: Sim, after: float) -> None:
-    for worker in sim.world.workers:
+def _copies(sim: Simulation, after: float) -> None:
+    for agent in sim.world.agents:
         for name in NODES:
-            sim.network.late[(worker, name)] = after
+            sim.network.late[(agent, name)] = after
 
 
-async def copies_within_a_second(sim: Sim) -> None:
+async def copies_within_a_second(sim: Simulation) -> None:
     _copies(sim, 0.8)
     await trio.sleep(15)
 
 
-async def copies_after_takeovers(sim: Sim) -> None:
-    """Copies of reports, later than a lease, at owners that never saw the originals."""
+async def copies_after_takeovers(sim: Simulation) -> None:
+    """Copies of reports, later than a lease, at leaders that never saw the originals."""
     _copies(sim, 14.0)
     await trio.sleep(3)
     sim.kill("n0")
@@ -182,26 +182,26 @@
     await trio.sleep(10)
 
 
-async def copies_of_lost_machines(sim: Sim) -> None:
+async def copies_of_lost_machines(sim: Simulation) -> None:
     """Copies from machines that are gone, or whose lease is over, still come in."""
     _copies(sim, 9.0)
-    names = list(sim.world.workers)
+    names = list(sim.world.agents)
     sim.network.cut("*", names[0])
     sim.network.cut(names[0], "*")
     await trio.sleep(2)
-    if names[1] in sim.world.workers:
-        sim.world.workers.pop(names[1]).vanish()
+    if names[1] in sim.world.agents:
+        sim.world.agents.pop(names[1]).vanish()
     await trio.sleep(25)
 
 
-async def alone_with_workers(sim: Sim) -> None:
-    """A controller loses the store and its peers, but not its workers."""
+async def alone_with_agents(sim: Simulation) -> None:
+    """A controller loses the store and its peers, but not its agents."""
     for other in ("state", "n1", "n2"):
         sim.network.cut("n0", other)
     await trio.sleep(30)
 
 
-async def quick_restarts_in_elections(sim: Sim) -> None:
+async def quick_restarts_in_elections(sim: Simulation) -> None:
     """Back within a fraction of a second at every step, also twice in a row."""
     for pause in (0.05, 0.3, 0.6, 1.0, 1.7, 2.6):
         for name in ("n0", "n0", "n2"):
@@ -211,7 +211,7 @@
             await trio.sleep(pause)
 
 
-async def quick_restarts_of_all(sim: Sim) -> None:
+async def quick_restarts_of_all(sim: Simulation) -> None:
     for pause in (0.1, 0.5, 1.5, 3.0):
         sim.kill()
         await trio.sleep(0.1)
@@ -219,18 +219,18 @@
         await trio.sleep(pause)
 
 
-async def machines_back_at_once(sim: Sim) -> None:
-    """Workers that begin a new session within a fraction of a second."""
-    for worker in list(sim.world.workers.values()):
-        worker.restart()
+async def machines_back_at_once(sim: Simulation) -> None:
+    """Agents that begin a new session within a fraction of a second."""
+    for agent in list(sim.world.agents.values()):
+        agent.restart()
         await trio.sleep(0.3)
-        worker.restart()
+        agent.restart()
     await trio.sleep(5)
 
 
-async def machines_hang_and_go_on(sim: Sim) -> None:
+async def machines_hang_and_go_on(sim: Simulation) -> None:
     """Nothing gets in or out of half of the machines for longer than a lease, twice."""
-    names = list(sim.world.workers)[::2]
+    names = list(sim.world.agents)[::2]
     for _ in range(2):
         for name in names:
             sim.network.cut(name, "*")
@@ -240,9 +240,9 @@
         await trio.sleep(1.5)
 
 
-async def machines_hang_and_owner_ends(sim: Sim) -> None:
-    """As before, with a takeover in the midst of it, and the old owner back at once."""
-    names = list(sim.world.workers)[::2]
+async def machines_hang_and_leader_ends(sim: Simulation) -> None:
+    """As before, with a failover in the midst of it, and the old leader back at once."""
+    names = list(sim.world.agents)[::2]
     for name in names:
         sim.network.cut(name, "*")
         sim.network.cut("*", name)
@@ -258,11 +258,11 @@
     sim.start("n0")
 
 
-async def zone_cut_with_a_controller(sim: Sim) -> None:
+async def zone_cut_with_a_controller(sim: Simulation) -> None:
     """A zone's machines and a controller hear one another, and nobody else."""
-    inside = {"n0"} | {n for n, w in sim.world.workers.items() if w.zone == "a"}
+    inside = {"n0"} | {n for n, w in sim.world.agents.items() if w.zone == "a"}
     outside = {"n1", "n2", "state", "cloud"} | {
-        n for n, w in sim.world.workers.items() if w.zone != "a"
+        n for n, w in sim.world.agents.items() if w.zone != "a"
     }
     for a in inside:
         for b in outside:
@@ -270,13 +270,13 @@
     await trio.sleep(TIMES.lease_s * 1.5)
 
 
-async def most_machines_die(sim: Sim) -> None:
-    for name in list(sim.world.workers)[:-1]:
-        sim.world.workers.pop(name).vanish()
+async def most_machines_die(sim: Simulation) -> None:
+    for name in list(sim.world.agents)[:-1]:
+        sim.world.agents.pop(name).vanish()
     await trio.sleep(5)
 
 
-async def all_end_twice(sim: Sim) -> None:
+async def all_end_twice(sim: Simulation) -> None:
     """Again before the first restart has settled, in an outage, with late copies."""
     sim.network.late = {("user", n): 4.0 for n in NODES}
     sim.state.stop()
@@ -290,8 +290,8 @@
     sim.start()
 
 
-async def cut_off_with_workers_and_ends(sim: Sim) -> None:
-    """Only its workers are left to a controller; then it ends, and is back at once."""
+async def cut_off_with_agents_and_ends(sim: Simulation) -> None:
+    """Only its agents are left to a controller; then it ends, and is back at once."""
     for other in ("state", "n1", "n2"):
         sim.network.cut("n0", other)
     await trio.sleep(6)
@@ -308,7 +308,7 @@
     roll,
     quick_restart,
     cut_from_state,
-    cut_from_workers,
+    cut_from_agents,
     cut_from_peers,
     cut_from_all,
     lost_answers,
@@ -318,7 +318,7 @@
     crash_in_outage,
     machine_cut,
     machine_dies,
-    machine_and_owner,
+    machine_and_leader,
     unlisted_machine,
     sick_machine,
     deaf_machine,
@@ -326,22 +326,22 @@
     copies_within_a_second,
     copies_after_takeovers,
     copies_of_lost_machines,
-    alone_with_workers,
+    alone_with_agents,
     quick_restarts_in_elections,
     quick_restarts_of_all,
     machines_back_at_once,
     machines_hang_and_go_on,
-    machines_hang_and_owner_ends,
+    machines_hang_and_leader_ends,
     zone_cut_with_a_controller,
     most_machines_die,
     all_end_twice,
-    cut_off_with_workers_and_ends,
+    cut_off_with_agents_and_ends,
 ]
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda f: f.__name__)
 def test_rules_hold(fault: Fault, monkeypatch: pytest.MonkeyPatch) -> None:
-    async def day(sim: Sim) -> None:
+    async def day(sim: Simulation) -> None:
         jobs = [
             job(1),
             job(2, rows=20, crew="tight", vcpus=1.0),
--- a/tests/test_meetings.py
+++ b/tests/cluster/test_fault_combinations.py
@@ -9,8 +9,8 @@
 import trio
 import trio.testing
 
-from .meetings import MEETINGS, Meeting, play
-from .sim import TIMES, Sim, job, run, sent
+from ..harness.fault_scenarios import MEETINGS, Meeting, play
+from ..harness.simulation import TIMES, Simulation, job, run, sent
 
 SEEDS = (1, 2)
 
@@ -20,7 +20,7 @@
 def test_rules_hold_where_troubles_meet(
     meeting: Meeting, seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def day(sim: Sim) -> None:
+    async def day(sim: Simulation) -> None:
         await play(sim, meeting, 5 + seed % 3)
 
     run(monkeypatch, day, seed)
@@ -38,16 +38,16 @@
     first, second = luck.sample(MEETINGS, 2)
     apart, after = luck.uniform(0.0, TIMES.lease_s), luck.uniform(2.0, 8.0)
 
-    async def later(sim: Sim) -> None:
+    async def later(sim: Simulation) -> None:
         await trio.sleep(apart)
         await second(sim)
 
-    async def both(sim: Sim) -> None:
+    async def both(sim: Simulation) -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(first, sim)
             nursery.start_soon(later, sim)
 
-    async def day(sim: Sim) -> None:
+    async def day(sim: Simulation) -> None:
         await play(sim, both, after)
 
     run(monkeypatch, day, 1000 + seed)
@@ -56,7 +56,7 @@
 # --- an answer that meets the end of the last task -------------------------------------------
 
 
-async def again(sim: Sim, node: int, spec: dict[str, Any]) -> None:
+async def again(sim: Simulation, node: int, spec: dict[str, Any]) -> None:
     await sim.ask(node, "POST", "/api/jobs", sent(spec), about=spec["ref"], repeat=True)
 
 
@@ -67,7 +67,7 @@
 ) -> None:
     """The one conditional write decides; the loser says what the winner wrote."""
 
-    async def day(sim: Sim) -> None:
+    async def day(sim: Simulation) -> None:
         specs = [job(n, rows=rows, vcpus=1.0, realS=4.0) for n in range(1, 5)]
         for spec in specs:
             await sim.submit(spec)
@@ -90,7 +90,7 @@
     run(monkeypatch, day)
 
 
-# --- what a part can't end itself goes elsewhere ---------------------------------------------
+# --- what a shard can't end itself goes elsewhere ---------------------------------------------
 
 REST: list[dict[str, Any]] = [
     job(1, rows=4, vcpus=2.0, oneZone=True, realBy=[2.0, 2.0, 60.0, 60.0], ripenS=30.0),
@@ -108,10 +108,10 @@
 ) -> None:
     """Some tasks are done, then the machines of its zone end and the cloud has no others.
 
-    Its part held the rest for ever, for a zone and a part once chosen were never left.
+    Its part held the rest for ever, for a zone and a shard once chosen were never left.
     """
 
-    async def day(sim: Sim) -> None:
+    async def day(sim: Simulation) -> None:
         await sim.submit(spec)
         with trio.fail_after(30):
             while not sim.world.rules.done:
@@ -119,9 +119,9 @@
         await trio.sleep(1.5)
         places = [z for t, (_, z) in sim.world.rules.places.items()]
         zone = places[0] if places else "a"
-        for worker in [w for w in sim.world.workers.values() if w.zone == zone]:
-            sim.world.workers.pop(worker.name).vanish()
-        sim.world.capacity = len(sim.world.workers)
+        for agent in [w for w in sim.world.agents.values() if w.zone == zone]:
+            sim.world.agents.pop(agent.name).vanish()
+        sim.world.capacity = len(sim.world.agents)
         for task in range(spec["rows"]):
             spec["realBy"][task] = 5.0
         await sim.finish([spec["ref"]], limit=150.0)
@@ -139,14 +139,14 @@
 def test_one_task_jobs_four_a_second_a_quarter_cancelled(monkeypatch: pytest.MonkeyPatch) -> None:
     """For minutes on end, beside a controller that ends; each is known and ends as it should."""
 
-    async def one(sim: Sim, number: int, luck: random.Random) -> None:
+    async def one(sim: Simulation, number: int, luck: random.Random) -> None:
         spec = job(number, rows=1, vcpus=1.0, realS=3.0, ripenS=3.0)
         await sim.submit(spec)
         if number % 4 == 0:
             await trio.sleep(luck.choice([0.0, 0.5, 2.0, 3.0, 4.0]))
             await sim.cancel(spec["ref"], number)
 
-    async def day(sim: Sim) -> None:
+    async def day(sim: Simulation) -> None:
         sim.world.capacity = 12
         luck = random.Random(5)
         count = STREAM_RATE * STREAM_SECONDS
@@ -161,7 +161,7 @@
         ids = [f"wk-{number:06d}" for number in range(1, count + 1)]
         await sim.finish(ids, limit=60)
         withdrawn = [id for id in ids if sim.final[id] == "withdrawn"]
-        assert set(withdrawn) <= sim.oracle.asked_cancel
+        assert set(withdrawn) <= sim.invariants.asked_cancel
         assert len(withdrawn) >= count // 16
         await trio.sleep(TIMES.cancel_s + 1)
         sim.check()
