--- a/tests/test_upgrade_processes.py
+++ b/tests/cluster/test_rolling_upgrade_processes.py
@@ -17,8 +17,8 @@
 
 from standins.__main__ import FIRST, NODES, STATE
 
-from .production import ROOT, Production
-from .sim import job, sent
+from ..harness.earlier_version import ROOT, Production
+from ..harness.simulation import job, sent
 
 PATIENCE_S = 60.0
 
--- a/tests/test_policy.py
+++ b/tests/config/test_policy.py
@@ -7,11 +7,11 @@
 import pytest
 from click.testing import CliRunner
 
-from pitchtally import policy
-from pitchtally.commands import main
-from pitchtally.settings import SettingsError, load
+from pitchtally.cli.commands import main
+from pitchtally.config import policy
+from pitchtally.config.settings import SettingsError, load
 
-from .sim import settings
+from ..harness.simulation import settings
 
 GOOD = """
 node_name = "c-0"
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from .production import HistoryMissing, Production
+from .harness.earlier_version import HistoryMissing, Production
 
 
 @pytest.fixture(scope="session")
--- /dev/null
+++ b/tests/harness/test_invariants.py
@@ -0,0 +1,193 @@
+"""The oracle is tested too: for each rule, a run that breaks it is seen to be caught."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from types import SimpleNamespace
+from typing import Any
+
+import pytest
+import trio
+import trio.testing
+
+from standins.rules import Rules
+
+from .invariants import InvariantChecker
+from .simulation import TYPES, job
+
+
+def agent(name: str, zone: str = "a", *, spot: bool = False, type: str = "big") -> Any:
+    return SimpleNamespace(
+        name=name,
+        zone=zone,
+        spot=spot,
+        type=type,
+        tasks={},
+        hung=False,
+        sick=False,
+        notice_at=None,
+        free_cpus=lambda: 8.0,
+    )
+
+
+def accepted(invariants: InvariantChecker, **more: Any) -> str:
+    spec = job(1, **more)
+    invariants.rules.specs[spec["ref"]] = spec
+    invariants.told(0.0, 0.1, spec["ref"], 201, "pending")
+    return str(spec["ref"])
+
+
+def start(invariants: InvariantChecker, task: int, where: Any) -> None:
+    invariants.rules.start(where, f"wk-000001/{task}")
+
+
+async def ran_twice(invariants: InvariantChecker) -> None:
+    accepted(invariants)
+    start(invariants, 0, agent("i-1"))
+    start(invariants, 0, agent("i-2"))
+
+
+async def quota(invariants: InvariantChecker) -> None:
+    accepted(invariants, crew="tight", vcpus=4.0)
+    start(invariants, 0, agent("i-1"))
+    start(invariants, 1, agent("i-2"))
+
+
+async def wrong_zone(invariants: InvariantChecker) -> None:
+    accepted(invariants, oneZone=True)
+    start(invariants, 0, agent("i-1", "a"))
+    start(invariants, 1, agent("i-2", "b"))
+
+
+async def wrong_parcel(invariants: InvariantChecker) -> None:
+    accepted(invariants, parcel="b")
+    start(invariants, 0, agent("i-1", "a"))
+
+
+async def wrong_spread(invariants: InvariantChecker) -> None:
+    accepted(invariants, spread=True, rows=2)
+    start(invariants, 0, agent("i-1", "a"))
+    start(invariants, 1, agent("i-2", "a"))
+
+
+async def wrong_type(invariants: InvariantChecker) -> None:
+    accepted(invariants, presses=["other"])
+    start(invariants, 0, agent("i-1"))
+
+
+async def wrong_kind(invariants: InvariantChecker) -> None:
+    accepted(invariants, gleaning=False)
+    start(invariants, 0, agent("i-1", spot=True))
+
+
+async def ran_cancelled(invariants: InvariantChecker) -> None:
+    id = accepted(invariants)
+    start(invariants, 0, agent("i-1"))
+    invariants.asked_cancel.add(id)
+    invariants.told(1.0, 1.1, id, 200, "withdrawn")
+    await trio.sleep(30)
+    invariants.rules.check()
+
+
+async def started_cancelled(invariants: InvariantChecker) -> None:
+    id = accepted(invariants)
+    invariants.asked_cancel.add(id)
+    invariants.told(1.0, 1.1, id, 200, "withdrawn")
+    await trio.sleep(30)
+    start(invariants, 0, agent("i-1"))
+
+
+async def forgotten(invariants: InvariantChecker) -> None:
+    invariants.told(5.0, 5.1, accepted(invariants), 404, "")
+
+
+async def forgotten_repeat(invariants: InvariantChecker) -> None:
+    invariants.told(5.0, 5.1, accepted(invariants), 400, "", repeat=True)
+
+
+async def silent(invariants: InvariantChecker) -> None:
+    accepted(invariants)
+    invariants.silent(100.0, calm_since=20.0)
+
+
+async def invented(invariants: InvariantChecker) -> None:
+    invariants.told(0.0, 0.1, "wk-000009", 200, "pending")
+
+
+async def not_done(invariants: InvariantChecker) -> None:
+    invariants.told(5.0, 5.1, accepted(invariants), 200, "done")
+
+
+async def went_back(invariants: InvariantChecker) -> None:
+    id = accepted(invariants, rows=1)
+    invariants.rules.done.add(f"{id}/0")
+    invariants.told(5.0, 5.1, id, 200, "done")
+    invariants.told(6.0, 6.1, id, 200, "running")
+
+
+async def cancelled_by_nobody(invariants: InvariantChecker) -> None:
+    invariants.told(5.0, 5.1, accepted(invariants), 200, "withdrawn")
+
+
+async def waits(invariants: InvariantChecker) -> None:
+    accepted(invariants, rows=1)
+    world: Any = SimpleNamespace(types=TYPES, agents={"i-1": agent("i-1")})
+    invariants.idle(0.0, world)
+    invariants.idle(91.0, world)
+
+
+BREAKS: list[tuple[Callable[[InvariantChecker], Any], str]] = [
+    (ran_twice, "ran_twice"),
+    (quota, "quota"),
+    (wrong_zone, "wrong_place zone"),
+    (wrong_parcel, "wrong_place parcel"),
+    (wrong_spread, "wrong_place spread"),
+    (wrong_type, "wrong_place type"),
+    (wrong_kind, "wrong_place spot"),
+    (ran_cancelled, "ran_cancelled"),
+    (started_cancelled, "ran_cancelled"),
+    (forgotten, "forgotten"),
+    (forgotten_repeat, "forgotten"),
+    (silent, "forgotten"),
+    (invented, "invented"),
+    (not_done, "not_done"),
+    (went_back, "went_back"),
+    (cancelled_by_nobody, "went_back"),
+    (waits, "waits"),
+]
+
+
+@pytest.mark.parametrize(("breaks", "rule"), BREAKS, ids=[b.__name__ for b, _ in BREAKS])
+def test_each_rule_is_watched(breaks: Callable[[InvariantChecker], Any], rule: str) -> None:
+    async def main() -> None:
+        rules = Rules(25.0)
+        rules.limits = {"tight": 6.0}
+        invariants = InvariantChecker(rules)
+        await breaks(invariants)
+        assert any(text.startswith(rule) for text in [*rules.broken, *invariants.broken])
+        with pytest.raises(AssertionError):
+            invariants.check()
+
+    trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
+
+
+def test_what_is_allowed_is_not_told() -> None:
+    """An answer under way when a later one came; a job at its team's limit; no room."""
+
+    async def main() -> None:
+        rules = Rules(25.0)
+        rules.limits = {"tight": 2.0}
+        invariants = InvariantChecker(rules)
+        id = accepted(invariants, rows=2, crew="tight")
+        start(invariants, 0, agent("i-1"))
+        world: Any = SimpleNamespace(types=TYPES, agents={"i-1": agent("i-1")})
+        invariants.idle(0.0, world)
+        invariants.idle(91.0, world)
+        rules.done |= {f"{id}/0", f"{id}/1"}
+        invariants.told(5.0, 6.0, id, 200, "done")
+        invariants.told(5.5, 6.5, id, 200, "running")
+        invariants.silent(60.0, calm_since=20.0)
+        invariants.told(0.0, 7.0, "wk-000009", 404, "")
+        invariants.check()
+
+    trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
--- a/tests/test_stretch.py
+++ b/tests/scheduling/test_stretch.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from pitchtally.control import stretch
-from pitchtally.control.stretch import Entry
+from pitchtally.scheduling import stretch
+from pitchtally.scheduling.stretch import Entry
 
 QUEUES = [
     [],
