--- a/pitchtally/agents/machine_records.py
+++ b/pitchtally/agents/machine_records.py
@@ -14,7 +14,7 @@
 import trio
 
 from ..formats import legacy, machine_layout
-from ..state_store import rate_limits
+from ..state_store import keys, rate_limits
 from ..state_store.client import Write
 from ..state_store.errors import InvalidTransaction, StoreUnavailable
 from .machines import LedShard
@@ -42,16 +42,15 @@
     def __init__(self, agents: AgentManager) -> None:
         self.agents = agents
         self.gate = agents.job_index.gate
-        self.chunks: dict[tuple[int, int], dict[str, MachineRow]] = {}
+        self.chunks: dict[keys.MachineChunk, dict[str, MachineRow]] = {}
         self.wake = trio.Event()
         limits = agents.settings.deployment.state_to_keep
         self.span = machine_layout.machines_per_chunk(int(limits.value_kb * 1024))
         self._refused = False  # the store takes chunks of the old layout no more
-        agents.replica.listen("fleet/", self._on_record)
+        agents.replica.listen(keys.MACHINES_PREFIX, self._on_record)
 
     def _on_record(self, key: str, value: bytes | None, version: int) -> None:
-        shard, _, chunk = key.partition("/")
-        where = (int(shard), int(chunk))
+        where = keys.parse_machines(key)
         if value is None:
             self.chunks.pop(where, None)
         else:
@@ -117,12 +116,12 @@
             for name in names
             if (machine := self.agents.machines.get(name)) is not None
         }
-        if rows == self.chunks.get((hold.shard, chunk), {}):
+        if rows == self.chunks.get(keys.MachineChunk(hold.shard, chunk), {}):
             self._mark_recorded(rows)
             return True
-        key = f"pt/fleet/{hold.shard}/{chunk}"
+        key = keys.machines(hold.shard, chunk)
         conditions = {
-            f"pt/parts/{hold.shard}": hold.token,
+            keys.shard(hold.shard): hold.token,
             key: self.agents.replica.version(key),
         }
         # A name leaves the record only once its machine is known to be gone.
--- a/pitchtally/agents/machines.py
+++ b/pitchtally/agents/machines.py
@@ -3,22 +3,34 @@
 from __future__ import annotations
 
 from collections import Counter
+from typing import NamedTuple
 
 import trio
 
 from ..jobs.index import Job
+from ..jobs.resources import NO_RESOURCES, Resources, resource_request
 from ..protocol import agent_api, cloud_api, user_api
 
 # Answers without effect after which a machine is taken for one that hears nothing.
 MAX_UNACKNOWLEDGED = 2
 
-Resources = tuple[float, float, float]
-MachineGroupKey = tuple[str, str, bool]  # type, zone, spot: machines alike but for their state
 
+class MachineGroupKey(NamedTuple):
+    """What machines of one group have in common: they are alike but for their state."""
 
-def resource_request(spec: user_api.JobSpec) -> Resources:
-    """What each task of a job takes of its machine."""
-    return (spec.cpus, spec.gpus, spec.memory)
+    type: str
+    zone: str
+    spot: bool
+
+    def text(self) -> str:
+        """The key as peer heartbeats carry it."""
+        return f"{self.type}|{self.zone}|{int(self.spot)}"
+
+    @classmethod
+    def parse(cls, text: str) -> MachineGroupKey:
+        """Read what `text` gave."""
+        type_, zone, spot = text.split("|")
+        return cls(type_, zone, spot == "1")
 
 
 class Placement:
@@ -109,7 +121,7 @@
         self.type = type
         self.zone = zone
         self.spot = spot
-        self.group: MachineGroupKey = (type, zone, spot)
+        self.group = MachineGroupKey(type, zone, spot)
         self.address = address
         self.kind: cloud_api.MachineType | None = None
         self.epoch = 0
@@ -144,16 +156,16 @@
     def free(self) -> Resources:
         """What no placement takes."""
         if self.kind is None:
-            return (0.0, 0.0, 0.0)
+            return NO_RESOURCES
         used, kind = self.used, self.kind
-        return (kind.cpus - used[0], kind.gpus - used[1], kind.memory - used[2])
+        return Resources(kind.cpus - used[0], kind.gpus - used[1], kind.memory - used[2])
 
     def yields(self, rank: int) -> Resources:
         """What work of lower rank than this one holds."""
         a = b = c = 0.0
         for x, y, z in self.yielding[rank + 1 :]:
             a, b, c = a + x, b + y, c + z
-        return (a, b, c)
+        return Resources(a, b, c)
 
     def count(self, placement: Placement, sign: float) -> None:
         """Add a placement to the sums, or take it off them."""
--- a/pitchtally/api/routes.py
+++ b/pitchtally/api/routes.py
@@ -27,7 +27,7 @@
 from ..protocol import agent_api, cloud_api, user_api
 from ..scheduling.capacity import Plan
 from ..scheduling.scheduler import Scheduler
-from ..state_store import rate_limits
+from ..state_store import keys, rate_limits
 from ..state_store.client import StateStoreClient, Write
 from ..state_store.errors import CompareFailed, LeaseExpired, StoreUnavailable
 from ..state_store.replica import Replica
@@ -182,7 +182,7 @@
 
     def _unknown(self, id: str, confirmed: Confirmed, *, exists: bool = False) -> Response:
         """The answer for a job that the copy doesn't show: 404 only if it has no record."""
-        if exists or self.replica.version(f"pt/jobs/{id}"):
+        if exists or self.replica.version(keys.job(id)):
             # There is a record that this node lacks or can't read, of a later version perhaps.
             return _busy("the state can't be confirmed now", 1)
         self.on_decision(Decision.UNKNOWN_JOB, id, DecisionReason(read=confirmed.read))
@@ -253,7 +253,7 @@
         return isinstance(outcome, Confirmed) and id in self.job_index.jobs
 
     async def _accept(self, spec: user_api.JobSpec) -> Response:
-        key = f"pt/jobs/{spec.id}"
+        key = keys.job(spec.id)
         plan = await self._plan(spec)
         conditions = {key: 0}
         for _, _, shard in plan.ranges:
@@ -261,7 +261,7 @@
             # earlier leader can have started one of them.
             token = self.membership.token(shard)
             if token is not None:
-                conditions[f"pt/parts/{shard}"] = token
+                conditions[keys.shard(shard)] = token
         record = JobRecord(
             job_record.OPEN,
             spec.tasks,
@@ -364,7 +364,7 @@
     async def _commit_cancellation(self, job: Job) -> None:
         """Write that a job is cancelled, and tell the leaders; raises what `Store.commit` does."""
         final = JobRecord(job_record.CANCELLED, job.record.tasks, count=job.finished.count)
-        change = Write(f"pt/jobs/{job.id}", encode(final))
+        change = Write(keys.job(job.id), encode(final))
         revision = await self.state_store.commit(
             {change.key: job.version}, [change], priority=rate_limits.COMPLETIONS
         )
--- a/pitchtally/api/validation.py
+++ b/pitchtally/api/validation.py
@@ -8,10 +8,9 @@
 
 import msgspec
 
-from ..agents.machines import resource_request
 from ..config.settings import Settings
+from ..jobs.resources import capacity_of, fits, resource_request
 from ..protocol import cloud_api, user_api
-from ..scheduling.capacity import fits
 
 _ID = re.compile(r"wk-[0-9]{1,18}")
 
@@ -107,7 +106,7 @@
         t
         for t in types.values()
         if (spec.types is None or t.name in spec.types)
-        and fits(resource_request(spec), (t.cpus, t.gpus, t.memory))
+        and fits(resource_request(spec), capacity_of(t))
         and (spec.zone is None or spec.zone in t.zones)
     ]
     if not able:
--- a/pitchtally/autoscaling/autoscaler.py
+++ b/pitchtally/autoscaling/autoscaler.py
@@ -14,21 +14,22 @@
 import msgspec
 import trio
 
-from ..agents.machines import resource_request
+from ..agents.machines import MachineGroupKey
 from ..agents.manager import AgentManager
 from ..config.policy import Policy
 from ..config.settings import Settings
 from ..jobs.index import JobIndex
+from ..jobs.resources import capacity_of, count_fitting, resource_request
 from ..membership.membership import Membership, shard_of
 from ..membership.messages import MachineFlag, MachineStatus, PeerHeartbeat
 from ..protocol import cloud_api, user_api
-from ..scheduling.capacity import group_ok, times
+from ..scheduling.capacity import allows_machine_type
 from ..scheduling.scheduler import Scheduler
 from ..state_store.client import StateStoreClient
 from ..state_store.replica import Replica
 from .catalog import MachineCatalog
 from .cloud_client import Cloud, CloudUnavailable, InsufficientCapacity
-from .scale_out import Booting, Group, ScaleOut
+from .scale_out import Booting, ScaleOut
 
 log = logging.getLogger("fleet")
 
@@ -235,7 +236,7 @@
             if machine.age > self._boot_limit(kind):
                 self._return(name, "never came up")
             elif name not in self.booting:
-                group = Group(machine.type, machine.zone, machine.spot)
+                group = MachineGroupKey(machine.type, machine.zone, machine.spot)
                 self.booting[name] = Booting(group, now - machine.age)
         elif name in statuses or not self._vouched(name):
             # Right after a failover nobody has heard a shard's machines yet.
@@ -339,7 +340,9 @@
 
     def _needed(self, status: MachineStatus, waits: list[user_api.JobSpec]) -> bool:
         kind = self.types.get(status.type)
-        return kind is None or any(group_ok(spec, kind, status.zone, status.spot) for spec in waits)
+        return kind is None or any(
+            allows_machine_type(spec, kind, status.zone, status.spot) for spec in waits
+        )
 
     def _observe_demand(self, now: float) -> None:
         """Remember how many tasks of each shape ran or waited at once lately."""
@@ -378,8 +381,8 @@
                     continue
                 if self.scheduler.priorities.slack(spec) > kind.boot * 2:
                     continue
-                if group_ok(spec, kind, status.zone, status.spot):
-                    fit = times(resource_request(spec), (kind.cpus, kind.gpus, kind.memory))
+                if allows_machine_type(spec, kind, status.zone, status.spot):
+                    fit = count_fitting(resource_request(spec), capacity_of(kind))
                     price = (kind.spot_price or kind.price) if status.spot else kind.price
                     able.append((price / fit, name, fit))
             for _, name, fit in sorted(able):
--- a/pitchtally/autoscaling/catalog.py
+++ b/pitchtally/autoscaling/catalog.py
@@ -12,7 +12,7 @@
 from ..formats.gate import FormatGate
 from ..membership.membership import Membership
 from ..protocol import cloud_api
-from ..state_store import rate_limits
+from ..state_store import keys, rate_limits
 from ..state_store.client import StateStoreClient, Write
 from ..state_store.errors import CompareFailed, LeaseExpired, StoreUnavailable
 from ..state_store.replica import Replica
@@ -23,7 +23,6 @@
 # Times `list_every` between two questions, once the types are known and before.
 ASK_EVERY, ASK_FIRST = 6.0, 0.5
 
-_KEY = "pt/types"
 _decode = msgspec.json.Decoder(list[cloud_api.MachineType]).decode
 _encode = msgspec.json.encode
 
@@ -56,10 +55,10 @@
         self.trouble = trouble  # told why the cloud can't be asked
         self.known: dict[str, cloud_api.MachineType] = {}
         self._pages: dict[str, list[cloud_api.MachineType]] = {}  # by key
-        replica.listen("types", self._on_record)
+        replica.listen(keys.MACHINE_TYPES_PREFIX, self._on_record)
 
     def _on_record(self, rest: str, value: bytes | None, version: int) -> None:
-        key = f"{_KEY}{rest}"
+        key = keys.absolute(keys.MACHINE_TYPES_PREFIX, rest)
         if value is None:
             self._pages.pop(key, None)
         else:
@@ -127,9 +126,9 @@
     def lay_out(self, found: list[cloud_api.MachineType]) -> list[Write]:
         """The writes that store these types, those that hold something first."""
         most = int(self.state_store.limits.value_kb * 1024)
-        whole = _encode(found)
-        if len(whole) <= most or not self.gate.open:
-            pages = {_KEY: found}
+        stays_in_one_shard = _encode(found)
+        if len(stays_in_one_shard) <= most or not self.gate.open:
+            pages = {keys.MACHINE_TYPES: found}
         else:
             pages = self._paged(found, most)
         writes = [Write(key, _encode(page)) for key, page in pages.items()]
@@ -144,4 +143,4 @@
             if pages[-1] and len(_encode([*pages[-1], kind])) > most:
                 pages.append([])
             pages[-1].append(kind)
-        return {f"{_KEY}/{number}": page for number, page in enumerate(pages)}
+        return {keys.machine_types_page(number): page for number, page in enumerate(pages)}
--- a/pitchtally/autoscaling/scale_out.py
+++ b/pitchtally/autoscaling/scale_out.py
@@ -9,15 +9,16 @@
 import logging
 from collections.abc import Iterable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING
 
 import msgspec
 import trio
 
-from ..agents.machines import resource_request
+from ..agents.machines import MachineGroupKey
+from ..jobs.resources import capacity_of, count_fitting, resource_request
 from ..membership.messages import MachineFlag, MachineStatus
 from ..protocol import cloud_api, user_api
-from ..scheduling.capacity import group_ok, times
+from ..scheduling.capacity import allows_machine_type
 from .cloud_client import InsufficientCapacity
 
 if TYPE_CHECKING:
@@ -33,19 +34,11 @@
 FIRST_PAUSE, LONGEST_PAUSE, SHORT_PAUSE = 5.0, 60.0, 20.0
 
 
-class Group(NamedTuple):
-    """What one hire asks for."""
-
-    type: str
-    zone: str
-    spot: bool
-
-
 @dataclass(slots=True)
 class Booting:
     """A machine that was rented and has not been heard yet."""
 
-    group: Group
+    group: MachineGroupKey
     since: float
 
 
@@ -64,7 +57,7 @@
     def __init__(self, autoscaler: Autoscaler) -> None:
         self.autoscaler = autoscaler
         self.scheduler = autoscaler.scheduler
-        self.refused: dict[Group, tuple[float, float]] = {}  # group -> (until, pause)
+        self.refused: dict[MachineGroupKey, tuple[float, float]] = {}  # group -> (until, pause)
         self.pending: cloud_api.LaunchRequest | None = None  # a hire without an answer
         self.counter = 0
 
@@ -86,7 +79,7 @@
             await self._send(self.pending, now)
 
     async def _send(self, hire: cloud_api.LaunchRequest, now: float) -> None:
-        group = Group(hire.type, hire.zone, hire.spot)
+        group = MachineGroupKey(hire.type, hire.zone, hire.spot)
         try:
             body = await self.autoscaler.cloud.call("POST", "/machines", encode(hire))
         except InsufficientCapacity:
@@ -105,14 +98,14 @@
         for name in names:
             self.autoscaler.booting[name] = Booting(group, now)
 
-    def _groups(self) -> Iterable[Group]:
+    def _groups(self) -> Iterable[MachineGroupKey]:
         for kind in self.autoscaler.types.values():
             for zone in kind.zones:
-                yield Group(kind.name, zone, False)
+                yield MachineGroupKey(kind.name, zone, False)
                 if kind.spot_price is not None:
-                    yield Group(kind.name, zone, True)
+                    yield MachineGroupKey(kind.name, zone, True)
 
-    def _next(self, now: float) -> tuple[Group, int] | None:
+    def _next(self, now: float) -> tuple[MachineGroupKey, int] | None:
         """The next hire that waiting work calls for, cheapest per task first."""
         open_groups = [g for g in self._groups() if self.refused.get(g, (0.0, 0.0))[0] <= now]
         if not open_groups:
@@ -152,14 +145,16 @@
             shapes[shape] = demand
         return shapes.values()
 
-    def _cheapest(self, spec: user_api.JobSpec, groups: list[Group]) -> tuple[Group, int] | None:
+    def _cheapest(
+        self, spec: user_api.JobSpec, groups: list[MachineGroupKey]
+    ) -> tuple[MachineGroupKey, int] | None:
         """The group whose machines cost least per task, and how many tasks one holds."""
         options = []
         for group in groups:
             kind = self.autoscaler.types[group.type]
-            if not group_ok(spec, kind, group.zone, group.spot):
+            if not allows_machine_type(spec, kind, group.zone, group.spot):
                 continue
-            fit = times(resource_request(spec), (kind.cpus, kind.gpus, kind.memory))
+            fit = count_fitting(resource_request(spec), capacity_of(kind))
             price = (kind.spot_price if group.spot else kind.price) or kind.price
             options.append((price / fit, kind.boot, group, fit))
         if not options:
@@ -173,11 +168,11 @@
         resources = resource_request(spec)
         slots = free = 0
         for status in statuses.values():
-            slots_here = self._slots(spec, Group(status.type, status.zone, status.spot))
+            slots_here = self._slots(spec, MachineGroupKey(status.type, status.zone, status.spot))
             if status.flag in (MachineFlag.USABLE, MachineFlag.NEW):
                 slots += slots_here
             if status.flag == MachineFlag.USABLE and slots_here:
-                free += times(resources, status.free)
+                free += count_fitting(resources, status.free)
         coming = sum(
             self._slots(spec, booting.group) for booting in self.autoscaler.booting.values()
         )
@@ -186,10 +181,10 @@
         if spec.is_service:
             # It never makes room for what waits behind it: only free machines help.
             yielding = sum(
-                times(resources, status.yielding)
+                count_fitting(resources, status.yielding)
                 for status in statuses.values()
                 if status.flag == MachineFlag.USABLE
-                and self._slots(spec, Group(status.type, status.zone, status.spot))
+                and self._slots(spec, MachineGroupKey(status.type, status.zone, status.spot))
             )
             return min(demand.tasks - free - yielding - coming, allowed)
         # Work that the present machines finish before a new one is up needs none.
@@ -199,9 +194,9 @@
         # More machines than the team's limit can fill would only cost.
         return min(demand.seconds / patience - slots, demand.tasks, allowed)
 
-    def _slots(self, spec: user_api.JobSpec, group: Group) -> int:
+    def _slots(self, spec: user_api.JobSpec, group: MachineGroupKey) -> int:
         """Tasks of the job that an empty machine of the group holds, if the job allows it."""
         kind = self.autoscaler.types.get(group.type)
-        if kind is None or not group_ok(spec, kind, group.zone, group.spot):
+        if kind is None or not allows_machine_type(spec, kind, group.zone, group.spot):
             return 0
-        return times(resource_request(spec), (kind.cpus, kind.gpus, kind.memory))
+        return count_fitting(resource_request(spec), capacity_of(kind))
--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -25,6 +25,7 @@
 from .observability.supervision import Loop, Loops
 from .protocol import user_api
 from .scheduling.scheduler import Scheduler
+from .state_store import keys
 from .state_store.client import StateStoreClient
 from .state_store.replica import Replica
 
@@ -134,7 +135,7 @@
     def _leader_guard(self) -> tuple[str, int] | None:
         """What a leader's write rests on, None if this node doesn't lead."""
         token = self.membership.cluster_leader_token
-        return None if token is None else (f"pt/parts/{CLUSTER_LEADER_SHARD}", token)
+        return None if token is None else (keys.shard(CLUSTER_LEADER_SHARD), token)
 
     def _evidence(self) -> Evidence:
         owned = self.membership.leaders.get(CLUSTER_LEADER_SHARD)
--- a/pitchtally/formats/finished_tasks.py
+++ b/pitchtally/formats/finished_tasks.py
@@ -6,10 +6,9 @@
 
 from __future__ import annotations
 
+from ..state_store import keys
 from .legacy import BYTE_BITS
 
-PREFIX = "done"
-
 # Of a value: what a bitmap in the record may take, and one in a key of its own.
 INLINE_SHARE = 1 / 4
 CHUNK_SHARE = 1 / 2
@@ -30,4 +29,4 @@
 
 def key(job: str, first: int) -> str:
     """The key that holds the bits from the task `first` on."""
-    return f"pt/{PREFIX}/{job}/{first}"
+    return keys.finished_tasks(job, first)
--- a/pitchtally/formats/gate.py
+++ b/pitchtally/formats/gate.py
@@ -16,6 +16,7 @@
 import msgspec
 from msgspec import Struct
 
+from ..state_store import keys
 from ..state_store.replica import Replica
 from . import legacy
 
@@ -26,7 +27,7 @@
 # Finished tasks by task number, long specs in pieces, shares by team: since 0.6.0.
 FORMAT = 2
 
-KEY = "pt/format"
+KEY = keys.FORMAT
 
 
 class FormatRecord(Struct, frozen=True):
@@ -60,7 +61,7 @@
         self.format = FIRST_FORMAT
         self.value_kb = value_kb
         self.legacy_chunk_tasks = legacy.chunk_tasks(value_kb)
-        replica.listen("format", self._on_record)
+        replica.listen(keys.FORMAT_PREFIX, self._on_record)
 
     def _on_record(self, key: str, value: bytes | None, version: int) -> None:
         if value is None or key:
--- a/pitchtally/formats/job_layout.py
+++ b/pitchtally/formats/job_layout.py
@@ -12,6 +12,7 @@
 import msgspec
 
 from ..config.settings import StateLimits
+from ..state_store import keys
 from ..state_store.client import Write
 from . import finished_tasks, legacy, text_chunks
 from .gate import FormatGate
@@ -69,7 +70,9 @@
     ) -> tuple[text_chunks.TextRef, list[Write]]:
         """The writes that store a job's text, and what finds it again."""
         ref, values = text_chunks.cut(text, value_bytes)
-        writes = [Write(text_chunks.key(id, ref, n), value) for n, value in enumerate(values)]
+        writes = [
+            Write(keys.text_chunk(id, ref.digest, n), value) for n, value in enumerate(values)
+        ]
         return ref, writes
 
     def _move_spec_out(self, id: str, record: JobRecord) -> tuple[list[Write], JobRecord]:
@@ -109,7 +112,7 @@
             size = tasks // legacy.BYTE_BITS
             offset = first // legacy.BYTE_BITS
             if any(bits.data[offset : offset + size]):
-                yield Write(finished_tasks.key(id, first), encode(bits.text(offset, size)))
+                yield Write(keys.finished_tasks(id, first), encode(bits.text(offset, size)))
 
     def encode_record(self, job: Job, record: JobRecord) -> bytes:
         """A changed record of a job, without what stands in other keys."""
@@ -122,12 +125,16 @@
         tasks = job.chunk_tasks
         if not tasks:
             record = msgspec.structs.replace(job.record, finished=joined.text())
-            return [Write(f"pt/jobs/{job.id}", self.encode_record(job, record))]
+            return [Write(keys.job(job.id), self.encode_record(job, record))]
         writes = []
         for number in sorted({task // tasks for task in job.local}):
             first = number * tasks
             text = joined.text(first // legacy.BYTE_BITS, tasks // legacy.BYTE_BITS)
             old = not job.record.chunk_tasks
-            key = legacy.legacy_key(job.id, number) if old else finished_tasks.key(job.id, first)
+            key = (
+                keys.legacy_finished_tasks(job.id, number)
+                if old
+                else keys.finished_tasks(job.id, first)
+            )
             writes.append(Write(key, encode(text)))
         return writes
--- a/pitchtally/formats/legacy.py
+++ b/pitchtally/formats/legacy.py
@@ -7,6 +7,8 @@
 
 from __future__ import annotations
 
+from ..state_store import keys
+
 # 0.5.1 packed finished tasks into half a value, as base64: 3 bytes take 4 characters.
 _VALUE_SHARE = 0.5
 _BASE64 = 3 / 4
@@ -14,8 +16,6 @@
 # 0.5.1 counted this many bytes for a machine, and filled half a value.
 _MACHINE_BYTES = 100
 
-FINISHED_PREFIX = "fin"
-
 
 def chunk_tasks(value_kb: float) -> int:
     """Tasks whose finished set 0.5.1 kept in one value, under this limit of a value in KiB."""
@@ -30,4 +30,4 @@
 
 def legacy_key(job: str, number: int) -> str:
     """The key of 0.5.1 that holds a job's chunk of this number."""
-    return f"pt/{FINISHED_PREFIX}/{job}/{number}"
+    return keys.legacy_finished_tasks(job, number)
--- a/pitchtally/formats/migration.py
+++ b/pitchtally/formats/migration.py
@@ -14,7 +14,7 @@
 
 import trio
 
-from ..state_store import rate_limits
+from ..state_store import keys, rate_limits
 from ..state_store.client import Write
 from ..state_store.errors import StoreUnavailable
 from .job_layout import JobLayout
@@ -53,9 +53,9 @@
         shard = self.job_index.writable_shard(job)
         if shard is None and job.record.ranges:
             return False
-        guard = {f"pt/jobs/{job.id}": job.version}
+        guard = {keys.job(job.id): job.version}
         if shard is not None:
-            guard[f"pt/parts/{shard[0]}"] = shard[1]
+            guard[keys.shard(shard[0])] = shard[1]
         first, record = self.layout.convert(job)
         # Versions as of now: a key that changes later holds more than what is written here.
         versions = {change.key: self.job_index.replica.version(change.key) for change in first}
@@ -65,7 +65,7 @@
             conditions = {**guard, **{change.key: versions[change.key] for change in group}}
             if not await self.job_index.commit(conditions, group, priority=priority):
                 return False
-        change = Write(f"pt/jobs/{job.id}", self.layout.encode_record(job, record))
+        change = Write(keys.job(job.id), self.layout.encode_record(job, record))
         done = await self.job_index.commit(guard, [change], priority=priority)
         if done:
             log.info("job converted job=%s keys=%d", job.id, len(first))
@@ -95,22 +95,22 @@
 
     async def _remove_some(self) -> bool:
         guard = self.leader()
-        keys = self.left_over(self.job_index.state_store.limits.txn_ops)
-        if guard is None or not keys:
+        left_over = self.left_over(self.job_index.state_store.limits.txn_ops)
+        if guard is None or not left_over:
             return False
-        conditions = {key: self.job_index.replica.version(key) for key in keys}
+        conditions = {key: self.job_index.replica.version(key) for key in left_over}
         conditions[guard[0]] = guard[1]
-        changes = [Write(key, None) for key in keys]
+        changes = [Write(key, None) for key in left_over]
         return await self.job_index.commit(conditions, changes, priority=rate_limits.PROGRESS)
 
     def left_over(self, most: int) -> list[str]:
         """Keys of jobs that are over, at most so many."""
         found: list[str] = []
-        for id, keys in self.job_index.extra_keys.items():
+        for id, extra_keys in self.job_index.extra_keys.items():
             job = self.job_index.jobs.get(id)
             if job is None or job.open:
                 continue
-            found.extend(sorted(keys))
+            found.extend(sorted(extra_keys))
             if len(found) >= most:
                 break
         return found[:most]
--- a/pitchtally/formats/quota_shares.py
+++ b/pitchtally/formats/quota_shares.py
@@ -8,17 +8,15 @@
 
 from __future__ import annotations
 
-from urllib.parse import quote
-
 import msgspec
 
+from ..state_store import keys
 from ..state_store.client import Write
 from ..state_store.replica import Replica
 from .gate import FormatGate
 
 ShardQuotaShare = tuple[float, float]  # CPUs, GPUs
 
-_KEY = "pt/shares"
 
 _decode_all = msgspec.json.Decoder(dict[str, list[ShardQuotaShare]]).decode
 _decode_team = msgspec.json.Decoder(list[ShardQuotaShare]).decode
@@ -33,10 +31,10 @@
         self.gate = gate
         self._together: dict[str, list[ShardQuotaShare]] = {}
         self._by_key: dict[str, list[ShardQuotaShare]] = {}
-        replica.listen("shares", self._on_record)
+        replica.listen(keys.QUOTA_SHARES_PREFIX, self._on_record)
 
     def _on_record(self, rest: str, value: bytes | None, version: int) -> None:
-        key = f"{_KEY}{rest}"
+        key = keys.absolute(keys.QUOTA_SHARES_PREFIX, rest)
         if not rest:
             self._together = {} if value is None else _decode_all(value)
         elif value is None:
@@ -46,27 +44,25 @@
 
     def of(self, team: str) -> list[ShardQuotaShare] | None:
         """A team's share in each shard; None while every shard has an equal one."""
-        return self._by_key.get(self._own_key(team)) or self._together.get(team)
-
-    @staticmethod
-    def _own_key(team: str) -> str:
-        return f"{_KEY}/{quote(team, safe='')}"
+        return self._by_key.get(keys.quota_shares(team)) or self._together.get(team)
 
     def change(self, team: str, rows: list[ShardQuotaShare]) -> Write:
         """The write that gives a team these shares."""
-        key = self._own_key(team) if self.gate.open else _KEY
+        key = keys.quota_shares(team) if self.gate.open else keys.QUOTA_SHARES
         return Write(key, self._value(key, team, rows))
 
     def versions(self, team: str) -> dict[str, int]:
         """What a change of a team's shares rests on: nobody has changed them meanwhile."""
-        keys = [_KEY, self._own_key(team)] if self.gate.open else [_KEY]
-        return {key: self.replica.version(key) for key in keys}
+        read = [keys.QUOTA_SHARES]
+        if self.gate.open:
+            read.append(keys.quota_shares(team))
+        return {key: self.replica.version(key) for key in read}
 
     def unchanged(self, key: str, team: str, rows: list[ShardQuotaShare]) -> bytes:
         """The value that leaves things as they stand: `rows` if the team has no record yet."""
         return self._value(key, team, self.of(team) or rows)
 
     def _value(self, key: str, team: str, rows: list[ShardQuotaShare]) -> bytes:
-        if key == _KEY:
+        if key == keys.QUOTA_SHARES:
             return _encode({**self._together, team: rows})
         return _encode(rows)
--- a/pitchtally/formats/text_chunks.py
+++ b/pitchtally/formats/text_chunks.py
@@ -13,7 +13,8 @@
 
 import msgspec
 
-PREFIX = "text"
+from ..state_store import keys
+
 _DIGEST_BYTES = 8
 # Of a value: JSON may escape a character to several bytes, which `cut` counts.
 PIECE_SHARE = 3 / 4
@@ -26,9 +27,9 @@
     pieces: int
 
 
-def key(leader: str, ref: TextRef, number: int) -> str:
-    """The key of one piece of an leader's text."""
-    return f"pt/{PREFIX}/{leader}/{ref.digest}/{number}"
+def key(job: str, ref: TextRef, number: int) -> str:
+    """The key of one piece of a job's text."""
+    return keys.text_chunk(job, ref.digest, number)
 
 
 def cut(text: str, value_bytes: int) -> tuple[TextRef, list[bytes]]:
--- a/pitchtally/jobs/index.py
+++ b/pitchtally/jobs/index.py
@@ -16,10 +16,11 @@
 import msgspec
 import trio
 
-from ..formats import finished_tasks, legacy, text_chunks
+from ..formats import text_chunks
 from ..formats.gate import FormatGate
 from ..formats.text_chunks import TextRef
 from ..protocol import user_api
+from ..state_store import keys
 from ..state_store.client import StateStoreClient, Write
 from ..state_store.errors import CompareFailed, LeaseExpired
 from ..state_store.replica import Replica
@@ -137,10 +138,10 @@
         self.texts: dict[str, dict[tuple[str, int], str]] = {}  # job -> pieces of its spec
         # Keys that a job has besides its record; they outlive it for a while.
         self.extra_keys: dict[str, set[str]] = {}
-        replica.listen("jobs/", self._on_record)
-        replica.listen(f"{legacy.FINISHED_PREFIX}/", self._on_legacy_bits)
-        replica.listen(f"{finished_tasks.PREFIX}/", self._on_bits)
-        replica.listen(f"{text_chunks.PREFIX}/", self._on_piece)
+        replica.listen(keys.JOB_PREFIX, self._on_record)
+        replica.listen(keys.LEGACY_FINISHED_PREFIX, self._on_legacy_bits)
+        replica.listen(keys.FINISHED_PREFIX, self._on_bits)
+        replica.listen(keys.TEXT_PREFIX, self._on_piece)
 
     # --- following -----------------------------------------------------
 
@@ -195,18 +196,18 @@
             watcher(job, old)
 
     def _on_legacy_bits(self, key: str, value: bytes | None, version: int) -> None:
-        self._take_bits(legacy.FINISHED_PREFIX, key, value)
+        self._take_bits(keys.LEGACY_FINISHED_PREFIX, key, value)
 
     def _on_bits(self, key: str, value: bytes | None, version: int) -> None:
-        self._take_bits(finished_tasks.PREFIX, key, value)
+        self._take_bits(keys.FINISHED_PREFIX, key, value)
 
     def _take_bits(self, prefix: str, key: str, value: bytes | None) -> None:
-        id, _, number = key.partition("/")
-        self._note_extra_key(id, f"{Replica.PREFIX}{prefix}/{key}", present=value is not None)
+        id, number = keys.parse_finished_tasks(key)
+        self._note_extra_key(id, keys.absolute(prefix, key), present=value is not None)
         if value is None:
             return
         job = self.jobs.get(id)
-        bits = StoredBits(prefix, int(number), _decode_text(value))
+        bits = StoredBits(prefix, number, _decode_text(value))
         if job is None:
             # A full read comes in key order: these sort before `jobs/`.
             self.early.setdefault(id, []).append(bits)
@@ -215,31 +216,29 @@
             self._settle_local(job)
 
     def _on_piece(self, key: str, value: bytes | None, version: int) -> None:
-        id, digest, number = key.split("/")
-        self._note_extra_key(
-            id, f"{Replica.PREFIX}{text_chunks.PREFIX}/{key}", present=value is not None
-        )
+        id, digest, number = keys.parse_text_chunk(key)
+        self._note_extra_key(id, keys.absolute(keys.TEXT_PREFIX, key), present=value is not None)
         texts = self.texts.setdefault(id, {})
         if value is None:
-            texts.pop((digest, int(number)), None)
+            texts.pop((digest, number), None)
             return
-        texts[(digest, int(number))] = _decode_text(value)
+        texts[(digest, number)] = _decode_text(value)
         if id in self.early_records:
             self._try_early_record(id)
 
     def _note_extra_key(self, id: str, key: str, *, present: bool) -> None:
-        keys = self.extra_keys.setdefault(id, set())
+        present_keys = self.extra_keys.setdefault(id, set())
         if present:
-            keys.add(key)
+            present_keys.add(key)
             return
-        keys.discard(key)
-        if not keys:
+        present_keys.discard(key)
+        if not present_keys:
             del self.extra_keys[id]
 
     @staticmethod
     def _join(job: Job, bits: StoredBits) -> None:
         first = bits.number
-        if bits.prefix == legacy.FINISHED_PREFIX:
+        if bits.prefix == keys.LEGACY_FINISHED_PREFIX:
             first *= job.legacy_chunk_tasks
         job.finished.join_text(bits.text, first)
 
@@ -268,7 +267,7 @@
         from now on, a shard that is loaded or settled later too, finds it over.
         """
         final = JobRecord(CANCELLED, tasks, count=done)
-        self.replica.learn(f"pt/jobs/{id}", encode(final), version)
+        self.replica.learn(keys.job(id), encode(final), version)
 
     # --- what the leader of a range says ----------------------------------
 
--- a/pitchtally/jobs/progress_writer.py
+++ b/pitchtally/jobs/progress_writer.py
@@ -16,7 +16,7 @@
 from ..formats.job_layout import JobLayout
 from ..formats.migration import JobMigration
 from ..observability.decision_log import Decision, DecisionListener, DecisionReason, ignore_decision
-from ..state_store import rate_limits
+from ..state_store import keys, rate_limits
 from ..state_store.client import Write
 from ..state_store.errors import InvalidTransaction, StoreUnavailable
 from .index import Job, JobIndex
@@ -138,7 +138,7 @@
         if job.complete:
             final = JobRecord(DONE, job.record.tasks)
             # Its other keys are removed later (`formats.cleanup`): they mean nothing now.
-            return [Step(job, [Write(f"pt/jobs/{job.id}", encode(final))], last=True)]
+            return [Step(job, [Write(keys.job(job.id), encode(final))], last=True)]
         joined = TaskBitmap(job.record.tasks)
         joined.join(bytes(job.finished.data))
         for task in job.local:
@@ -169,8 +169,8 @@
             shard = self.job_index.writable_shard(job)
             if shard is None or not job.open:
                 continue
-            conditions[f"pt/parts/{shard[0]}"] = shard[1]
-            conditions[f"pt/jobs/{job.id}"] = job.version
+            conditions[keys.shard(shard[0])] = shard[1]
+            conditions[keys.job(job.id)] = job.version
             for change in step.changes:
                 # Chunks are written by several leaders: each must join the latest.
                 conditions[change.key] = self.job_index.replica.version(change.key)
--- a/pitchtally/membership/format_negotiation.py
+++ b/pitchtally/membership/format_negotiation.py
@@ -8,7 +8,7 @@
 
 from ..formats import gate
 from ..formats.gate import FormatGate
-from ..state_store import rate_limits
+from ..state_store import keys, rate_limits
 from ..state_store.client import StateStoreClient, Write
 from ..state_store.errors import CompareFailed, LeaseExpired, StoreUnavailable
 from .membership import CLUSTER_LEADER_SHARD, Membership
@@ -45,11 +45,11 @@
             return
         # Replaced since, a member has another record, and the write fails.
         conditions = {
-            f"pt/nodes/{name}": membership.replica.version(f"pt/nodes/{name}")
+            keys.node(name): membership.replica.version(keys.node(name))
             for name in membership.nodes
         }
-        conditions[f"pt/parts/{CLUSTER_LEADER_SHARD}"] = token
-        conditions[gate.KEY] = membership.replica.version(gate.KEY)
-        changes = [Write(gate.KEY, self.gate.record())]
+        conditions[keys.shard(CLUSTER_LEADER_SHARD)] = token
+        conditions[keys.FORMAT] = membership.replica.version(keys.FORMAT)
+        changes = [Write(keys.FORMAT, self.gate.record())]
         revision = await self.state_store.commit(conditions, changes, priority=rate_limits.LEASES)
         membership.replica.own(changes, revision)
--- a/pitchtally/membership/membership.py
+++ b/pitchtally/membership/membership.py
@@ -21,7 +21,7 @@
 from ..formats.gate import FIRST_FORMAT, FORMAT
 from ..http import Client, HttpError, Request, Response
 from ..protocol import user_api
-from ..state_store import rate_limits
+from ..state_store import keys, rate_limits
 from ..state_store.client import StateStoreClient, Write
 from ..state_store.errors import CompareFailed, LeaseExpired, StoreUnavailable
 from ..state_store.replica import Replica
@@ -128,8 +128,8 @@
         )
         self.on_heartbeat: Callable[[PeerHeartbeat], None] = lambda heartbeat: None
         self.fill_in: Callable[[PeerHeartbeat, int], None] = lambda heartbeat, seen: None
-        replica.listen("parts/", self._on_shard)
-        replica.listen("nodes/", self._on_node)
+        replica.listen(keys.SHARD_PREFIX, self._on_shard)
+        replica.listen(keys.NODE_PREFIX, self._on_node)
 
     # --- following ---------------------------------------------------------
 
@@ -294,7 +294,7 @@
 
     async def _write_node(self, lease: int) -> None:
         """Our record, conditional on the one before: a late write of ours changes nothing."""
-        key = f"pt/nodes/{self.me}"
+        key = keys.node(self.me)
         value = msgspec.json.encode(self._own_node())
         changes = [Write(key, value, lease)]
         revision = await self.state_store.commit(
@@ -342,8 +342,8 @@
                     await trio.sleep(0.1)
 
     async def _take(self, shard: int) -> None:
-        key = f"pt/parts/{shard}"
-        node_key = f"pt/nodes/{self.me}"
+        key = keys.shard(shard)
+        node_key = keys.node(self.me)
         mine = self.replica.version(node_key)
         if not mine:
             return
--- a/pitchtally/membership/messages.py
+++ b/pitchtally/membership/messages.py
@@ -15,6 +15,7 @@
 from msgspec import Struct
 
 from ..jobs.job_record import TaskRange
+from ..jobs.resources import NO_RESOURCES, Resources
 from ..protocol import user_api
 
 # The number of a call by a version that numbers nothing.
@@ -41,13 +42,13 @@
     type: str
     zone: str
     spot: bool
-    free: tuple[float, float, float]
-    yielding: tuple[float, float, float]  # held by work of the lowest rank
+    free: Resources
+    yielding: Resources  # held by work of the lowest rank
     tasks: int
     idle_for: float
     flag: str  # a `MachineFlag`, or one of a later version
     slow: float = 1.0
-    over: tuple[float, float, float] = (0.0, 0.0, 0.0)  # by teams beyond their guarantee
+    over: Resources = NO_RESOURCES  # by teams beyond their guarantee
 
 
 class ShardStatus(Struct, array_like=True):
--- a/pitchtally/scheduling/allocations.py
+++ b/pitchtally/scheduling/allocations.py
@@ -4,8 +4,9 @@
 
 import trio
 
-from ..agents.machines import Machine, MachineGroupKey, Placement, Resources, resource_request
+from ..agents.machines import Machine, MachineGroupKey, Placement
 from ..jobs.index import Job
+from ..jobs.resources import Resources, resource_request
 from ..protocol import cloud_api, user_api
 from .capacity import RANK
 from .lower_price_capacity import GroupRooms, TaskRoom
--- a/pitchtally/scheduling/capacity.py
+++ b/pitchtally/scheduling/capacity.py
@@ -5,34 +5,16 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from ..agents.machines import Placement, Resources, resource_request
+from ..agents.machines import Placement
 from ..jobs.index import Job
 from ..jobs.job_record import TaskRange
+from ..jobs.resources import capacity_of, fits, resource_request
 from ..protocol import cloud_api, user_api
 
 RANK = {rank: i for i, rank in enumerate(user_api.RANKS)}
 
 
-def fits(resources: Resources, room: Resources) -> bool:
-    """Whether a task of this need fits into what is free."""
-    # Written out: asked some ten thousand times a second.
-    return (
-        resources[0] <= room[0] + 1e-6
-        and resources[1] <= room[1] + 1e-6
-        and resources[2] <= room[2] + 1e-6
-    )
-
-
-def times(resources: Resources, room: Resources) -> int:
-    """How many tasks of this need fit into a room."""
-    most = 1e6
-    for i in (0, 1, 2):
-        if resources[i] > 0:
-            most = min(most, (room[i] + 1e-6) / resources[i])
-    return int(max(0.0, most))
-
-
-def whole(spec: user_api.JobSpec) -> bool:
+def stays_in_one_shard(spec: user_api.JobSpec) -> bool:
     """Jobs that stay in one shard: their tasks constrain one another."""
     return spec.kind == user_api.GANG or (spec.tasks > 1 and (spec.one_zone or spec.spread))
 
@@ -42,21 +24,14 @@
     return placement.spec.kind == user_api.GANG
 
 
-def covered(job: Job) -> bool:
+def is_fully_assigned(job: Job) -> bool:
     """Whether every task of the job is assigned to a shard."""
     return sum(r.tasks for r in job.record.ranges) >= job.record.tasks
 
 
-def share_of(resources: Resources, kind: cloud_api.MachineType) -> float:
-    """The dominant share of a machine that a task takes."""
-    return max(
-        resources[0] / kind.cpus if kind.cpus else 0.0,
-        resources[1] / kind.gpus if kind.gpus else 0.0,
-        resources[2] / kind.memory if kind.memory else 0.0,
-    )
-
-
-def group_ok(spec: user_api.JobSpec, kind: cloud_api.MachineType, zone: str, spot: bool) -> bool:
+def allows_machine_type(
+    spec: user_api.JobSpec, kind: cloud_api.MachineType, zone: str, spot: bool
+) -> bool:
     """Whether a job allows machines of this type, zone and kind, and fits on one."""
     if spec.types is not None and kind.name not in spec.types:
         return False
@@ -64,10 +39,10 @@
         return False
     if spot and not spec.spot:
         return False
-    return fits(resource_request(spec), (kind.cpus, kind.gpus, kind.memory))
+    return fits(resource_request(spec), capacity_of(kind))
 
 
-def allowed(job: Job, type_: str, zone: str, spot: bool) -> bool:
+def allows_machine(job: Job, type_: str, zone: str, spot: bool) -> bool:
     """Whether a job allows machines of this type, zone and kind."""
     spec = job.spec
     if spec.types is not None and type_ not in spec.types:
--- a/pitchtally/scheduling/gang_planner.py
+++ b/pitchtally/scheduling/gang_planner.py
@@ -10,13 +10,15 @@
 import msgspec
 import trio
 
-from ..agents.machines import Resources, resource_request
 from ..jobs.index import Job
 from ..jobs.job_record import TaskRange, merge
+from ..jobs.resources import Resources, capacity_of, count_fitting, fits, resource_request
 from ..jobs.task_bitmap import TaskBitmap
+from ..membership.membership import CLUSTER_LEADER_SHARD
 from ..membership.messages import MachineFlag, ShardStatus
 from ..protocol import user_api
-from .capacity import CapacitySource, Plan, fits, group_ok, plan_gang, times
+from ..state_store import keys
+from .capacity import CapacitySource, Plan, allows_machine_type, plan_gang
 from .component import SchedulerComponent
 
 if TYPE_CHECKING:
@@ -173,23 +175,21 @@
         found = known[key] = {}
         for (type_, zone, spot), machines in self.scheduler.statuses.groups_of(status).items():
             kind = self.types().get(type_)
-            if kind is None or not group_ok(spec, kind, zone, spot):
+            if kind is None or not allows_machine_type(spec, kind, zone, spot):
                 continue
             total = 0
             for machine in machines:
                 if machine.flag:
                     continue
-                a, b, c = machine.free
+                room = machine.free
                 if source is CapacitySource.KEPT and machine.name not in status.kept:
-                    a, b, c = kind.cpus, kind.gpus, kind.memory
+                    room = capacity_of(kind)
                 elif source in BY_PREEMPTION and machine.name not in status.kept:
-                    x, y, z = machine.yielding
-                    a, b, c = a + x, b + y, c + z
+                    room = room.plus(machine.yielding)
                     if source is CapacitySource.OVER_GUARANTEE:
-                        x, y, z = machine.over
-                        a, b, c = a + x, b + y, c + z
-                if fits(resources, (a, b, c)):
-                    total += times(resources, (a, b, c))
+                        room = room.plus(machine.over)
+                if fits(resources, room):
+                    total += count_fitting(resources, room)
             if total:
                 found[zone] = found.get(zone, 0) + total
         return found
@@ -208,7 +208,7 @@
         if plan is not None:
             await self.scheduler.write_ranges(
                 job,
-                {"pt/parts/0": token},
+                {keys.shard(CLUSTER_LEADER_SHARD): token},
                 plan.ranges,
                 zone=plan.zone,
                 attempt=plan.attempt,
@@ -255,7 +255,7 @@
         log.info("rest of a job assigned job=%s tasks=%d part=%d", job.id, count, best)
         await self.scheduler.write_ranges(
             job,
-            {"pt/parts/0": token},
+            {keys.shard(CLUSTER_LEADER_SHARD): token},
             merge([*job.record.ranges, *((a, b, best) for a, b, _ in left)]),
             zone=zone,
             attempt=0,
@@ -279,12 +279,12 @@
                 kind = self.types().get(machine.type)
                 if kind is None or machine.flag not in UP_FLAGS | {MachineFlag.NEW}:
                     continue
-                if not group_ok(spec, kind, machine.zone, machine.spot):
+                if not allows_machine_type(spec, kind, machine.zone, machine.spot):
                     continue
                 now, ever = rooms.get(machine.zone, (0.0, 0.0))
                 rooms[machine.zone] = (
-                    now + times(resource_request(spec), machine.free),
-                    ever + times(resource_request(spec), (kind.cpus, kind.gpus, kind.memory)),
+                    now + count_fitting(resource_request(spec), machine.free),
+                    ever + count_fitting(resource_request(spec), capacity_of(kind)),
                 )
         wanted = spec.tasks if spec.kind == user_api.GANG else 1
         best = max(
@@ -299,11 +299,11 @@
         rows = []
         for status in self.scheduler.statuses.newest.values():
             able = sum(
-                times(resource_request(spec), (k.cpus, k.gpus, k.memory))
+                count_fitting(resource_request(spec), capacity_of(k))
                 for m in status.machines
                 if m.flag in UP_FLAGS
                 and (k := self.types().get(m.type)) is not None
-                and group_ok(spec, k, m.zone, m.spot)
+                and allows_machine_type(spec, k, m.zone, m.spot)
             )
             if able < (spec.tasks if spec.kind == user_api.GANG else 1):
                 continue
--- a/pitchtally/scheduling/gangs.py
+++ b/pitchtally/scheduling/gangs.py
@@ -7,12 +7,14 @@
 
 import trio
 
-from ..agents.machines import Machine, Resources, resource_request
+from ..agents.machines import Machine
 from ..jobs.index import Job
 from ..jobs.job_record import TaskRange, merge
+from ..jobs.resources import Resources, count_fitting, fits, resource_request
+from ..state_store import keys
 from ..state_store.errors import StoreUnavailable
 from .allocations import ShardAllocation, ShardState
-from .capacity import covered, fits, times, whole
+from .capacity import is_fully_assigned, stays_in_one_shard
 from .component import SchedulerComponent
 from .gang_planner import goes_on
 
@@ -52,7 +54,7 @@
                 # kept, and ends as soon as it is started again.
                 pass
             elif job.record.attempt:
-                if allocation.tried == job.record.attempt or not covered(job):
+                if allocation.tried == job.record.attempt or not is_fully_assigned(job):
                     continue
             elif allocation.pending.count < job.spec.tasks - job.finished.count - len(job.local):
                 continue
@@ -126,7 +128,7 @@
             if fits(resources, machine.free()) and self.scheduler.shards.machine_ok(
                 allocation, machine
             ):
-                machines.append((machine, times(resources, machine.free())))
+                machines.append((machine, count_fitting(resources, machine.free())))
         # The least other use first: a machine with cards is left for work that needs them.
         machines.sort(
             key=lambda mc: (
@@ -212,7 +214,6 @@
         self, allocation: ShardAllocation, machines: list[Machine], wanted: int, now: float
     ) -> list[Opening]:
         """Where that many tasks find room soonest; nothing if there is none for all."""
-        a, b, c = allocation.resources
         openings = []
         for machine in machines:
             if machine.reserved and machine.reserved[1] >= now:
@@ -220,7 +221,7 @@
             if not self.scheduler.shards.machine_ok(allocation, machine):
                 continue
             for n in range(1, wanted + 1):
-                eta = self._room_at(machine, (a * n, b * n, c * n), now)
+                eta = self._room_at(machine, allocation.resources.times(n), now)
                 if eta is None:
                     break
                 openings.append(Opening(eta, machine.name, n, machine))
@@ -240,8 +241,8 @@
             ends.append(
                 (max(1.0, self.scheduler.estimates.task(placement.spec) - ran), placement.resources)
             )
-        for end, (a, b, c) in sorted(ends):
-            room = (room[0] + a, room[1] + b, room[2] + c)
+        for end, resources_freed in sorted(ends):
+            room = room.plus(resources_freed)
             if fits(resources, room):
                 return end
         return None
@@ -262,7 +263,7 @@
                 continue
             for allocation in list(work.allocations.values()):
                 job = allocation.job
-                if not job.open or not whole(job.spec) or allocation.moving:
+                if not job.open or not stays_in_one_shard(job.spec) or allocation.moving:
                     continue
                 if allocation.placed:
                     self._stop_if_incomplete(allocation)
@@ -280,7 +281,7 @@
         """Stop the tasks of an attempt that another shard has given up."""
         job = allocation.job
         begun = bool(job.finished.count or job.local)
-        if job.record.attempt and not covered(job) and not begun:
+        if job.record.attempt and not is_fully_assigned(job) and not begun:
             for placement in list(allocation.placed.values()):
                 self.agents.stop(placement, job.spec.save)
 
@@ -289,7 +290,7 @@
         job = allocation.job
         begun = bool(job.finished.count or job.local)
         attempt = job.record.attempt
-        if not begun and attempt and (allocation.tried == attempt or not covered(job)):
+        if not begun and attempt and (allocation.tried == attempt or not is_fully_assigned(job)):
             return True
         patience = self.settings.deployment.workers.gang_wait_s / 2
         if self.kept_for(allocation.shard, job.id):
@@ -336,7 +337,7 @@
         try:
             await self.scheduler.write_ranges(
                 job,
-                {f"pt/parts/{shard}": token},
+                {keys.shard(shard): token},
                 rest,
                 zone=job.record.zone if goes_on(job, rest) else None,
             )
--- a/pitchtally/scheduling/lower_price_capacity.py
+++ b/pitchtally/scheduling/lower_price_capacity.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from ..agents.machines import Machine, MachineGroupKey, Resources
-from .capacity import fits, times
+from ..agents.machines import Machine, MachineGroupKey
+from ..jobs.resources import NO_RESOURCES, Resources, count_fitting, fits
 
 
 @dataclass(slots=True)
@@ -34,14 +34,14 @@
 
     busy: list[Resources] = field(default_factory=list)
     idle: list[Resources] = field(default_factory=list)
-    largest: Resources = (0.0, 0.0, 0.0)  # by resource, of all of them
+    largest: Resources = NO_RESOURCES  # by resource, of all of them
 
     def add(self, machine: Machine) -> None:
         """List a machine."""
         free = machine.free()
         (self.busy if machine.placements else self.idle).append(free)
         a, b, c = self.largest
-        self.largest = (max(a, free[0]), max(b, free[1]), max(c, free[2]))
+        self.largest = Resources(max(a, free[0]), max(b, free[1]), max(c, free[2]))
 
     def for_tasks(self, resources: Resources, most: int) -> TaskRoom:
         """Room for tasks of this need, counted up to `most` of each kind."""
@@ -54,7 +54,7 @@
     found = 0
     for room in rooms:
         if fits(resources, room):
-            found += times(resources, room)
+            found += count_fitting(resources, room)
             if found >= most:
                 break
     return found
--- a/pitchtally/scheduling/placer.py
+++ b/pitchtally/scheduling/placer.py
@@ -7,11 +7,11 @@
 
 import trio
 
-from ..agents.machines import Machine, MachineGroupKey, Placement, Resources, resource_request
+from ..agents.machines import Machine, MachineGroupKey, Placement
+from ..jobs.resources import Resources, count_fitting, dominant_share, fits, resource_request
 from ..protocol import cloud_api, user_api
 from . import stretch
 from .allocations import MachineGroup, ShardAllocation, ShardState
-from .capacity import fits, share_of, times
 from .component import SchedulerComponent
 from .lower_price_capacity import TaskRoom, list_rooms
 
@@ -34,7 +34,7 @@
         seconds = self.scheduler.estimates.task(spec)
         if spec.image:
             seconds += spec.image_gb / max(kind.fetch_rate, 1e-3) / max(1, spec.tasks)
-        return seconds * share_of(resource_request(spec), kind)
+        return seconds * dominant_share(resource_request(spec), kind)
 
     def survey(self, shard: int) -> None:
         """What the machines of a shard hold, by groups of like machines.
@@ -100,7 +100,7 @@
                     continue
                 # What stands on machines out of use is in it: they are few, and their
                 # tasks will want room again.
-                share = share_of(load.resources, machine_group.kind)
+                share = dominant_share(load.resources, machine_group.kind)
                 if work.allocations[id].service:
                     machine_group.held += load.count * share
                     continue
@@ -240,7 +240,7 @@
                 self.place(
                     allocation, allocation.pending.pop(), machine, self.attempt(machine.shard)
                 )
-                room = (room[0] - resources[0], room[1] - resources[1], room[2] - resources[2])
+                room = room.minus(resources)
                 self._take_from_queue(work, machine.group, id)
             if count > 0:
                 self._has_started(allocation, machine, count)
@@ -293,7 +293,7 @@
     ) -> int:
         """How many tasks of an array may start on a machine with this room."""
         spec = allocation.spec
-        limit = min(times(allocation.resources, room), allocation.pending.count)
+        limit = min(count_fitting(allocation.resources, room), allocation.pending.count)
         if limit:
             limit = min(limit, self.scheduler.quotas.tasks_within_limit(machine.shard, spec))
         if limit and not allocation.aged:
@@ -370,7 +370,7 @@
         if kind is None:
             return math.inf
         price = (kind.spot_price or kind.price) if machine.spot else kind.price
-        return price * share_of(resource_request(spec), kind)
+        return price * dominant_share(resource_request(spec), kind)
 
     def _take_from_queue(self, work: ShardState, group: MachineGroupKey, id: str) -> None:
         """From the machines' own queue, else from the longest of the shard that has it."""
--- a/pitchtally/scheduling/preemption.py
+++ b/pitchtally/scheduling/preemption.py
@@ -11,9 +11,10 @@
 import trio
 
 from ..agents.machines import Machine, Placement
+from ..jobs.resources import fits
 from ..protocol import user_api
 from .allocations import ShardAllocation, ShardState
-from .capacity import fits, is_gang
+from .capacity import is_gang
 from .component import SchedulerComponent
 
 log = logging.getLogger("preemption")
@@ -141,10 +142,9 @@
                 and (machine.reserved[1] >= now)
             ):
                 continue
-            room: tuple[float, float, float] = machine.free()
+            room = machine.free()
             if not under:
-                a, b, c = machine.yields(rank)
-                if not fits(resources, (room[0] + a, room[1] + b, room[2] + c)):
+                if not fits(resources, room.plus(machine.yields(rank))):
                     continue
             if not self.scheduler.shards.machine_ok(allocation, machine):
                 continue
@@ -169,13 +169,12 @@
                 victims = []
                 while candidates and not fits(resources, room):
                     loss, _, placement = candidates.pop()
-                    a, b, c = placement.resources
-                    room = (room[0] + a, room[1] + b, room[2] + c)
+                    room = room.plus(placement.resources)
                     cost += loss
                     victims.append(placement)
                 if not fits(resources, room):
                     break
-                room = (room[0] - resources[0], room[1] - resources[1], room[2] - resources[2])
+                room = room.minus(resources)
                 out.append(Step(cost, machine.name, machine, victims))
         return sorted(out, key=lambda step: step[:2])
 
--- a/pitchtally/scheduling/priorities.py
+++ b/pitchtally/scheduling/priorities.py
@@ -14,7 +14,7 @@
 from ..protocol import user_api
 from . import stretch
 from .allocations import ShardAllocation
-from .capacity import whole
+from .capacity import stays_in_one_shard
 from .component import SchedulerComponent
 
 if TYPE_CHECKING:
@@ -161,4 +161,4 @@
             return False  # what it lacks now says nothing of when it was accepted
         waited = trio.current_time() - self.release(job)
         limit = self.policy.start_within
-        return whole(job.spec) and limit < waited < 2 * limit
+        return stays_in_one_shard(job.spec) and limit < waited < 2 * limit
--- a/pitchtally/scheduling/quotas.py
+++ b/pitchtally/scheduling/quotas.py
@@ -10,12 +10,13 @@
 
 from ..config.settings import Team
 from ..formats.quota_shares import QuotaShares
+from ..jobs.resources import Resources, count_fitting, fits, limited_request
 from ..membership.messages import ShardStatus
 from ..protocol import user_api
-from ..state_store import rate_limits
+from ..state_store import keys, rate_limits
 from ..state_store.errors import StoreUnavailable
 from .allocations import ShardState
-from .capacity import RANK, fits, times
+from .capacity import RANK
 from .component import SchedulerComponent
 
 if TYPE_CHECKING:
@@ -82,12 +83,12 @@
             _, place, id = self.waiting_for_limit[spec.team]
             gang, team = self.job_index.open[id].spec, self.known[spec.team]
             if team.cpus_max:
-                shard_of = 1.0 if place == shard else share[0] / team.cpus_max
-                cpus -= gang.cpus * gang.tasks * shard_of
+                fraction = 1.0 if place == shard else share[0] / team.cpus_max
+                cpus -= gang.cpus * gang.tasks * fraction
             if team.gpus_max:
-                shard_of = 1.0 if place == shard else share[1] / team.gpus_max
-                gpus -= gang.gpus * gang.tasks * shard_of
-        return times((spec.cpus, spec.gpus, 0.0), (cpus, gpus, 1.0))
+                fraction = 1.0 if place == shard else share[1] / team.gpus_max
+                gpus -= gang.gpus * gang.tasks * fraction
+        return count_fitting(limited_request(spec), Resources(cpus, gpus, 0.0))
 
     def _unheard(self, shard: int) -> tuple[float, float] | None:
         """The most that a team may use, unknown to us, on machines since the failover.
@@ -150,8 +151,8 @@
                     continue
                 spec = job.spec
                 share, used = self.share(status.shard, spec.team), status.use.get(spec.team, (0, 0))
-                room = (share[0] - used[0], share[1] - used[1], 1.0)
-                if times((spec.cpus, spec.gpus, 0.0), room) >= count:
+                room = Resources(share[0] - used[0], share[1] - used[1], 0.0)
+                if count_fitting(limited_request(spec), room) >= count:
                     continue
                 if (
                     id not in status.reserved
@@ -195,12 +196,12 @@
         if team is None:
             return 0
         cpus, gpus = self.use_anywhere(spec.team)
-        room = (
+        room = Resources(
             team.cpus_max - cpus if team.cpus_max else math.inf,
             team.gpus_max - gpus if team.gpus_max else math.inf,
-            1.0,
+            0.0,
         )
-        return times((spec.cpus, spec.gpus, 0.0), room)
+        return count_fitting(limited_request(spec), room)
 
     def beyond(self, spec: user_api.JobSpec, other: str) -> bool:
         """Whether a team other than ours runs more than its own guarantee."""
@@ -239,7 +240,7 @@
                     if waiting_for_limit is not None:
                         if waiting_for_limit[1] != other.shard:
                             continue  # first the gang that waits for its team's limit
-                    elif not fits((least[0], least[1], 0.0), (give[0], give[1], 1.0)):
+                    elif not fits(Resources(*least, 0.0), Resources(*give, 0.0)):
                         continue  # not enough to start even one task there
                     if give[0] > 1e-6 or give[1] > 1e-6:
                         await self._give_share(shard, token, other.shard, team, give)
@@ -255,7 +256,7 @@
                     self.scheduler.statuses.newest[shard], spec, allocation.pending.count
                 )
                 # What is too little for one more task here may complete one elsewhere.
-                count = min(count, times((spec.cpus, spec.gpus, 0.0), (cpus, gpus, 1.0)))
+                count = min(count, count_fitting(limited_request(spec), Resources(cpus, gpus, 0.0)))
                 cpus -= spec.cpus * count
                 gpus -= spec.gpus * count
         return (
@@ -315,7 +316,7 @@
         moved[to] = (rows[to][0] + give[0], rows[to][1] + give[1])
         change = self.shares.change(team.name, moved)
         versions = self.shares.versions(team.name)
-        conditions = {f"pt/parts/{shard}": token, **versions}
+        conditions = {keys.shard(shard): token, **versions}
         self.giving[(shard, team.name)] = give
         try:
             await self.job_index.commit(conditions, [change], priority=rate_limits.ACCEPTANCES)
--- a/pitchtally/scheduling/rebalancing.py
+++ b/pitchtally/scheduling/rebalancing.py
@@ -11,9 +11,10 @@
 from ..jobs.job_record import merge
 from ..membership.messages import MachineFlag, ShardStatus
 from ..protocol import user_api
+from ..state_store import keys
 from ..state_store.errors import StoreUnavailable
 from .allocations import ShardAllocation
-from .capacity import RANK, group_ok, whole
+from .capacity import RANK, allows_machine_type, stays_in_one_shard
 from .component import SchedulerComponent
 from .gangs import RANGES
 
@@ -74,13 +75,13 @@
         if len(record.ranges) > RANGES:
             return False
         begun = allocation.placed or allocation.pending.count < spec.tasks or record.attempt
-        return not (whole(spec) and begun)
+        return not (stays_in_one_shard(spec) and begun)
 
     async def _move_where_free(self, allocation: ShardAllocation, status: ShardStatus) -> None:
         """Give the tasks that find no room here to the first shard that has some."""
         spec, waiting = allocation.job.spec, allocation.pending.count
         here = self.scheduler.statuses.free_capacity(status, spec, yielding=False)
-        if not whole(spec):
+        if not stays_in_one_shard(spec):
             here = min(here, self.scheduler.quotas.tasks_within_limit(allocation.shard, spec))
         elif allocation.job.id in status.reserved:
             return
@@ -100,7 +101,7 @@
         """How many tasks another shard can start now, as far as its status tells."""
         there = self.scheduler.statuses.free_capacity(other, spec, yielding=False)
         sent = len(self.scheduler.statuses.unreported.get(other.shard, ()))
-        if whole(spec):
+        if stays_in_one_shard(spec):
             return spec.tasks if there - sent >= spec.tasks else 0
         if sent:
             return 0
@@ -126,7 +127,7 @@
                 for id, h in work.allocations.items()
                 if self.scheduler.shards.ready(work, id, h, now)
                 and not h.faulty
-                and not whole(h.job.spec)
+                and not stays_in_one_shard(h.job.spec)
                 and not h.service  # it goes where there is room, not to a shorter queue
                 and len(h.job.record.ranges) <= RANGES
             ]
@@ -166,7 +167,7 @@
         width = 0.0
         for (type_, zone, spot), machines in self.scheduler.statuses.groups_of(status).items():
             kind = self.types().get(type_)
-            if kind is not None and group_ok(spec, kind, zone, spot):
+            if kind is not None and allows_machine_type(spec, kind, zone, spot):
                 able = sum(
                     1
                     for machine in machines
@@ -215,7 +216,7 @@
                 ranges.append((a, b, shard))
             more = {} if caps is None else {"caps": caps}
             if await self.scheduler.write_ranges(
-                job, {f"pt/parts/{shard}": token}, merge(ranges), **more
+                job, {keys.shard(shard): token}, merge(ranges), **more
             ):
                 self.scheduler.statuses.record_allocation(to, job.spec, count)
                 log.debug("gave job=%s tasks=%d from=%d to=%d", job.id, count, shard, to)
--- a/pitchtally/scheduling/scheduler.py
+++ b/pitchtally/scheduling/scheduler.py
@@ -18,23 +18,23 @@
 import msgspec
 import trio
 
-from ..agents.machines import resource_request
 from ..agents.manager import AgentManager
 from ..config.policy import Policy
 from ..config.settings import Settings
 from ..formats.migration import JobMigration
 from ..jobs.index import Job, JobIndex
 from ..jobs.job_record import JobRecord, TaskRange, merge
-from ..membership.membership import Membership
+from ..jobs.resources import dominant_share, resource_request
+from ..membership.membership import CLUSTER_LEADER_SHARD, Membership
 from ..membership.messages import ShardStatus
 from ..protocol import cloud_api, user_api
-from ..state_store import rate_limits
+from ..state_store import keys, rate_limits
 from ..state_store.client import Write
 from ..state_store.errors import InvalidTransaction, OutcomeUnknown, StoreUnavailable
 from ..state_store.replica import Replica
 from . import stretch
 from .allocations import ShardState
-from .capacity import NOBODY, RANK, Plan, covered, group_ok, share_of, whole
+from .capacity import NOBODY, RANK, Plan, allows_machine_type, is_fully_assigned, stays_in_one_shard
 from .estimates import Estimates
 from .gang_planner import GangPlanner
 from .gangs import Gangs
@@ -116,9 +116,9 @@
         for name, cells in status.matrix:
             type_, zone, spot = name.split("|")
             kind = self.types().get(type_)
-            if kind is None or not group_ok(spec, kind, zone, spot == "1"):
+            if kind is None or not allows_machine_type(spec, kind, zone, spot == "1"):
                 continue
-            task = self.estimates.task(spec) * share_of(resource_request(spec), kind)
+            task = self.estimates.task(spec) * dominant_share(resource_request(spec), kind)
             total += cells[level][size][stretch.sample_above(self.tasks, task)]
             if sent and total:
                 total -= math.ceil(sent / max(task, 1e-6))
@@ -140,7 +140,7 @@
         if spec.is_service:
             # Rooms are compared, not queues: it goes to the leader only if ours lack it.
             return self.gang_planner.plan_service(spec, mine) or NOBODY
-        if whole(spec):
+        if stays_in_one_shard(spec):
             best = self.gang_planner.best_shard(spec)
             if best not in mine:
                 return NOBODY
@@ -166,7 +166,7 @@
 
     def divide(self, spec: user_api.JobSpec) -> list[TaskRange]:
         """The leader's split: in proportion to availability at the least covering stretch."""
-        if whole(spec):
+        if stays_in_one_shard(spec):
             best = self.gang_planner.best_shard(spec)
             return [TaskRange(0, spec.tasks, best)] if best is not None else []
         statuses = [n for n in self.statuses.newest.values() if n.matrix]
@@ -194,7 +194,7 @@
         """Where a job goes that no part of its accepting controller keeps; NOBODY if unknown."""
         if self.membership.cluster_leader_token is None or spec.kind == user_api.GANG:
             return NOBODY
-        if whole(spec):
+        if stays_in_one_shard(spec):
             return self.gang_planner.plan_whole(spec) or NOBODY
         if spec.is_service:
             plan = self.gang_planner.plan_service(spec, self.statuses.newest)
@@ -224,7 +224,7 @@
             # A job may end while the write for the one before it is under way.
             if have >= job.record.tasks or token is None or not job.open:
                 continue
-            if whole(job.spec):
+            if stays_in_one_shard(job.spec):
                 if not have:
                     await self.gang_planner.assign(job, token)
                 elif job.finished.count:
@@ -239,7 +239,7 @@
             if not found:
                 continue
             ranges = merge([*job.record.ranges, *((a + have, b + have, p) for a, b, p in found)])
-            await self.write_ranges(job, {"pt/parts/0": token}, ranges)
+            await self.write_ranges(job, {keys.shard(CLUSTER_LEADER_SHARD): token}, ranges)
 
     async def write_ranges(
         self,
@@ -249,15 +249,17 @@
         **more: Any,
     ) -> bool:
         """Write who gets which tasks of a job; False if a condition failed."""
-        key = f"pt/jobs/{job.id}"
+        key = keys.job(job.id)
         # Our copy applies our own writes ahead of the watch: a shard of ours that was
         # taken over meanwhile must not be given tasks that its new leader starts too.
         for _, _, shard in ranges:
             token = self.membership.token(shard)
             if token is not None:
-                guard[f"pt/parts/{shard}"] = token
+                guard[keys.shard(shard)] = token
         # Moves are for the better, assignments for going at all.
-        priority = rate_limits.PROGRESS if covered(job) and not more else rate_limits.ACCEPTANCES
+        priority = (
+            rate_limits.PROGRESS if is_fully_assigned(job) and not more else rate_limits.ACCEPTANCES
+        )
         value = self._record_with(job, ranges=ranges, **more)
         if self.layout.needs_conversion(job) or not self.layout.record_fits(value):
             before = job.record
@@ -303,7 +305,7 @@
         ):
             try:
                 await self.job_index.commit(
-                    {**versions, f"pt/parts/{shard}": token},
+                    {**versions, keys.shard(shard): token},
                     [Write(key, value())],
                     priority=rate_limits.ACCEPTANCES,
                 )
@@ -315,7 +317,7 @@
         self, error: StoreUnavailable, job: Job, version: int, shard: int, token: int
     ) -> None:
         """`settle` for a job's record."""
-        key = f"pt/jobs/{job.id}"
+        key = keys.job(job.id)
         await self.settle(error, key, {key: version}, shard, token, lambda: self._record_with(job))
 
     async def run(self) -> None:
--- a/pitchtally/scheduling/service_migration.py
+++ b/pitchtally/scheduling/service_migration.py
@@ -17,7 +17,7 @@
 from ..jobs.index import Job
 from ..state_store.errors import StoreUnavailable
 from .allocations import ShardAllocation, ShardState, most_in_zone
-from .capacity import CapacitySource, plan_gang, whole
+from .capacity import CapacitySource, plan_gang, stays_in_one_shard
 from .component import SchedulerComponent
 
 log = logging.getLogger("services")
@@ -52,7 +52,7 @@
 
     def _lacks_room(self, work: ShardState, allocation: ShardAllocation) -> bool:
         now = trio.current_time()
-        if not allocation.service or not whole(allocation.spec) or allocation.faulty:
+        if not allocation.service or not stays_in_one_shard(allocation.spec) or allocation.faulty:
             return False
         if not self.scheduler.shards.ready(work, allocation.job.id, allocation, now):
             return False
--- a/pitchtally/scheduling/shard_statuses.py
+++ b/pitchtally/scheduling/shard_statuses.py
@@ -7,12 +7,21 @@
 
 import trio
 
-from ..agents.machines import Machine, MachineGroupKey, Resources, resource_request
+from ..agents.machines import Machine, MachineGroupKey
+from ..jobs.resources import (
+    NO_RESOURCES,
+    Resources,
+    capacity_of,
+    count_fitting,
+    dominant_share,
+    fits,
+    resource_request,
+)
 from ..membership.messages import MachineFlag, MachineStatus, PeerHeartbeat, ShardStatus
 from ..protocol import user_api
 from . import stretch
 from .allocations import ShardState
-from .capacity import fits, group_ok, is_gang, share_of, times
+from .capacity import allows_machine_type, is_gang
 from .component import SchedulerComponent
 
 if TYPE_CHECKING:
@@ -20,8 +29,6 @@
 
 log = logging.getLogger("statuses")
 
-NO_CAPACITY: Resources = (0.0, 0.0, 0.0)
-
 
 class ShardStatuses(SchedulerComponent):
     """What shards tell one another: machines, waiting work, matrices, and what to make of it."""
@@ -61,7 +68,8 @@
         if found is None:
             found = self.groups[status.shard] = {}
             for machine in status.machines:
-                found.setdefault((machine.type, machine.zone, machine.spot), []).append(machine)
+                group = MachineGroupKey(machine.type, machine.zone, machine.spot)
+                found.setdefault(group, []).append(machine)
         return found
 
     def refresh(self) -> float:
@@ -126,17 +134,16 @@
         self._renewed(shard)
 
     def _machine(self, machine: Machine, beyond: set[str], now: float) -> MachineStatus:
-        free = machine.free() if machine.usable else NO_CAPACITY
+        free = machine.free() if machine.usable else NO_RESOURCES
         if machine.reserved and machine.reserved[1] >= now:
-            free = NO_CAPACITY
-        a, b, c = machine.yielding[-1]
+            free = NO_RESOURCES
         return MachineStatus(
             machine.name,
             machine.type,
             machine.zone,
             machine.spot,
-            (max(0.0, free[0]), max(0.0, free[1]), max(0.0, free[2])),
-            (a, b, c),
+            Resources(max(0.0, free[0]), max(0.0, free[1]), max(0.0, free[2])),
+            Resources(*machine.yielding[-1]),
             len(machine.placements),
             now - machine.idle_since,
             self._flag(machine, now),
@@ -172,19 +179,18 @@
                 now,
                 group.width,
             )
-            out.append((f"{type_}|{zone}|{int(spot)}", cells))
+            out.append((MachineGroupKey(type_, zone, spot).text(), cells))
         return out
 
     def _over_on(self, machine: Machine, beyond: set[str]) -> Resources:
         """Held by teams beyond their guarantee, apart from what yields anyway."""
-        a = b = c = 0.0
+        held = NO_RESOURCES
         if beyond:
             last = len(user_api.RANKS) - 1
             for placement in machine.placements.values():
                 if placement.team in beyond and placement.rank != last and not is_gang(placement):
-                    x, y, z = placement.resources
-                    a, b, c = a + x, b + y, c + z
-        return (a, b, c)
+                    held = held.plus(placement.resources)
+        return held
 
     def _log_load(self, shard: int, work: ShardState) -> None:
         """What is free and what waits, for people who read logs."""
@@ -239,29 +245,24 @@
         total = 0
         for (type_, zone, spot), machines in self.groups_of(status).items():
             kind = self.types().get(type_)
-            if kind is None or not group_ok(spec, kind, zone, spot):
+            if kind is None or not allows_machine_type(spec, kind, zone, spot):
                 continue
             for machine in machines:
                 if machine.flag:
                     continue
                 room = machine.free
                 if yielding:
-                    a, b, c = machine.yielding
-                    room = (room[0] + a, room[1] + b, room[2] + c)
+                    room = room.plus(machine.yielding)
                 if fits(resources, room):
-                    total += times(resources, room)
+                    total += count_fitting(resources, room)
         known[key] = total
         return total
 
     def record_allocation(self, shard: int, spec: user_api.JobSpec, count: int) -> None:
         """Lower a shard's availability at once, before its next matrix shows it."""
-        kinds = [
-            k
-            for k in self.types().values()
-            if fits(resource_request(spec), (k.cpus, k.gpus, k.memory))
-        ]
+        kinds = [k for k in self.types().values() if fits(resource_request(spec), capacity_of(k))]
         if kinds:
-            share = min(share_of(resource_request(spec), k) for k in kinds)
+            share = min(dominant_share(resource_request(spec), k) for k in kinds)
             work = count * self.scheduler.estimates.task(spec) * share
             self.unreported.setdefault(shard, []).append((trio.current_time(), work))
 
--- a/pitchtally/scheduling/shards.py
+++ b/pitchtally/scheduling/shards.py
@@ -11,9 +11,10 @@
 from ..agents.machines import Machine, MachineGroupKey, Placement
 from ..jobs.index import Job
 from ..jobs.job_record import DONE, JobRecord
+from ..jobs.resources import capacity_of, fits
 from ..protocol import agent_api, user_api
 from .allocations import ShardAllocation, ShardState
-from .capacity import allowed, fits, group_ok
+from .capacity import allows_machine, allows_machine_type
 from .component import SchedulerComponent
 from .failure_attribution import Standing, is_unhealthy, standing
 
@@ -78,7 +79,7 @@
             return True
         if spec.one_zone and spec.tasks > 1 and job.record.zone not in (None, zone):
             return False
-        return group_ok(spec, kind, zone, spot)
+        return allows_machine_type(spec, kind, zone, spot)
 
     def _attach_early(self, work: ShardState, id: str) -> None:
         """Tasks of a job that were seen on machines before it was known whether all are."""
@@ -307,9 +308,9 @@
             return False
         ok = allocation.groups.get(machine.group)
         if ok is None:
-            ok = allocation.groups[machine.group] = allowed(
+            ok = allocation.groups[machine.group] = allows_machine(
                 allocation.job, machine.type, machine.zone, machine.spot
-            ) and fits(allocation.resources, (kind.cpus, kind.gpus, kind.memory))
+            ) and fits(allocation.resources, capacity_of(kind))
         if not ok:
             return False
         # Also what the machine remembers: a holding is new after a move or a failover. Not
--- a/pitchtally/scheduling/stretch.py
+++ b/pitchtally/scheduling/stretch.py
@@ -178,10 +178,10 @@
 
 def shares(weights: Sequence[float], total: int) -> list[int]:
     """Split a number in proportion to weights, whole and exact (largest remainders)."""
-    whole = sum(weights)
-    if whole <= 0:
+    stays_in_one_shard = sum(weights)
+    if stays_in_one_shard <= 0:
         return [0] * len(weights)
-    exact = [total * w / whole for w in weights]
+    exact = [total * w / stays_in_one_shard for w in weights]
     out = [int(x) for x in exact]
     order = sorted(range(len(weights)), key=lambda i: (out[i] - exact[i], i))
     for i in order[: total - sum(out)]:
--- a/pitchtally/state_store/replica.py
+++ b/pitchtally/state_store/replica.py
@@ -14,7 +14,7 @@
 import trio
 
 from ..protocol import state_store_api
-from . import rate_limits
+from . import keys, rate_limits
 from .client import StateStoreClient, Write
 from .errors import StoreUnavailable
 
@@ -39,8 +39,6 @@
     at once, ahead of the watch; a version number per key keeps the order right.
     """
 
-    PREFIX = "pt/"
-
     def __init__(self, state_store: StateStoreClient, pause: float, wait: float):
         self.state_store = state_store
         self.pause = pause
@@ -52,7 +50,7 @@
 
     def listen(self, prefix: str, listener: Listener) -> None:
         """Have a listener told of every change below a prefix."""
-        self.listeners.append((self.PREFIX + prefix, listener))
+        self.listeners.append((keys.ROOT + prefix, listener))
 
     def version(self, key: str) -> int:
         """A key's version in the copy, 0 if absent."""
@@ -105,7 +103,7 @@
                 on_sent()
 
         events = await self.state_store.follow(
-            self.PREFIX,
+            keys.ROOT,
             self.revision,
             0.0,
             priority=rate_limits.COMPLETIONS,
@@ -142,7 +140,7 @@
         after: str | None = None
         revision: int | None = None
         while True:
-            page = await self.state_store.page(self.PREFIX, after)
+            page = await self.state_store.page(keys.ROOT, after)
             # The watch goes on from the first page: later changes are seen again.
             revision = page.revision if revision is None else revision
             for item in page.items:
@@ -173,7 +171,7 @@
     async def _follow(self) -> None:
         asked_at = trio.current_time()
         if self.revision >= 0:
-            events = await self.state_store.follow(self.PREFIX, self.revision, self.wait)
+            events = await self.state_store.follow(keys.ROOT, self.revision, self.wait)
             if events is not None:
                 self._take(events, asked_at)
                 return
--- a/tests/cluster/test_large_fleet.py
+++ b/tests/cluster/test_large_fleet.py
@@ -13,17 +13,17 @@
 import trio
 import trio.testing
 
-from pitchtally.agents.machines import Placement
+from pitchtally.agents.machines import MachineGroupKey, Placement
 from pitchtally.config import policy
 from pitchtally.config.settings import Team
 from pitchtally.controller import Controller
 from pitchtally.http import Client, Request, Response, Server
 from pitchtally.jobs.index import Job
 from pitchtally.jobs.job_record import OPEN, JobRecord, TaskRange, encode
+from pitchtally.jobs.resources import dominant_share
 from pitchtally.membership.membership import ShardLeader, shard_of
 from pitchtally.membership.messages import PeerHeartbeat
 from pitchtally.protocol import cloud_api, user_api
-from pitchtally.scheduling.capacity import share_of
 from pitchtally.state_store import rate_limits
 from standins.network import HERE
 
@@ -161,10 +161,10 @@
         for each in jobs:
             mine = [p for p in placed if p.job is each]
             walk = sum(seconds - (now - p.run_at if p.run_at is not None else 0) for p in mine)
-            load = leader.agents.placements.loads[0][("big", "a", False)][each.id]
+            load = leader.agents.placements.loads[0][MachineGroupKey("big", "a", False)][each.id]
             assert load.left(seconds, now) == pytest.approx(walk)
             assert load.count == len(mine)
-            assert share_of(load.resources, TYPE) == each.spec.cpus / 64
+            assert dominant_share(load.resources, TYPE) == each.spec.cpus / 64
             assert leader.agents.placements.running(0)[each.id] == sum(
                 p.run_at is not None for p in mine
             )
--- a/tests/cluster/test_regressions.py
+++ b/tests/cluster/test_regressions.py
@@ -62,7 +62,7 @@
     run(monkeypatch, day)
 
 
-@pytest.mark.parametrize("leader", ["n0", "n1"])
+@pytest.mark.parametrize("cluster_leader", ["n0", "n1"])
 def test_takeover_returns_no_working_machine(
     cluster_leader: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -242,7 +242,7 @@
     return ranges
 
 
-@pytest.mark.parametrize("leader", ["heard", "silent"])
+@pytest.mark.parametrize("cluster_leader", ["heard", "silent"])
 def test_leader_places_a_job_before_it_is_written(
     cluster_leader: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
--- a/tests/jobs/test_building_blocks.py
+++ b/tests/jobs/test_building_blocks.py
@@ -9,23 +9,24 @@
 import trio.testing
 
 from pitchtally.jobs.job_record import merge
+from pitchtally.jobs.resources import Resources, count_fitting, fits
 from pitchtally.jobs.task_bitmap import TaskBitmap
 from pitchtally.membership.membership import preference, shard_of
 from pitchtally.scheduling.allocations import PendingTasks
-from pitchtally.scheduling.capacity import fits, plan_gang, times
+from pitchtally.scheduling.capacity import plan_gang
 from pitchtally.state_store import rate_limits
 
 
 def test_bits_join_at_any_offset() -> None:
-    whole = TaskBitmap(100)
+    stays_in_one_shard = TaskBitmap(100)
     chosen = random.Random(3).sample(range(100), 40)
     for index in chosen:
-        assert whole.add(index)
-        assert not whole.add(index)
+        assert stays_in_one_shard.add(index)
+        assert not stays_in_one_shard.add(index)
     copy = TaskBitmap(100)
-    copy.join(bytes(whole.data[:5]))
-    copy.join(bytes(whole.data[5:]), 5)
-    copy.join(bytes(whole.data))
+    copy.join(bytes(stays_in_one_shard.data[:5]))
+    copy.join(bytes(stays_in_one_shard.data[5:]), 5)
+    copy.join(bytes(stays_in_one_shard.data))
     assert copy.count == 40
     assert all((i in copy) == (i in chosen) for i in range(100))
 
@@ -53,7 +54,7 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "part"),
+    ("name", "shard"),
     [("i-000231", 0), ("i-000232", 1), ("i-0", 0), ("odd", sum(b"odd") % 3), ("", 0)],
 )
 def test_shard_of(name: str, shard: int) -> None:
@@ -65,7 +66,7 @@
 
 
 @pytest.mark.parametrize(
-    ("need", "room", "count"),
+    ("requested", "available", "count"),
     [
         ((2.0, 0.0, 1.0), (8.0, 0.0, 3.0), 3),
         ((2.0, 1.0, 0.0), (8.0, 0.0, 3.0), 0),
@@ -74,12 +75,13 @@
         ((1.0, 0.0, 0.0), (-4.0, 0.0, 0.0), 0),
     ],
 )
-def test_times(
-    resources: tuple[float, float, float], room: tuple[float, float, float], count: int
+def test_count_fitting(
+    requested: tuple[float, float, float], available: tuple[float, float, float], count: int
 ) -> None:
     """An unlimited share once broke the whole of placement: infinity is a room too."""
-    assert times(resources, room) == count
-    assert fits(resources, room) == (count > 0)
+    request, free = Resources(*requested), Resources(*available)
+    assert count_fitting(request, free) == count
+    assert fits(request, free) == (count > 0)
 
 
 ROOMS = {(0, "a"): 2, (1, "a"): 1, (1, "b"): 3, (2, "b"): 1}
--- a/tests/scheduling/test_preemption.py
+++ b/tests/scheduling/test_preemption.py
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize(
-    ("holding", "steps", "chosen"),
+    ("allocation", "steps", "chosen"),
     [
         (_allocation(2), _steps(A_FREE, A_FREE, A_TAKEN), []),  # a report starts both
         # Free room in a zone had counted against what may be made there: nobody yielded.
--- a/tests/state_store/test_size_limits.py
+++ b/tests/state_store/test_size_limits.py
@@ -18,6 +18,7 @@
 from pitchtally.formats.gate import KEY
 from pitchtally.jobs.index import Job
 from pitchtally.jobs.job_record import OPEN, JobRecord, TaskRange, encode
+from pitchtally.jobs.resources import Resources
 from pitchtally.membership import messages
 from pitchtally.membership.messages import Cancellation, MachineStatus, PeerHeartbeat, ShardStatus
 from pitchtally.protocol import agent_api, cloud_api, state_store_api, user_api
@@ -139,9 +140,12 @@
     return len(msgspec.json.encode(agent_api.HeartbeatResponse(2**40, [each] * 500)))
 
 
+USED = Resources(1.1, 1.1, 1.1)
+
+
 def heartbeat(controller: Controller) -> int:
     """What a node that owns all shards tells a peer."""
-    machine = MachineStatus("i-000000001", LONG, LONG, False, (1.1,) * 3, (1.1,) * 3, 64, 1.1, "")
+    machine = MachineStatus("i-000000001", LONG, LONG, False, USED, USED, 64, 1.1, "")
     matrix = [(LONG, [[[100_000] * 8] * 6] * 16)] * 20
     waiting = {f"wk-{n:06d}": 800 for n in range(1500)}
     shards = [
