--- a/pitchtally/agents/command_sender.py
+++ b/pitchtally/agents/command_sender.py
@@ -41,7 +41,7 @@
         self.client = Client(keep=1, most=self.calls, idle=8.0)
         self.wake = trio.Event()
         self.touched: set[str] = set()  # machines with tasks to stop
-        self.heard_at = trio.current_time()  # when any machine was heard
+        self.last_heartbeat_at = trio.current_time()  # when any machine was heard
 
     def touch(self, name: str) -> None:
         """Have a machine told soon what it must stop."""
@@ -59,12 +59,12 @@
                     await self.wake.wait()
                 self.wake = trio.Event()
                 await trio.sleep(0.01)
-                for hold in list(self.agents.shards.values()):
-                    self.agents.load(hold)
-                    for name in list(hold.suspects):
+                for led_shard in list(self.agents.shards.values()):
+                    self.agents.load(led_shard)
+                    for name in list(led_shard.suspects):
                         machine = self.agents.machines.get(name)
                         if machine is not None and probes.available_tokens:
-                            nursery.start_soon(self._tell, machine, hold, probes)
+                            nursery.start_soon(self._tell, machine, led_shard, probes)
                 for machine in list(self.agents.machines.values()):
                     held = self.agents.shards.get(machine.shard)
                     if machine.unresponsive and held is not None and probes.available_tokens:
@@ -76,13 +76,17 @@
                     if machine is not None and held is not None and machine.confirmed:
                         nursery.start_soon(self._tell, machine, held, limit)
 
-    async def _tell(self, machine: Machine, hold: LedShard, limit: trio.CapacityLimiter) -> None:
+    async def _tell(
+        self, machine: Machine, led_shard: LedShard, limit: trio.CapacityLimiter
+    ) -> None:
         async with limit:
             for _ in range(2):
-                if self.membership.token(hold.shard) != hold.token:
+                if self.membership.token(led_shard.shard) != led_shard.token:
                     return
-                commands = self.agents.kills(machine)[:500] if machine.confirmed else []
-                body = encode(agent_api.CommandRequest(hold.token, max(1, machine.epoch), commands))
+                commands = self.agents.stop_commands(machine)[:500] if machine.confirmed else []
+                body = encode(
+                    agent_api.CommandRequest(led_shard.token, max(1, machine.epoch), commands)
+                )
                 try:
                     response = await self.client.call(
                         host_port(machine.address),
@@ -99,13 +103,13 @@
                     return
                 if (
                     heartbeat.machine != machine.name
-                    or self.agents.shards.get(hold.shard) is not hold
+                    or self.agents.shards.get(led_shard.shard) is not led_shard
                 ):
                     return
-                if heartbeat.token > hold.token:
-                    self.membership.fenced(hold.shard, heartbeat.token)
+                if heartbeat.token > led_shard.token:
+                    self.membership.fenced(led_shard.shard, heartbeat.token)
                     return
-                self.agents.observe(heartbeat, hold, direct=True)
+                self.agents.observe(heartbeat, led_shard, direct=True)
                 if response.status == 200:
                     machine.unacknowledged = 0  # commands reach it after all
                     return
@@ -121,7 +125,7 @@
                 if m.address and m.name not in self.agents.released
             ]
             if not self.membership.agents_unreachable and (
-                not mine or now - self.heard_at < self.times.lease_s / 4
+                not mine or now - self.last_heartbeat_at < self.times.lease_s / 4
             ):
                 continue
             # Machines of other shards count too: where ours are gone but others
@@ -148,5 +152,5 @@
                 if heard:
                     break
             if heard:
-                self.heard_at = trio.current_time()
+                self.last_heartbeat_at = trio.current_time()
             self.membership.set_agents_unreachable(bool(mine) and not heard)
--- a/pitchtally/agents/machine_records.py
+++ b/pitchtally/agents/machine_records.py
@@ -80,35 +80,35 @@
                 await self.wake.wait()
             self.wake = trio.Event()
             await trio.sleep(0.03)  # machines come in batches
-            for hold in list(self.agents.shards.values()):
+            for led_shard in list(self.agents.shards.values()):
                 try:
-                    await self._write(hold)
+                    await self._write(led_shard)
                 except StoreUnavailable as error:
                     log.debug("fleet record: %s", error)
                     await trio.sleep(0.2)
 
-    async def _write(self, hold: LedShard) -> None:
+    async def _write(self, led_shard: LedShard) -> None:
         """Bring a shard's record up to its machines, chunk by chunk.
 
         A machine is named in its new chunk before it leaves one of another layout, so it is
         named somewhere at any moment, whenever this node ends.
         """
-        if not hold.loaded:
+        if not led_shard.loaded:
             return
         names: dict[int, list[str]] = {}
-        for machine in self.agents.of_shard(hold.shard):
+        for machine in self.agents.of_shard(led_shard.shard):
             if machine.confirmed or machine.recorded:
                 names.setdefault(self.chunk_of(machine.name), []).append(machine.name)
-        others = {chunk for shard, chunk in self.chunks if shard == hold.shard} - set(names)
+        others = {chunk for shard, chunk in self.chunks if shard == led_shard.shard} - set(names)
         for chunk in [*sorted(names), *sorted(others)]:
             # At thousands of machines a pass has dozens of chunks, and waits for tokens
             # and answers between them. So the shard is looked at anew before each.
-            if self.agents.shards.get(hold.shard) is not hold:
+            if self.agents.shards.get(led_shard.shard) is not led_shard:
                 return
-            if not await self._write_chunk(hold, chunk, names.get(chunk, [])):
+            if not await self._write_chunk(led_shard, chunk, names.get(chunk, [])):
                 return
 
-    async def _write_chunk(self, hold: LedShard, chunk: int, names: list[str]) -> bool:
+    async def _write_chunk(self, led_shard: LedShard, chunk: int, names: list[str]) -> bool:
         """Write a chunk as it should be; False if it doesn't stand so afterwards."""
         # A machine that went since the pass began is left out: its row would outlive it.
         rows = {
@@ -116,12 +116,12 @@
             for name in names
             if (machine := self.agents.machines.get(name)) is not None
         }
-        if rows == self.chunks.get(keys.MachineChunk(hold.shard, chunk), {}):
+        if rows == self.chunks.get(keys.MachineChunk(led_shard.shard, chunk), {}):
             self._mark_recorded(rows)
             return True
-        key = keys.machines(hold.shard, chunk)
+        key = keys.machines(led_shard.shard, chunk)
         conditions = {
-            keys.shard(hold.shard): hold.token,
+            keys.shard(led_shard.shard): led_shard.token,
             key: self.agents.replica.version(key),
         }
         # A name leaves the record only once its machine is known to be gone.
@@ -133,10 +133,12 @@
         except InvalidTransaction as error:
             # Lower limits came before the gate opened. Earlier versions read any chunk, and
             # move what it names to theirs before they empty it.
-            log.info("fleet record refused part=%d chunk=%d cause=%s", hold.shard, chunk, error)
+            log.info(
+                "fleet record refused part=%d chunk=%d cause=%s", led_shard.shard, chunk, error
+            )
             self._refused = True
             return False
-        if done and self.agents.shards.get(hold.shard) is hold:
+        if done and self.agents.shards.get(led_shard.shard) is led_shard:
             self._mark_recorded(rows)
         return done
 
--- a/pitchtally/agents/machines.py
+++ b/pitchtally/agents/machines.py
@@ -42,15 +42,15 @@
         "grace",
         "job",
         "key",
-        "kill_at",
         "machine",
         "rank",
         "resources",
         "run_at",
         "seen",
-        "sent_seq",
         "spec",
+        "start_seq",
         "state",
+        "stop_sent_at",
         "task",
         "team",
     )
@@ -64,11 +64,11 @@
         self.resources = resource_request(job.spec)
         self.state = ""  # as last reported; "" until the first report with it
         self.seen = False
-        self.sent_seq = 0  # the report that the start answered; 0: not sent yet
+        self.start_seq = 0  # the report that the start answered; 0: not sent yet
         self.at = trio.current_time()
         self.run_at: float | None = None
         self.grace: float | None = None  # not None: to be stopped
-        self.kill_at = 0.0
+        self.stop_sent_at = 0.0
         self.team = job.spec.team
         self.rank = user_api.RANKS.index(job.spec.rank)
         self.key = f"{job.id}/{task}"
@@ -90,19 +90,19 @@
         "failed_jobs",
         "forgot_at",
         "group",
-        "heard_at",
         "idle_since",
         "images",
-        "kind",
+        "last_heartbeat_at",
         "lost",
+        "machine_type",
         "name",
         "notice_at",
         "orphans",
         "placements",
+        "quarantined_until",
         "recorded",
         "reported",
         "reserved",
-        "resting_until",
         "seq",
         "shard",
         "slow",
@@ -123,13 +123,13 @@
         self.spot = spot
         self.group = MachineGroupKey(type, zone, spot)
         self.address = address
-        self.kind: cloud_api.MachineType | None = None
+        self.machine_type: cloud_api.MachineType | None = None
         self.epoch = 0
         self.seq = -1
         self.confirmed = False  # a report has carried our token
         self.recorded = False  # in the state store
         self.answered_at = now
-        self.heard_at = now
+        self.last_heartbeat_at = now
         self.idle_since = now
         self.notice_at: float | None = None
         self.placements: dict[str, Placement] = {}
@@ -144,7 +144,7 @@
         self.failed_at: dict[str, float] = {}  # when each of them did so last
         self.errors = 0
         self.forgot_at = -1e9
-        self.resting_until = -1e9
+        self.quarantined_until = -1e9
         self.drain = False
         self.lost = False
         self.reserved: tuple[str, float] | None = None  # room kept for a job, until when
@@ -155,10 +155,12 @@
 
     def free(self) -> Resources:
         """What no placement takes."""
-        if self.kind is None:
+        if self.machine_type is None:
             return NO_RESOURCES
-        used, kind = self.used, self.kind
-        return Resources(kind.cpus - used[0], kind.gpus - used[1], kind.memory - used[2])
+        used, machine_type = self.used, self.machine_type
+        return Resources(
+            machine_type.cpus - used[0], machine_type.gpus - used[1], machine_type.memory - used[2]
+        )
 
     def yields(self, rank: int) -> Resources:
         """What work of lower rank than this one holds."""
@@ -184,7 +186,7 @@
         return (
             self.confirmed
             and self.recorded
-            and self.kind is not None
+            and self.machine_type is not None
             and not self.drain
             and not self.lost
             and not self.unresponsive
@@ -225,11 +227,11 @@
         self.shard = shard
         self.token = token
         self.counter = 0
-        self.gained_at = trio.current_time()
+        self.acquired_at = trio.current_time()
         self.loaded = False  # our copy includes everything up to the failover
         self.suspects: set[str] = set()  # recorded machines not yet heard since
         self.suspect_groups: Counter[MachineGroupKey] = Counter()
-        self.settled = False
+        self.reconciled = False
 
     def suspect(self, machine: Machine) -> None:
         """A recorded machine that may hold tasks of an earlier leader."""
--- a/pitchtally/agents/manager.py
+++ b/pitchtally/agents/manager.py
@@ -26,8 +26,9 @@
 from ..protocol import agent_api, cloud_api
 from ..state_store.replica import Replica
 from .command_sender import CommandSender
+from .listener import AgentListener, NoListener, NoStarter, TaskStarter
 from .machine_records import MachineRecords
-from .machines import MAX_UNACKNOWLEDGED, LedShard, Machine, MachineGroupKey, Placement
+from .machines import MAX_UNACKNOWLEDGED, LedShard, Machine, Placement
 from .placements import Placements
 
 log = logging.getLogger("workers")
@@ -64,23 +65,20 @@
         self.released: dict[str, float] = {}  # names the cloud has confirmed gone
         self.records = MachineRecords(self)
         self.command_sender = CommandSender(self)
-        # Filled in by the service.
-        self.fill: Callable[[Machine], list[Placement]] = lambda machine: []
-        self.on_gone: Callable[[Placement, str], None] = lambda placement, cause: None
-        self.on_done: Callable[[Placement, float], None] = lambda placement, ran: None
-        self.on_loaded: Callable[[int], None] = lambda shard: None
-        self.on_settled: Callable[[int], None] = lambda shard: None
-        self.on_group_heard: Callable[[int, Collection[MachineGroupKey]], None] = (
-            lambda shard, unheard: None
-        )
-        self.on_lost_shard: Callable[[int], None] = lambda shard: None
-        self.adopt: Callable[[Placement], bool] = lambda placement: True
+        # Until the controller connects the scheduler, which needs this object first.
+        self._listener: AgentListener = NoListener()
+        self._starter: TaskStarter = NoStarter()
         self.on_decision: DecisionListener = ignore_decision
         self.answered: Counter[str] = Counter()  # reports, by the status of the answer
 
-    # --- ownership -----------------------------------------------------------
+    def connect(self, listener: AgentListener, starter: TaskStarter) -> None:
+        """Have the scheduler told of shards and placements, and asked for what may start."""
+        self._listener = listener
+        self._starter = starter
+
+    # --- leadership -----------------------------------------------------------
 
-    def gained(self, shard: int, token: int) -> None:
+    def acquired(self, shard: int, token: int) -> None:
         """A part is ours under this token."""
         self.release_shard(shard)
         self.shards[shard] = LedShard(shard, token)
@@ -95,7 +93,7 @@
             for placement in list(machine.placements.values()):
                 self.placements.drop(placement)
             del self.machines[machine.name]
-        self.on_lost_shard(shard)
+        self._listener.shard_lost(shard)
 
     # --- machines ---------------------------------------------------------------
 
@@ -104,49 +102,51 @@
         if machine is not None:
             self.in_shard.get(machine.shard, {}).pop(name, None)
 
-    def load(self, hold: LedShard) -> None:
+    def load(self, led_shard: LedShard) -> None:
         """Once our copy covers the failover, the record says where tasks may be."""
-        if hold.loaded or self.replica.revision < hold.token:
+        if led_shard.loaded or self.replica.revision < led_shard.token:
             return
-        hold.loaded = True
-        for name, (type_, zone, spot, address) in self.records.of(hold.shard).items():
+        led_shard.loaded = True
+        for name, (type_, zone, spot, address) in self.records.of(led_shard.shard).items():
             if name in self.released:
                 continue  # gone for certain; the record is about to say so too
             machine = self.machines.get(name)
             if machine is None:
                 machine = self._add(name, type_, zone, spot, address)
                 machine.lost = True  # until heard
-                machine.heard_at = machine.answered_at = hold.gained_at
+                machine.last_heartbeat_at = machine.answered_at = led_shard.acquired_at
             machine.recorded = True
             if not machine.confirmed:
-                hold.suspect(machine)
-        self.on_loaded(hold.shard)
-        if hold.suspects:
-            self.on_group_heard(hold.shard, hold.suspect_groups.keys())
-        log.info("part loaded part=%d machines=%d", hold.shard, len(hold.suspects))
-        self._settle(hold)
-
-    def _clear_suspect(self, hold: LedShard, machine: Machine) -> None:
+                led_shard.suspect(machine)
+        self._listener.shard_loaded(led_shard.shard)
+        if led_shard.suspects:
+            self._listener.suspects_changed(led_shard.shard, led_shard.suspect_groups.keys())
+        log.info("part loaded part=%d machines=%d", led_shard.shard, len(led_shard.suspects))
+        self._resolve_suspects(led_shard)
+
+    def _clear_suspect(self, led_shard: LedShard, machine: Machine) -> None:
         """A recorded machine is heard, or gone: it holds nothing that we don't know of."""
-        if machine.name not in hold.suspects:
+        if machine.name not in led_shard.suspects:
             return
-        group_heard = hold.clear_suspect(machine)
-        if group_heard and hold.loaded and hold.suspects:
-            self.on_group_heard(hold.shard, hold.suspect_groups.keys())
-        self._settle(hold)
+        group_heard = led_shard.clear_suspect(machine)
+        if group_heard and led_shard.loaded and led_shard.suspects:
+            self._listener.suspects_changed(led_shard.shard, led_shard.suspect_groups.keys())
+        self._resolve_suspects(led_shard)
 
-    def _settle(self, hold: LedShard) -> None:
-        if hold.settled or not hold.loaded or hold.suspects:
+    def _resolve_suspects(self, led_shard: LedShard) -> None:
+        if led_shard.reconciled or not led_shard.loaded or led_shard.suspects:
             return
-        hold.settled = True
+        led_shard.reconciled = True
         log.info(
-            "part settled part=%d after=%.1f", hold.shard, trio.current_time() - hold.gained_at
+            "part settled part=%d after=%.1f",
+            led_shard.shard,
+            trio.current_time() - led_shard.acquired_at,
         )
-        self.on_settled(hold.shard)
+        self._listener.shard_reconciled(led_shard.shard)
 
     def _add(self, name: str, type_: str, zone: str, spot: bool, address: str) -> Machine:
         machine = Machine(name, shard_of(name, self.count), type_, zone, spot, address)
-        machine.kind = self.types().get(type_)
+        machine.machine_type = self.types().get(type_)
         self.machines[name] = machine
         self.in_shard.setdefault(machine.shard, {})[name] = machine
         return machine
@@ -165,16 +165,16 @@
         except msgspec.MsgspecError as error:
             return Response(400, encode({"error": str(error)}))
         shard = shard_of(heartbeat.machine, self.count)
-        hold = self.shards.get(shard)
+        led_shard = self.shards.get(shard)
         token = self.membership.token(shard)
-        if hold is None or token is None or token != hold.token:
+        if led_shard is None or token is None or token != led_shard.token:
             leader = self.membership.leader(shard)
             steward = leader if leader != self.membership.me else None
             return Response(421, encode(agent_api.Redirect(steward)))
         if heartbeat.token > token:
             self.membership.fenced(shard, heartbeat.token)
             return Response(421, encode(agent_api.Redirect(None)))
-        if self.membership.evidence_expired():
+        if self.membership.cancellations_stale():
             # A cancellation may have been told to a user that we can't hear of:
             # letting the lease run out keeps the promise about its tasks.
             return Response(503, b"{}")
@@ -187,13 +187,13 @@
             return Response(503, b"{}")
         if known is not None:
             self._check_acknowledged(known, heartbeat)
-        machine = self.observe(heartbeat, hold, direct=False)
+        machine = self.observe(heartbeat, led_shard, direct=False)
         if machine is None:
             # Without our token it may be a copy of any age: it earns the token, no
             # more. With it, a direct answer overtook it: the agent counts its lease
             # from this report, which it sent before that answer.
             if known is not None:
-                known.answered_at = max(known.answered_at, known.heard_at)
+                known.answered_at = max(known.answered_at, known.last_heartbeat_at)
             # The answer renews the lease, so it carries the stops for jobs that are over: of
             # those nothing is wanted, whichever attempt it is and however old the report.
             return Response(200, encode(agent_api.HeartbeatResponse(token, self._ends(heartbeat))))
@@ -233,7 +233,7 @@
             )
 
     def observe(
-        self, heartbeat: agent_api.AgentHeartbeat, hold: LedShard, *, direct: bool
+        self, heartbeat: agent_api.AgentHeartbeat, led_shard: LedShard, *, direct: bool
     ) -> Machine | None:
         """Take in a report; None if it is older than what is known, or may be.
 
@@ -242,7 +242,7 @@
         """
         now = trio.current_time()
         machine = self.machines.get(heartbeat.machine)
-        if heartbeat.token != hold.token:
+        if heartbeat.token != led_shard.token:
             if machine is not None and direct and heartbeat.epoch > machine.epoch:
                 machine.epoch = heartbeat.epoch  # what the next command must name
                 machine.seq = -1
@@ -253,27 +253,27 @@
             )
         if (heartbeat.epoch, heartbeat.seq) <= (machine.epoch, machine.seq):
             return None
-        if machine.kind is None:
-            machine.kind = self.types().get(machine.type)
+        if machine.machine_type is None:
+            machine.machine_type = self.types().get(machine.type)
         if heartbeat.address:
             machine.address = heartbeat.address
         if heartbeat.epoch > machine.epoch and machine.epoch:
             log.info("session risen machine=%s tasks=%d", machine.name, len(machine.placements))
             self._clear(machine, "session")
         machine.epoch, machine.seq = heartbeat.epoch, heartbeat.seq
-        machine.heard_at = self.command_sender.heard_at = now
+        machine.last_heartbeat_at = self.command_sender.last_heartbeat_at = now
         if machine.lost:
             machine.lost = False
             machine.idle_since = now
         if heartbeat.notice is not None and machine.notice_at is None:
             log.info("notice machine=%s in=%.1f", machine.name, heartbeat.notice)
         machine.notice_at = None if heartbeat.notice is None else now + heartbeat.notice
-        self._reconcile(machine, heartbeat, hold, direct)
+        self._reconcile(machine, heartbeat, led_shard, direct)
         if not machine.confirmed:
             machine.confirmed = True
             # Until it saw our token, an earlier leader may have renewed its lease.
             machine.idle_since = machine.answered_at = now
-        self._clear_suspect(hold, machine)
+        self._clear_suspect(led_shard, machine)
         if not machine.recorded:
             self.records.wake.set()
         if machine.placements:
@@ -293,10 +293,14 @@
         self.placements.drop(placement)
         if not machine.placements:
             machine.idle_since = trio.current_time()
-        self.on_gone(placement, cause)
+        self._listener.placement_lost(placement, cause)
 
     def _reconcile(
-        self, machine: Machine, heartbeat: agent_api.AgentHeartbeat, hold: LedShard, direct: bool
+        self,
+        machine: Machine,
+        heartbeat: agent_api.AgentHeartbeat,
+        led_shard: LedShard,
+        direct: bool,
     ) -> None:
         """Make what we know of a machine's tasks agree with its report."""
         listed = {task.task: task for task in heartbeat.tasks}
@@ -327,9 +331,9 @@
             task = listed.get(key)
             if task is not None and task.attempt == placement.attempt:
                 continue
-            if not placement.sent_seq and not placement.seen:
+            if not placement.start_seq and not placement.seen:
                 continue  # decided, not ordered yet
-            if not placement.seen and (direct or heartbeat.seq <= placement.sent_seq):
+            if not placement.seen and (direct or heartbeat.seq <= placement.start_seq):
                 # Only the next report settles whether a start arrived: a direct
                 # answer may have been made while our response was on its way.
                 continue
@@ -360,7 +364,7 @@
                     machine.orphans[key] = task.attempt
                 return
             self.placements.put(placement)
-            if not self.adopt(placement):
+            if not self._listener.adopt(placement):
                 placement.grace = 0.0
         placement.seen = True
         if task.state != placement.state:
@@ -411,7 +415,7 @@
             machine.errors = 0
             ran = now - placement.run_at if placement.run_at is not None else -1.0
             if job.open:
-                self.on_done(placement, ran)
+                self._listener.task_completed(placement, ran)
         elif cause == agent_api.ERROR:
             machine.errors += 1
             machine.failed_jobs[job.id] = machine.failed_jobs.get(job.id, 0) + 1
@@ -422,11 +426,11 @@
         self.placements.drop(placement)
         if not machine.placements:
             machine.idle_since = now
-        self.on_gone(placement, cause)
+        self._listener.placement_lost(placement, cause)
 
     # --- orders --------------------------------------------------------------------
 
-    def kills(self, machine: Machine) -> list[agent_api.Command]:
+    def stop_commands(self, machine: Machine) -> list[agent_api.Command]:
         """Orders for all that must stop on a machine."""
         now = trio.current_time()
         commands = []
@@ -436,10 +440,10 @@
             if placement.grace is None:
                 continue
             # One that should have saved by now is ended: its place is needed.
-            late = placement.kill_at and now - placement.kill_at > placement.grace * 2 + 5
+            late = placement.stop_sent_at and now - placement.stop_sent_at > placement.grace * 2 + 5
             grace = 0.0 if late else placement.grace
-            if not placement.kill_at:
-                placement.kill_at = now
+            if not placement.stop_sent_at:
+                placement.stop_sent_at = now
                 self._tell(Decision.STOP, placement)
             commands.append(agent_api.Command(agent_api.STOP, key, placement.attempt, grace))
         commands += [
@@ -474,11 +478,11 @@
         self, machine: Machine, heartbeat: agent_api.AgentHeartbeat
     ) -> list[agent_api.Command]:
         now = trio.current_time()
-        commands = self.kills(machine)
+        commands = self.stop_commands(machine)
         starts = []
         if machine.usable and self.membership.may_start_tasks():
-            for placement in self.fill(machine):
-                placement.sent_seq = heartbeat.seq
+            for placement in self._starter.schedule_on(machine):
+                placement.start_seq = heartbeat.seq
                 placement.at = now
                 self._tell(Decision.START, placement)
                 starts.append(agent_api.Command(agent_api.START, placement.key, placement.attempt))
@@ -496,28 +500,28 @@
                 if command.op == agent_api.START:
                     late = machine.placements.get(command.task)
                     if late is not None:
-                        late.sent_seq = 0
+                        late.start_seq = 0
             commands = commands[:500]
         return commands
 
     def _tell(self, decision: Decision, placement: Placement) -> None:
-        hold = self.shards.get(placement.machine.shard)
+        led_shard = self.shards.get(placement.machine.shard)
         reason = DecisionReason(
             placement.job.version,
-            token=hold.token if hold is not None else None,
+            token=led_shard.token if led_shard is not None else None,
             machine=placement.machine.name,
         )
         self.on_decision(decision, placement.key, reason)
 
     def stop(self, placement: Placement, grace: float) -> None:
         """Order a task stopped; a shorter grace overrides a longer one."""
-        if not placement.sent_seq and not placement.seen:
+        if not placement.start_seq and not placement.seen:
             # Never ordered: it is nowhere.
             self._gone(placement, "unsent")
             return
         if placement.grace is None or grace < placement.grace:
             placement.grace = grace
-            placement.kill_at = 0.0
+            placement.stop_sent_at = 0.0
             self.command_sender.touch(placement.machine.name)
 
     def stop_job(self, id: str) -> None:
@@ -532,13 +536,13 @@
         while True:
             await trio.sleep(self.times.report_s / 4)
             now = trio.current_time()
-            owned = self.membership.leadership_known_at()
+            owned = self.membership.leadership_verified_at()
             resumed = self.membership.resumed_at()
             for machine in list(self.machines.values()):
-                hold = self.shards.get(machine.shard)
-                if hold is None:
+                led_shard = self.shards.get(machine.shard)
+                if led_shard is None:
                     continue
-                silent = now - max(machine.heard_at, resumed)
+                silent = now - max(machine.last_heartbeat_at, resumed)
                 held = not machine.lost or machine.placements
                 if (
                     machine.confirmed
@@ -562,17 +566,17 @@
                 if machine.lost and not machine.recorded and silent > self.policy.silence * 4:
                     self._pop(machine.name)
 
-    def forget_machine(self, name: str) -> None:
+    def machine_terminated(self, name: str) -> None:
         """The cloud has confirmed that the machine, and all on it, is gone."""
         self.released[name] = trio.current_time()
         machine = self.machines.get(name)
         if machine is None:
             return
-        hold = self.shards.get(machine.shard)
+        led_shard = self.shards.get(machine.shard)
         self._clear(machine, "released")
         self._pop(name)
-        if hold is not None:
-            self._clear_suspect(hold, machine)
+        if led_shard is not None:
+            self._clear_suspect(led_shard, machine)
         self.records.wake.set()
 
     # --- views --------------------------------------------------------------------------
--- a/pitchtally/api/routes.py
+++ b/pitchtally/api/routes.py
@@ -113,7 +113,7 @@
         """Whether this node can't reach the store while a peer can."""
         return (
             self.state_store.failing_since is not None
-            and self.membership.peer_with_store() is not None
+            and self.membership.peer_with_state_store() is not None
         )
 
     def isolated(self) -> bool:
@@ -316,7 +316,7 @@
             except (CompareFailed, LeaseExpired, StoreUnavailable) as error:
                 log.info("not accepted cause=%s", error)
                 return False
-            self.replica.own(group, revision)
+            self.replica.apply_own_commit(group, revision)
         return True
 
     async def _plan(self, spec: user_api.JobSpec) -> Plan:
@@ -368,11 +368,11 @@
         revision = await self.state_store.commit(
             {change.key: job.version}, [change], priority=rate_limits.COMPLETIONS
         )
-        self.replica.own([change], revision)
+        self.replica.apply_own_commit([change], revision)
         self.on_decision(Decision.CANCELLED, job.id, DecisionReason(version=revision))
         if self.nursery is not None:
             self.nursery.start_soon(
-                self.membership.tell_cancelled,
+                self.membership.broadcast_cancellation,
                 Cancellation(job.id, revision, final.tasks, final.count),
             )
 
--- a/pitchtally/api/submission_batcher.py
+++ b/pitchtally/api/submission_batcher.py
@@ -117,6 +117,6 @@
             for pending in batch:
                 pending.end(None, [], str(error) or "no lease")
         else:
-            self.replica.own([p.change for p in batch], revision)
+            self.replica.apply_own_commit([p.change for p in batch], revision)
             for pending in batch:
                 pending.end(revision, [])
--- a/pitchtally/autoscaling/autoscaler.py
+++ b/pitchtally/autoscaling/autoscaler.py
@@ -206,13 +206,13 @@
         self._idle(statuses, now)
         self._return_drained(statuses)
 
-    def _boot_limit(self, kind: cloud_api.MachineType | None) -> float:
+    def _boot_limit(self, machine_type: cloud_api.MachineType | None) -> float:
         """Seconds after which a machine that is still not up never will be."""
-        return self._boot_of(kind) * BOOTS + self.settings.deployment.cloud.list_lag_s
+        return self._boot_of(machine_type) * BOOTS + self.settings.deployment.cloud.list_lag_s
 
     @staticmethod
-    def _boot_of(kind: cloud_api.MachineType | None) -> float:
-        return kind.boot if kind else USUAL_BOOT_S
+    def _boot_of(machine_type: cloud_api.MachineType | None) -> float:
+        return machine_type.boot if machine_type else USUAL_BOOT_S
 
     def _judge_booting(self, statuses: dict[str, MachineStatus], now: float) -> None:
         for name, booting in list(self.booting.items()):
@@ -229,11 +229,11 @@
         statuses: dict[str, MachineStatus],
         now: float,
     ) -> None:
-        kind = self.types.get(machine.type)
+        machine_type = self.types.get(machine.type)
         if machine.state == cloud_api.FAILED:
             self._return(name, "failed")
         elif machine.state == cloud_api.BOOTING and name not in statuses:
-            if machine.age > self._boot_limit(kind):
+            if machine.age > self._boot_limit(machine_type):
                 self._return(name, "never came up")
             elif name not in self.booting:
                 group = MachineGroupKey(machine.type, machine.zone, machine.spot)
@@ -241,7 +241,7 @@
         elif name in statuses or not self._vouched(name):
             # Right after a failover nobody has heard a shard's machines yet.
             self.unseen.pop(name, None)
-        elif machine.age > self._boot_of(kind) * BOOTS:
+        elif machine.age > self._boot_of(machine_type) * BOOTS:
             since = self.unseen.setdefault(name, now)
             if now - since > self.policy.silence * 2:
                 self._return(name, "never reported")
@@ -306,7 +306,7 @@
     def _vouched(self, name: str) -> bool:
         """Whether the leader of the machine's part knows all its machines by now."""
         status = self.scheduler.statuses.newest.get(shard_of(name, self.settings.deployment.count))
-        return status is not None and status.settled
+        return status is not None and status.reconciled
 
     def _return(self, name: str, cause: str) -> None:
         if name not in self.releasing:
@@ -339,9 +339,9 @@
         return [spec for spec in found.values() if self.scheduler.quotas.limit_left(spec)]
 
     def _needed(self, status: MachineStatus, waits: list[user_api.JobSpec]) -> bool:
-        kind = self.types.get(status.type)
-        return kind is None or any(
-            allows_machine_type(spec, kind, status.zone, status.spot) for spec in waits
+        machine_type = self.types.get(status.type)
+        return machine_type is None or any(
+            allows_machine_type(spec, machine_type, status.zone, status.spot) for spec in waits
         )
 
     def _observe_demand(self, now: float) -> None:
@@ -376,14 +376,18 @@
             peak = max((n for _, n in self.demand.get(shape, ())), default=1)
             able = []
             for name, status in statuses.items():
-                kind = self.types.get(status.type)
-                if kind is None or status.flag or name in self.drain:
+                machine_type = self.types.get(status.type)
+                if machine_type is None or status.flag or name in self.drain:
                     continue
-                if self.scheduler.priorities.slack(spec) > kind.boot * 2:
+                if self.scheduler.priorities.slack(spec) > machine_type.boot * 2:
                     continue
-                if allows_machine_type(spec, kind, status.zone, status.spot):
-                    fit = count_fitting(resource_request(spec), capacity_of(kind))
-                    price = (kind.spot_price or kind.price) if status.spot else kind.price
+                if allows_machine_type(spec, machine_type, status.zone, status.spot):
+                    fit = count_fitting(resource_request(spec), capacity_of(machine_type))
+                    price = (
+                        (machine_type.spot_price or machine_type.price)
+                        if status.spot
+                        else machine_type.price
+                    )
                     able.append((price / fit, name, fit))
             for _, name, fit in sorted(able):
                 if peak <= 0:
@@ -405,7 +409,7 @@
                 self.booting.pop(name, None)
                 self.gone[name] = now
                 # The answer is the proof that all on it is gone.
-                self.agents.forget_machine(name)
+                self.agents.machine_terminated(name)
 
     # --- what others are told -------------------------------------------------------------
 
@@ -424,7 +428,7 @@
         """What the leader says about machines of ours."""
         for name in heartbeat.released:
             if name not in self.agents.released or name in self.agents.machines:
-                self.agents.forget_machine(name)
+                self.agents.machine_terminated(name)
         if heartbeat.node == self.membership.leader(0):
             self._apply_drain(heartbeat.drain)
 
--- a/pitchtally/autoscaling/catalog.py
+++ b/pitchtally/autoscaling/catalog.py
@@ -63,14 +63,14 @@
             self._pages.pop(key, None)
         else:
             self._pages[key] = _decode(value)
-        found = [kind for page in self._pages.values() for kind in page]
+        found = [machine_type for page in self._pages.values() for machine_type in page]
         if found:
             self._renew(found)
 
     def _renew(self, found: list[cloud_api.MachineType]) -> None:
-        self.known = {kind.name: kind for kind in found}
+        self.known = {machine_type.name: machine_type for machine_type in found}
         for machine in self.agents.machines.values():
-            machine.kind = self.known.get(machine.type)
+            machine.machine_type = self.known.get(machine.type)
 
     async def run(self) -> None:
         """Ask the cloud, and write what has changed; the leader's task once types are known."""
@@ -95,7 +95,7 @@
 
     def _changed(self, found: list[cloud_api.MachineType]) -> bool:
         """Whether shapes have changed, or prices by more than a step."""
-        if {kind.name for kind in found} != set(self.known):
+        if {machine_type.name for machine_type in found} != set(self.known):
             return True
         return any(self._differs(new, self.known[new.name]) for new in found)
 
@@ -121,7 +121,7 @@
                 )
             except (CompareFailed, LeaseExpired):
                 return  # another node was first
-            self.replica.own([change], revision)
+            self.replica.apply_own_commit([change], revision)
 
     def lay_out(self, found: list[cloud_api.MachineType]) -> list[Write]:
         """The writes that store these types, those that hold something first."""
@@ -139,8 +139,8 @@
         found: list[cloud_api.MachineType], most: int
     ) -> dict[str, list[cloud_api.MachineType]]:
         pages: list[list[cloud_api.MachineType]] = [[]]
-        for kind in found:
-            if pages[-1] and len(_encode([*pages[-1], kind])) > most:
+        for machine_type in found:
+            if pages[-1] and len(_encode([*pages[-1], machine_type])) > most:
                 pages.append([])
-            pages[-1].append(kind)
+            pages[-1].append(machine_type)
         return {keys.machine_types_page(number): page for number, page in enumerate(pages)}
--- a/pitchtally/autoscaling/scale_out.py
+++ b/pitchtally/autoscaling/scale_out.py
@@ -99,11 +99,11 @@
             self.autoscaler.booting[name] = Booting(group, now)
 
     def _groups(self) -> Iterable[MachineGroupKey]:
-        for kind in self.autoscaler.types.values():
-            for zone in kind.zones:
-                yield MachineGroupKey(kind.name, zone, False)
-                if kind.spot_price is not None:
-                    yield MachineGroupKey(kind.name, zone, True)
+        for machine_type in self.autoscaler.types.values():
+            for zone in machine_type.zones:
+                yield MachineGroupKey(machine_type.name, zone, False)
+                if machine_type.spot_price is not None:
+                    yield MachineGroupKey(machine_type.name, zone, True)
 
     def _next(self, now: float) -> tuple[MachineGroupKey, int] | None:
         """The next hire that waiting work calls for, cheapest per task first."""
@@ -151,12 +151,14 @@
         """The group whose machines cost least per task, and how many tasks one holds."""
         options = []
         for group in groups:
-            kind = self.autoscaler.types[group.type]
-            if not allows_machine_type(spec, kind, group.zone, group.spot):
+            machine_type = self.autoscaler.types[group.type]
+            if not allows_machine_type(spec, machine_type, group.zone, group.spot):
                 continue
-            fit = count_fitting(resource_request(spec), capacity_of(kind))
-            price = (kind.spot_price if group.spot else kind.price) or kind.price
-            options.append((price / fit, kind.boot, group, fit))
+            fit = count_fitting(resource_request(spec), capacity_of(machine_type))
+            price = (
+                machine_type.spot_price if group.spot else machine_type.price
+            ) or machine_type.price
+            options.append((price / fit, machine_type.boot, group, fit))
         if not options:
             return None
         _, _, group, fit = min(options)
@@ -196,7 +198,9 @@
 
     def _slots(self, spec: user_api.JobSpec, group: MachineGroupKey) -> int:
         """Tasks of the job that an empty machine of the group holds, if the job allows it."""
-        kind = self.autoscaler.types.get(group.type)
-        if kind is None or not allows_machine_type(spec, kind, group.zone, group.spot):
+        machine_type = self.autoscaler.types.get(group.type)
+        if machine_type is None or not allows_machine_type(
+            spec, machine_type, group.zone, group.spot
+        ):
             return 0
-        return count_fitting(resource_request(spec), capacity_of(kind))
+        return count_fitting(resource_request(spec), capacity_of(machine_type))
--- a/pitchtally/config/policy.py
+++ b/pitchtally/config/policy.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from ..membership.freshness import longest_evidence_age
+from ..membership.freshness import max_freshness_bound
 from .settings import Settings, SettingsError
 
 # name: (default expression, lowest, highest, what it sets)
@@ -254,7 +254,7 @@
         sources[name] = (expression, f"{file}:{number}")
     evaluator = _Evaluator(settings, sources)
     policy = Policy({name: evaluator.figure(name) for name in FIGURES})
-    most = longest_evidence_age(settings.deployment.workers)
+    most = max_freshness_bound(settings.deployment.workers)
     if policy.max_evidence_age > most:
         # Renewed until then, a lease would keep cancelled tasks beyond what users are told.
         raise PolicyError(
--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -107,27 +107,20 @@
     def _connect(self) -> None:
         membership, agents, scheduler = self.membership, self.agents, self.scheduler
 
-        def gained(shard: int, token: int) -> None:
-            agents.gained(shard, token)
-            scheduler.shards.gained(shard)
+        def acquired(shard: int, token: int) -> None:
+            agents.acquired(shard, token)
+            scheduler.shards.shard_acquired(shard)
 
-        membership.on_gain = gained
-        membership.on_loss = agents.release_shard
+        membership.on_acquired = acquired
+        membership.on_lost = agents.release_shard
         membership.on_cancel = lambda c: self.job_index.learn_cancelled(
             c.job, c.version, c.tasks, c.done
         )
-        membership.on_heartbeat = self._beat
+        membership.on_heartbeat = self._take_peer_heartbeat
         membership.on_forward = self.api.local
-        membership.on_schedule_request = self._split
-        membership.fill_in = self._fill_in
-        agents.on_lost_shard = scheduler.shards.lost
-        agents.on_loaded = scheduler.shards.loaded
-        agents.on_settled = scheduler.shards.settled
-        agents.on_group_heard = scheduler.shards.unblock
-        agents.on_gone = scheduler.shards.gone
-        agents.on_done = scheduler.shards.done
-        agents.adopt = scheduler.shards.adopt
-        agents.fill = scheduler.placer.fill
+        membership.on_schedule_request = self._plan_as_cluster_leader
+        membership.add_updates = self._add_updates
+        agents.connect(scheduler.shards, scheduler.placer)
         self.api.on_decision = self.decisions.on_decision
         agents.on_decision = self.decisions.on_decision
         self.progress.on_decision = self.decisions.on_decision
@@ -141,7 +134,7 @@
         owned = self.membership.leaders.get(CLUSTER_LEADER_SHARD)
         return Evidence(
             self.replica.revision,
-            self.membership.cancellations_known_at(),
+            self.membership.cancellations_verified_at(),
             self.membership.leader(CLUSTER_LEADER_SHARD),
             owned[1] if owned is not None else 0,
         )
@@ -151,15 +144,15 @@
         faults = {f"fault_{name}": count for name, count in self.loops.faults.items()}
         return {**self.api.read_barrier.counts, **self.agents.answered, **faults}
 
-    def _split(self, spec: user_api.JobSpec) -> ScheduleReply:
+    def _plan_as_cluster_leader(self, spec: user_api.JobSpec) -> ScheduleReply:
         plan = self.scheduler.decide_as_leader(spec)
         return ScheduleReply(plan.ranges, plan.zone)
 
-    def _beat(self, heartbeat: PeerHeartbeat) -> None:
+    def _take_peer_heartbeat(self, heartbeat: PeerHeartbeat) -> None:
         self.scheduler.statuses.take_heartbeat(heartbeat)
         self.autoscaler.take_heartbeat(heartbeat)
 
-    def _fill_in(self, heartbeat: PeerHeartbeat, seen: int) -> None:
+    def _add_updates(self, heartbeat: PeerHeartbeat, seen: int) -> None:
         """What the slices have to tell a peer whose copy covers that revision."""
         heartbeat.cancellations = [
             Cancellation(*row) for row in self.job_index.cancelled_after(seen)
--- a/pitchtally/jobs/index.py
+++ b/pitchtally/jobs/index.py
@@ -307,5 +307,5 @@
             return False
         except LeaseExpired:
             return False
-        self.replica.own(changes, revision)
+        self.replica.apply_own_commit(changes, revision)
         return True
--- a/pitchtally/membership/format_negotiation.py
+++ b/pitchtally/membership/format_negotiation.py
@@ -52,4 +52,4 @@
         conditions[keys.FORMAT] = membership.replica.version(keys.FORMAT)
         changes = [Write(keys.FORMAT, self.gate.record())]
         revision = await self.state_store.commit(conditions, changes, priority=rate_limits.LEASES)
-        membership.replica.own(changes, revision)
+        membership.replica.apply_own_commit(changes, revision)
--- a/pitchtally/membership/freshness.py
+++ b/pitchtally/membership/freshness.py
@@ -32,12 +32,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class PeerReply:
     """A peer's answer to a heartbeat of ours."""
 
     asked_at: float  # when we sent the question
     store_age: float  # how old the peer's copy of the store was as it answered
-    sure_age: float  # and the moment up to which it knew all cancellations
+    cancellations_age: float  # and the moment up to which it knew all cancellations
 
     @property
     def has_read(self) -> bool:
@@ -45,12 +45,12 @@
         return self.store_age < NEVER
 
     @property
-    def cancellations_known_at(self) -> float:
+    def cancellations_verified_at(self) -> float:
         """Up to when the peer knew every cancellation, at the least."""
-        return self.asked_at - self.sure_age
+        return self.asked_at - self.cancellations_age
 
 
-def all_asked_at(answers: Iterable[Answer | None]) -> float | None:
+def all_peers_asked_at(answers: Iterable[PeerReply | None]) -> float | None:
     """When we had asked every peer, each of which then told what it knows; None if one hasn't.
 
     A peer that has not read the store since it began doesn't know what its predecessor
@@ -62,7 +62,7 @@
     return min(a.asked_at for a in found if a is not None)
 
 
-def cancellations_known(copy_at: float, answers: Iterable[Answer | None]) -> float:
+def cancellations_verified(copy_at: float, answers: Iterable[PeerReply | None]) -> float:
     """Up to when no confirmed cancellation can be unknown to us.
 
     Our copy shows what was committed by `copy_at`. A peer's answer holds every
@@ -72,19 +72,19 @@
     """
     found = list(answers)
     known = max(
-        [copy_at, *(a.cancellations_known_at for a in found if a is not None and a.has_read)]
+        [copy_at, *(a.cancellations_verified_at for a in found if a is not None and a.has_read)]
     )
-    asked = all_asked_at(found)
+    asked = all_peers_asked_at(found)
     return known if asked is None else max(known, asked)
 
 
-def owned_alone(copy_at: float, answers: Iterable[Answer | None]) -> float:
+def leadership_verified(copy_at: float, answers: Iterable[PeerReply | None]) -> float:
     """Up to when nobody else can have renewed a lease in a shard that we hold.
 
     The store showed the shard as ours, or every peer told the newest leader it knows of:
     its predecessor's failovers too, since it has read the store after that one's end.
     """
-    asked = all_asked_at(answers)
+    asked = all_peers_asked_at(answers)
     return copy_at if asked is None else max(copy_at, asked)
 
 
@@ -98,6 +98,6 @@
     return answered_at + times.lease_s * DRIFT + timer(times)
 
 
-def longest_evidence_age(times: AgentTimes) -> float:
+def max_freshness_bound(times: AgentTimes) -> float:
     """The longest that an leader may renew leases without news of cancellations."""
     return (times.cancel_s - timer(times)) / DRIFT - times.lease_s * DRIFT
--- a/pitchtally/membership/membership.py
+++ b/pitchtally/membership/membership.py
@@ -25,7 +25,7 @@
 from ..state_store.client import StateStoreClient, Write
 from ..state_store.errors import CompareFailed, LeaseExpired, StoreUnavailable
 from ..state_store.replica import Replica
-from .freshness import NEVER, Answer, cancellations_known, owned_alone
+from .freshness import NEVER, PeerReply, cancellations_verified, leadership_verified
 from .messages import (
     UNNUMBERED,
     Ack,
@@ -116,18 +116,18 @@
         self._sent = 0  # heartbeats
         self._calls = 0  # messages to peers that call for a reply
         # What was known for certain once stays so, also when whoever told it is gone.
-        self._cancellations_known_at = -1e9
-        self._leadership_known_at = -1e9
+        self._cancellations_verified_at = -1e9
+        self._leadership_verified_at = -1e9
         # Filled in by the service.
-        self.on_gain: Callable[[int, int], None] = lambda shard, token: None
-        self.on_loss: Callable[[int], None] = lambda shard: None
+        self.on_acquired: Callable[[int, int], None] = lambda shard, token: None
+        self.on_lost: Callable[[int], None] = lambda shard: None
         self.on_cancel: Callable[[Cancellation], None] = lambda cancellation: None
         self.on_forward: Callable[[Request], Awaitable[Response]]
         self.on_schedule_request: Callable[[user_api.JobSpec], ScheduleReply] = lambda spec: (
             ScheduleReply([])
         )
         self.on_heartbeat: Callable[[PeerHeartbeat], None] = lambda heartbeat: None
-        self.fill_in: Callable[[PeerHeartbeat, int], None] = lambda heartbeat, seen: None
+        self.add_updates: Callable[[PeerHeartbeat, int], None] = lambda heartbeat, revision: None
         replica.listen(keys.SHARD_PREFIX, self._on_shard)
         replica.listen(keys.NODE_PREFIX, self._on_node)
 
@@ -158,11 +158,11 @@
         if shard in self.held:
             del self.held[shard]
             log.info("part lost part=%d owner=%s", shard, self.leader(shard))
-            self.on_loss(shard)
+            self.on_lost(shard)
         if token is not None:
             self.held[shard] = token
             log.info("part taken part=%d token=%d", shard, token)
-            self.on_gain(shard, token)
+            self.on_acquired(shard, token)
 
     # --- what the slices ask -------------------------------------------------
 
@@ -192,19 +192,19 @@
             self.fences[shard] = token
             self._announce(shard)
 
-    def cancellations_known_at(self) -> float:
+    def cancellations_verified_at(self) -> float:
         """Up to when no confirmed cancellation can be unknown to this node."""
-        known = cancellations_known(self.replica.verified_at, self._answers())
-        self._cancellations_known_at = max(self._cancellations_known_at, known)
-        return self._cancellations_known_at
+        known = cancellations_verified(self.replica.verified_at, self._replies())
+        self._cancellations_verified_at = max(self._cancellations_verified_at, known)
+        return self._cancellations_verified_at
 
-    def leadership_known_at(self) -> float:
+    def leadership_verified_at(self) -> float:
         """Up to when nobody else can have renewed a machine of a shard that we hold."""
-        owned = owned_alone(self.replica.verified_at, self._answers())
-        self._leadership_known_at = max(self._leadership_known_at, owned)
-        return self._leadership_known_at
+        owned = leadership_verified(self.replica.verified_at, self._replies())
+        self._leadership_verified_at = max(self._leadership_verified_at, owned)
+        return self._leadership_verified_at
 
-    def _answers(self) -> list[Answer | None]:
+    def _replies(self) -> list[PeerReply | None]:
         return [peer.answer for peer in self.peers.values()]
 
     def verified_cluster_leader(self) -> int | None:
@@ -214,7 +214,7 @@
         and release beside its successor.
         """
         limit = max(trio.current_time() - self.policy.session_ttl, self.resumed_at())
-        return self.cluster_leader_token if self.leadership_known_at() >= limit else None
+        return self.cluster_leader_token if self.leadership_verified_at() >= limit else None
 
     def resumed_at(self) -> float:
         """When this process last went on after standing still.
@@ -245,11 +245,11 @@
         of a cancelled job begins any more. After a session without any evidence a shard has,
         or soon will have, another leader, and a start here would be wasted anyway.
         """
-        return trio.current_time() - self.cancellations_known_at() <= self.policy.session_ttl
+        return trio.current_time() - self.cancellations_verified_at() <= self.policy.session_ttl
 
-    def evidence_expired(self) -> bool:
+    def cancellations_stale(self) -> bool:
         """Whether a cancellation may be unknown to us for too long to renew leases."""
-        return trio.current_time() - self.cancellations_known_at() > self.policy.max_evidence_age
+        return trio.current_time() - self.cancellations_verified_at() > self.policy.max_evidence_age
 
     # --- the store -------------------------------------------------------------
 
@@ -288,7 +288,9 @@
     def answering(self) -> dict[str, str]:
         """The incarnation of each node, ours included, that has answered within a session."""
         limit = trio.current_time() - self.policy.session_ttl
-        found = {name: p.incarnation for name, p in self.peers.items() if p.heard_at >= limit}
+        found = {
+            name: p.incarnation for name, p in self.peers.items() if p.last_heartbeat_at >= limit
+        }
         found[self.me] = self.incarnation
         return found
 
@@ -300,7 +302,7 @@
         revision = await self.state_store.commit(
             {key: self.replica.version(key)}, changes, priority=rate_limits.LEASES
         )
-        self.replica.own(changes, revision)
+        self.replica.apply_own_commit(changes, revision)
 
     def set_agents_unreachable(self, unreachable: bool) -> None:
         """Let others have our shards while our machines can't be reached."""
@@ -352,11 +354,11 @@
         log.debug("taking part=%d from=%s", shard, self.leader(shard))
         changes = [Write(key, value)]
         revision = await self.state_store.commit(conditions, changes, priority=rate_limits.LEASES)
-        self.replica.own(changes, revision)
+        self.replica.apply_own_commit(changes, revision)
 
     # --- peers -------------------------------------------------------------------
 
-    def compose(self, seen: int) -> PeerHeartbeat:
+    def compose(self, revision: int) -> PeerHeartbeat:
         """Our heartbeat for a peer whose copy of the store covers that revision."""
         self._sent += 1
         now = trio.current_time()
@@ -366,26 +368,26 @@
             self._sent,
             self.replica.revision,
             min(NEVER, now - self.replica.verified_at),
-            min(NEVER, now - self.cancellations_known_at()),
+            min(NEVER, now - self.cancellations_verified_at()),
             [],
             [],
             [],
             [],
         )
         heartbeat.tokens = [(shard, token) for shard, (_, token) in self.leaders.items()]
-        self.fill_in(heartbeat, seen)
+        self.add_updates(heartbeat, revision)
         return heartbeat
 
     async def run_heartbeats(self, peer: Peer) -> None:
         """Ask one peer what it knows, once per interval."""
         while True:
             sent = trio.current_time()
-            reply = await self.send(peer, self.compose(peer.seen))
+            reply = await self.send(peer, self.compose(peer.revision))
             if isinstance(reply, PeerHeartbeat) and reply.node == peer.name:
                 self._take_heartbeat(reply, sent)
                 # Only now: what it tells is known here from this moment on.
-                peer.answer = Answer(sent, reply.store_age, reply.sure_age)
-                peer.told_at = sent
+                peer.answer = PeerReply(sent, reply.store_age, reply.cancellations_age)
+                peer.statuses_sent_at = sent
             await trio.sleep(self.policy.heartbeat_interval)
 
     async def send(self, peer: Peer, message: Message) -> Message | None:
@@ -416,9 +418,9 @@
     def is_isolated(self) -> bool:
         """No peer has answered of late: others may well be in service."""
         limit = trio.current_time() - self.policy.session_ttl
-        return bool(self.peers) and all(p.heard_at < limit for p in self.peers.values())
+        return bool(self.peers) and all(p.last_heartbeat_at < limit for p in self.peers.values())
 
-    def peer_with_store(self) -> Peer | None:
+    def peer_with_state_store(self) -> Peer | None:
         """A peer that has just told that it reaches the store, if we don't."""
         now = trio.current_time()
         limit = self.policy.session_ttl
@@ -434,7 +436,7 @@
 
     async def forward(self, request: Request) -> Response | None:
         """Let a peer answer a user while this node alone is cut off from the store."""
-        peer = self.peer_with_store()
+        peer = self.peer_with_state_store()
         if peer is None:
             return None
         if self._forwards.available_tokens < 1:
@@ -461,7 +463,7 @@
             return reply if isinstance(reply, ScheduleReply) else None
         return None
 
-    async def tell_cancelled(self, cancellation: Cancellation) -> None:
+    async def broadcast_cancellation(self, cancellation: Cancellation) -> None:
         """Owners that lost only the store must still stop the job's tasks.
 
         Sent once, for speed alone: each heartbeat repeats it until the peer's own copy
@@ -482,11 +484,12 @@
             self._take_heartbeat(message, None)
             # What it asks rests on its own words, not on what we remember of it: the
             # answer holds every cancellation newer than the copy that it had as it asked.
-            reply = self.compose(message.seen)
+            reply = self.compose(message.revision)
             peer = self.peers.get(message.node)
             if (
                 peer is not None
-                and trio.current_time() - peer.told_at < self.policy.heartbeat_interval * 1.5
+                and trio.current_time() - peer.statuses_sent_at
+                < self.policy.heartbeat_interval * 1.5
             ):
                 # Our own heartbeats bring it our statuses, by far the most of a message; where they
                 # are refused, this answer must.
--- a/pitchtally/membership/messages.py
+++ b/pitchtally/membership/messages.py
@@ -56,7 +56,7 @@
 
     shard: int
     token: int
-    settled: bool
+    reconciled: bool
     queued: float  # machine-seconds not started
     stretch: float  # lowest over its machines
     machines: list[MachineStatus]
@@ -84,9 +84,9 @@
     node: str
     incarnation: str
     number: int  # orders the heartbeats of one incarnation
-    seen: int  # the revision that our copy of the store covers
+    revision: int  # the revision that our copy of the store covers
     store_age: float
-    sure_age: float  # since when cancellations may be unknown to the sender
+    cancellations_age: float  # since when cancellations may be unknown to the sender
     cancellations: list[Cancellation]  # that the receiver's copy can't show yet
     shards: list[ShardStatus]
     released: list[str]
--- a/pitchtally/membership/peer.py
+++ b/pitchtally/membership/peer.py
@@ -5,7 +5,7 @@
 import trio
 
 from ..config.settings import host_port
-from .freshness import Answer
+from .freshness import PeerReply
 from .messages import PeerHeartbeat
 
 
@@ -15,16 +15,16 @@
     def __init__(self, name: str, address: str):
         self.name = name
         self.address = host_port(address)
-        self.answer: Answer | None = None  # the newest to a heartbeat of ours
-        self.told_at = -1e9  # when it last had our statuses, as it answered
+        self.answer: PeerReply | None = None  # the newest to a heartbeat of ours
+        self.statuses_sent_at = -1e9  # when it last had our statuses, as it answered
         self.failing = ""
         self.incarnation = ""
         self.since = -1e9  # when that was first heard of
         self.number = -1  # of the newest heartbeat taken in
-        self.seen = -1  # the revision that its copy covers
+        self.revision = -1  # the revision that its copy covers
 
     @property
-    def heard_at(self) -> float:
+    def last_heartbeat_at(self) -> float:
         """A question sent at this time was answered."""
         return -1e9 if self.answer is None else self.answer.asked_at
 
@@ -44,5 +44,5 @@
             self.since = trio.current_time()
         elif heartbeat.number <= self.number:
             return False
-        self.number, self.seen = heartbeat.number, heartbeat.seen
+        self.number, self.revision = heartbeat.number, heartbeat.revision
         return True
--- a/pitchtally/observability/decision_log.py
+++ b/pitchtally/observability/decision_log.py
@@ -56,7 +56,7 @@
     """What the controller knows at a moment, and since when."""
 
     copy_revision: int
-    cancellations_known_at: float  # steady clock, seconds
+    cancellations_verified_at: float  # steady clock, seconds
     leader: str | None  # as far as the copy shows
     leader_token: int
 
@@ -88,7 +88,7 @@
             f"about={about}",
             f"copy={evidence.copy_revision}",
             f"confirmed_here={reason.read is not None}",
-            f"evidence_age={trio.current_time() - evidence.cancellations_known_at:.3f}",
+            f"evidence_age={trio.current_time() - evidence.cancellations_verified_at:.3f}",
         ]
         if read is not None:
             fields.append(
@@ -109,7 +109,7 @@
         new = {name: total - self._told.get(name, 0) for name, total in totals.items()}
         self._told = totals
         counts = " ".join(f"{name}={count}" for name, count in sorted(new.items()) if count)
-        age = trio.current_time() - evidence.cancellations_known_at
+        age = trio.current_time() - evidence.cancellations_verified_at
         return (
             f"leader={evidence.leader} token={evidence.leader_token} "
             f"copy={evidence.copy_revision} evidence_age={age:.1f} {counts}"
--- a/pitchtally/scheduling/allocations.py
+++ b/pitchtally/scheduling/allocations.py
@@ -9,7 +9,7 @@
 from ..jobs.resources import Resources, resource_request
 from ..protocol import cloud_api, user_api
 from .capacity import RANK
-from .lower_price_capacity import GroupRooms, TaskRoom
+from .lower_price_capacity import GroupCapacity, TaskCapacity
 
 # Machines: a group wholly taken by services still has a queue, if an endless one.
 LEAST_WIDTH = 0.05
@@ -77,7 +77,7 @@
         self.bound = 1e9  # seconds from release, see `PriorityOrder.bound`
         self.aged = False  # has waited too long for its first start, or the next
         self.groups: dict[MachineGroupKey, bool] = {}  # machines that the job allows
-        self.room_in: dict[MachineGroupKey, TaskRoom] = {}  # renewed with each survey
+        self.capacity_in: dict[MachineGroupKey, TaskCapacity] = {}  # renewed with each survey
         self.pending = PendingTasks()
         self.placed: dict[int, Placement] = {}
         self.ranges: list[tuple[int, int]] = []
@@ -135,8 +135,8 @@
     queue promise the same, since any of them takes the next task.
     """
 
-    def __init__(self, kind: cloud_api.MachineType) -> None:
-        self.kind = kind
+    def __init__(self, machine_type: cloud_api.MachineType) -> None:
+        self.machine_type = machine_type
         self.machines: list[Machine] = []
         self.work: dict[str, float] = {}  # job -> machine-seconds running and queued
         self.ranks: dict[str, int] = {}
@@ -154,7 +154,7 @@
 
     def __init__(self) -> None:
         self.loaded = False
-        self.settled = False
+        self.reconciled = False
         self.blocked: set[str] = set()  # jobs whose tasks an unheard machine may hold
         self.allocations: dict[str, ShardAllocation] = {}
         self.gangs: dict[str, ShardAllocation] = {}  # those of them that are gangs
@@ -166,7 +166,7 @@
         ] = {}  # machine_group -> (when, its level)
         self.queues: dict[MachineGroupKey, dict[str, int]] = {}  # like machines -> job -> tasks
         self.machine_groups: dict[MachineGroupKey, MachineGroup] = {}
-        self.rooms: dict[MachineGroupKey, GroupRooms] = {}  # as of the last survey
+        self.capacities: dict[MachineGroupKey, GroupCapacity] = {}  # as of the last survey
         self.running: list[int] = [0] * len(user_api.RANKS)  # tasks on machines, by rank
         self.ready: set[str] = set()  # gangs over several shards that have their room here
         self.early: list[Placement] = []  # seen on machines before the shard settled
--- a/pitchtally/scheduling/capacity.py
+++ b/pitchtally/scheduling/capacity.py
@@ -30,16 +30,16 @@
 
 
 def allows_machine_type(
-    spec: user_api.JobSpec, kind: cloud_api.MachineType, zone: str, spot: bool
+    spec: user_api.JobSpec, machine_type: cloud_api.MachineType, zone: str, spot: bool
 ) -> bool:
     """Whether a job allows machines of this type, zone and kind, and fits on one."""
-    if spec.types is not None and kind.name not in spec.types:
+    if spec.types is not None and machine_type.name not in spec.types:
         return False
     if spec.zone is not None and spec.zone != zone:
         return False
     if spot and not spec.spot:
         return False
-    return fits(resource_request(spec), capacity_of(kind))
+    return fits(resource_request(spec), capacity_of(machine_type))
 
 
 def allows_machine(job: Job, type_: str, zone: str, spot: bool) -> bool:
@@ -74,10 +74,10 @@
 
 
 def plan_gang(
-    rooms: dict[tuple[int, str], int], tasks: int, *, one_zone: bool, spread: bool
+    capacities: dict[tuple[int, str], int], tasks: int, *, one_zone: bool, spread: bool
 ) -> dict[tuple[int, str], int] | None:
     """Share a gang out over (part, zone) rooms, widest first; None if it doesn't fit."""
-    zones = sorted({zone for _, zone in rooms})
+    zones = sorted({zone for _, zone in capacities})
     choices = [[zone] for zone in zones] if one_zone else [zones]
     limit = (tasks + 1) // 2 if spread and tasks > 1 else tasks
     best: dict[tuple[int, str], int] | None = None
@@ -85,8 +85,8 @@
         left = tasks
         inside = dict.fromkeys(choice, limit)
         plan: dict[tuple[int, str], int] = {}
-        for (shard, zone), room in sorted(rooms.items(), key=lambda r: -r[1]):
-            n = min(room, left, inside.get(zone, 0))
+        for (shard, zone), available in sorted(capacities.items(), key=lambda r: -r[1]):
+            n = min(available, left, inside.get(zone, 0))
             if n:
                 plan[(shard, zone)] = n
                 left -= n
--- a/pitchtally/scheduling/gang_planner.py
+++ b/pitchtally/scheduling/gang_planner.py
@@ -65,8 +65,8 @@
         if job is not None and self.scheduler.priorities.late(job) and self._may_keep(job.id, now):
             sources.append(CapacitySource.KEPT)
         for source in sources:
-            rooms = self.free_capacity(spec, source)
-            found = plan_gang(rooms, spec.tasks, one_zone=spec.one_zone, spread=spec.spread)
+            capacities = self.free_capacity(spec, source)
+            found = plan_gang(capacities, spec.tasks, one_zone=spec.one_zone, spread=spec.spread)
             if found is None:
                 continue
             for key, count in found.items():
@@ -106,10 +106,10 @@
         need be; None if none has, so that the replicas go wherever there is some."""
         now = trio.current_time()
         for source in (CapacitySource.FREE, CapacitySource.YIELDING):
-            rooms = self.free_capacity(spec, source)
+            capacities = self.free_capacity(spec, source)
             rows = []
             for shard in shards:
-                here = {key: count for key, count in rooms.items() if key[0] == shard}
+                here = {key: count for key, count in capacities.items() if key[0] == shard}
                 found = plan_gang(here, spec.tasks, one_zone=spec.one_zone, spread=spec.spread)
                 if found is not None:
                     rows.append((-sum(here.values()), shard, found))
@@ -147,17 +147,17 @@
         resources = resource_request(spec)
         limit = trio.current_time() - self.policy.heartbeat_interval * 3
         self.booked = [row for row in self.booked if row[0] > limit]
-        rooms: dict[tuple[int, str], int] = {}
+        capacities: dict[tuple[int, str], int] = {}
         for status in self.scheduler.statuses.newest.values():
             for zone, count in self._free_capacity_in(status, spec, source).items():
-                rooms[(status.shard, zone)] = count
+                capacities[(status.shard, zone)] = count
         for _, key, (a, b, c), count in self.booked:
-            if key in rooms:
+            if key in capacities:
                 share = max(
                     (x / y for x, y in zip((a, b, c), resources, strict=True) if y), default=0
                 )
-                rooms[key] = max(0, rooms[key] - math.ceil(count * min(1.0, share)))
-        return rooms
+                capacities[key] = max(0, capacities[key] - math.ceil(count * min(1.0, share)))
+        return capacities
 
     def _free_capacity_in(
         self, status: ShardStatus, spec: user_api.JobSpec, source: CapacitySource
@@ -174,22 +174,22 @@
             return found
         found = known[key] = {}
         for (type_, zone, spot), machines in self.scheduler.statuses.groups_of(status).items():
-            kind = self.types().get(type_)
-            if kind is None or not allows_machine_type(spec, kind, zone, spot):
+            machine_type = self.types().get(type_)
+            if machine_type is None or not allows_machine_type(spec, machine_type, zone, spot):
                 continue
             total = 0
             for machine in machines:
                 if machine.flag:
                     continue
-                room = machine.free
+                available = machine.free
                 if source is CapacitySource.KEPT and machine.name not in status.kept:
-                    room = capacity_of(kind)
+                    available = capacity_of(machine_type)
                 elif source in BY_PREEMPTION and machine.name not in status.kept:
-                    room = room.plus(machine.yielding)
+                    available = available.plus(machine.yielding)
                     if source is CapacitySource.OVER_GUARANTEE:
-                        room = room.plus(machine.over)
-                if fits(resources, room):
-                    total += count_fitting(resources, room)
+                        available = available.plus(machine.over)
+                if fits(resources, available):
+                    total += count_fitting(resources, available)
             if total:
                 found[zone] = found.get(zone, 0) + total
         return found
@@ -271,24 +271,24 @@
         if spec.zone is not None:
             return spec.zone
         shards = {p for _, _, p in ranges}
-        rooms: dict[str, tuple[float, float]] = {}
+        capacities: dict[str, tuple[float, float]] = {}
         for status in self.scheduler.statuses.newest.values():
             if shards and status.shard not in shards:
                 continue
             for machine in status.machines:
-                kind = self.types().get(machine.type)
-                if kind is None or machine.flag not in UP_FLAGS | {MachineFlag.NEW}:
+                machine_type = self.types().get(machine.type)
+                if machine_type is None or machine.flag not in UP_FLAGS | {MachineFlag.NEW}:
                     continue
-                if not allows_machine_type(spec, kind, machine.zone, machine.spot):
+                if not allows_machine_type(spec, machine_type, machine.zone, machine.spot):
                     continue
-                now, ever = rooms.get(machine.zone, (0.0, 0.0))
-                rooms[machine.zone] = (
+                now, ever = capacities.get(machine.zone, (0.0, 0.0))
+                capacities[machine.zone] = (
                     now + count_fitting(resource_request(spec), machine.free),
-                    ever + count_fitting(resource_request(spec), capacity_of(kind)),
+                    ever + count_fitting(resource_request(spec), capacity_of(machine_type)),
                 )
         wanted = spec.tasks if spec.kind == user_api.GANG else 1
         best = max(
-            rooms.items(),
+            capacities.items(),
             default=None,
             key=lambda r: (r[1][0] >= wanted, r[1][1] >= wanted, r[1][0], r[1][1]),
         )
--- a/pitchtally/scheduling/gangs.py
+++ b/pitchtally/scheduling/gangs.py
@@ -121,7 +121,7 @@
             return None
         machines = []
         for machine in self.agents.of_shard(shard):
-            if not machine.usable or machine.resting_until >= now:
+            if not machine.usable or machine.quarantined_until >= now:
                 continue
             if machine.reserved and machine.reserved[0] != job.id and machine.reserved[1] >= now:
                 continue
@@ -154,10 +154,12 @@
 
     def _waste(self, resources: Resources, machine: Machine) -> float:
         """What the task would leave unused that others may need: cards most of all."""
-        kind = machine.kind
-        assert kind is not None
-        price = (kind.spot_price or kind.price) if machine.spot else kind.price
-        return price * (1.0 if kind.gpus and not resources[1] else 0.0)
+        machine_type = machine.machine_type
+        assert machine_type is not None
+        price = (
+            (machine_type.spot_price or machine_type.price) if machine.spot else machine_type.price
+        )
+        return price * (1.0 if machine_type.gpus and not resources[1] else 0.0)
 
     def reserve(self, shard: int) -> None:
         """Keep the machines that soonest have room free for a gang that waits.
@@ -168,7 +170,9 @@
         """
         work = self.scheduler.shards.work[shard]
         now = trio.current_time()
-        machines = [m for m in self.agents.of_shard(shard) if m.usable and m.resting_until < now]
+        machines = [
+            m for m in self.agents.of_shard(shard) if m.usable and m.quarantined_until < now
+        ]
         kept = {m.reserved[0] for m in machines if m.reserved and m.reserved[1] >= now}
         held = [h for id in kept if (h := work.allocations.get(id)) is not None]
         wide = any(h.gang and h.spec.tasks > 1 for h in held)
@@ -230,8 +234,8 @@
 
     def _room_at(self, machine: Machine, resources: Resources, now: float) -> float | None:
         """Seconds until a machine has room for a need if nothing more starts there."""
-        room = machine.free()
-        if fits(resources, room):
+        available = machine.free()
+        if fits(resources, available):
             return 0.0
         ends = []
         for placement in machine.placements.values():
@@ -242,8 +246,8 @@
                 (max(1.0, self.scheduler.estimates.task(placement.spec) - ran), placement.resources)
             )
         for end, resources_freed in sorted(ends):
-            room = room.plus(resources_freed)
-            if fits(resources, room):
+            available = available.plus(resources_freed)
+            if fits(resources, available):
                 return end
         return None
 
@@ -259,7 +263,7 @@
         """Whole jobs that can't start here go back to the leader, for a fresh look."""
         for shard, work in list(self.scheduler.shards.work.items()):
             token = self.membership.token(shard)
-            if not work.settled or token is None:
+            if not work.reconciled or token is None:
                 continue
             for allocation in list(work.allocations.values()):
                 job = allocation.job
@@ -342,9 +346,9 @@
                 zone=job.record.zone if goes_on(job, rest) else None,
             )
         except StoreUnavailable as error:
-            await self.scheduler.settle_job(error, job, version, shard, token)
+            await self.scheduler.resolve_job_outcome(error, job, version, shard, token)
         finally:
             allocation.moving = False
             if job.open:
-                self.scheduler.shards.hold(job, shard)
+                self.scheduler.shards.update_allocation(job, shard)
                 allocation.rebuild()
--- a/pitchtally/scheduling/lower_price_capacity.py
+++ b/pitchtally/scheduling/lower_price_capacity.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True)
-class TaskRoom:
+class TaskCapacity:
     """How many tasks of a job a group of like machines takes."""
 
     on_busy: int = 0
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class GroupRooms:
+class GroupCapacity:
     """What is free on each machine of a group that takes work."""
 
     busy: list[Resources] = field(default_factory=list)
@@ -43,32 +43,32 @@
         a, b, c = self.largest
         self.largest = Resources(max(a, free[0]), max(b, free[1]), max(c, free[2]))
 
-    def for_tasks(self, resources: Resources, most: int) -> TaskRoom:
+    def for_tasks(self, resources: Resources, most: int) -> TaskCapacity:
         """Room for tasks of this need, counted up to `most` of each kind."""
         if not fits(resources, self.largest):
-            return TaskRoom()
-        return TaskRoom(_count(resources, self.busy, most), _count(resources, self.idle, most))
+            return TaskCapacity()
+        return TaskCapacity(_count(resources, self.busy, most), _count(resources, self.idle, most))
 
 
-def _count(resources: Resources, rooms: list[Resources], most: int) -> int:
+def _count(resources: Resources, capacities: list[Resources], most: int) -> int:
     found = 0
-    for room in rooms:
-        if fits(resources, room):
-            found += count_fitting(resources, room)
+    for available in capacities:
+        if fits(resources, available):
+            found += count_fitting(resources, available)
             if found >= most:
                 break
     return found
 
 
-def list_rooms(
+def list_capacities(
     machines: Iterable[Machine], now: float, longest_silence: float
-) -> dict[MachineGroupKey, GroupRooms]:
+) -> dict[MachineGroupKey, GroupCapacity]:
     """The rooms of machines that take work and report, by group."""
-    found: dict[MachineGroupKey, GroupRooms] = {}
+    found: dict[MachineGroupKey, GroupCapacity] = {}
     for machine in machines:
         if machine.reserved is not None and machine.reserved[1] >= now:
             continue
-        if now - machine.heard_at > longest_silence:
+        if now - machine.last_heartbeat_at > longest_silence:
             continue
-        found.setdefault(machine.group, GroupRooms()).add(machine)
+        found.setdefault(machine.group, GroupCapacity()).add(machine)
     return found
--- a/pitchtally/scheduling/placer.py
+++ b/pitchtally/scheduling/placer.py
@@ -13,7 +13,7 @@
 from . import stretch
 from .allocations import MachineGroup, ShardAllocation, ShardState
 from .component import SchedulerComponent
-from .lower_price_capacity import TaskRoom, list_rooms
+from .lower_price_capacity import TaskCapacity, list_capacities
 
 log = logging.getLogger("placing")
 
@@ -29,12 +29,12 @@
 class Placer(SchedulerComponent):
     """Within a shard: tasks allotted to queues, started on machines, moved off in time."""
 
-    def work(self, spec: user_api.JobSpec, kind: cloud_api.MachineType) -> float:
+    def work(self, spec: user_api.JobSpec, machine_type: cloud_api.MachineType) -> float:
         """a: machine-seconds of one task there, its part of the image's fetch included."""
         seconds = self.scheduler.estimates.task(spec)
         if spec.image:
-            seconds += spec.image_gb / max(kind.fetch_rate, 1e-3) / max(1, spec.tasks)
-        return seconds * dominant_share(resource_request(spec), kind)
+            seconds += spec.image_gb / max(machine_type.fetch_rate, 1e-3) / max(1, spec.tasks)
+        return seconds * dominant_share(resource_request(spec), machine_type)
 
     def survey(self, shard: int) -> None:
         """What the machines of a shard hold, by groups of like machines.
@@ -50,7 +50,7 @@
         for machine in self.agents.of_shard(shard):
             self._add_to_group(work, machine, now)
         usable = (m for group in work.machine_groups.values() for m in group.machines)
-        work.rooms = list_rooms(usable, now, self.report_s * LONGEST_SILENCE_REPORTS)
+        work.capacities = list_capacities(usable, now, self.report_s * LONGEST_SILENCE_REPORTS)
         self._add_loads(work, shard, left, now)
         for group in [g for g in work.queues if g not in work.machine_groups]:
             del work.queues[group]
@@ -66,7 +66,7 @@
         least = (math.inf, math.inf)
         for id, allocation in work.allocations.items():
             self.scheduler.priorities.renew(allocation)
-            self.scheduler.shards.weigh(allocation)
+            self.scheduler.shards.score(allocation)
             left[id] = self.scheduler.estimates.task(allocation.spec)
             if allocation.pending.count and not allocation.gang:
                 least = (
@@ -80,14 +80,14 @@
         usable = machine.usable
         if not usable:
             for placement in list(machine.placements.values()):
-                if not placement.sent_seq and not placement.seen:
+                if not placement.start_seq and not placement.seen:
                     # Chosen before the machine fell out of use: it is nowhere yet.
                     self.agents.stop(placement, 0.0)
-        if not usable or machine.resting_until >= now or machine.kind is None:
+        if not usable or machine.quarantined_until >= now or machine.machine_type is None:
             return
         machine_group = work.machine_groups.get(machine.group)
         if machine_group is None:
-            machine_group = work.machine_groups[machine.group] = MachineGroup(machine.kind)
+            machine_group = work.machine_groups[machine.group] = MachineGroup(machine.machine_type)
         machine_group.machines.append(machine)
 
     def _add_loads(self, work: ShardState, shard: int, left: dict[str, float], now: float) -> None:
@@ -100,7 +100,7 @@
                     continue
                 # What stands on machines out of use is in it: they are few, and their
                 # tasks will want room again.
-                share = dominant_share(load.resources, machine_group.kind)
+                share = dominant_share(load.resources, machine_group.machine_type)
                 if work.allocations[id].service:
                     machine_group.held += load.count * share
                     continue
@@ -120,7 +120,7 @@
 
     def _queued(self, work: ShardState, group: MachineGroupKey, id: str, count: int) -> None:
         machine_group, allocation = work.machine_groups[group], work.allocations[id]
-        amount = count * self.work(allocation.spec, machine_group.kind)
+        amount = count * self.work(allocation.spec, machine_group.machine_type)
         machine_group.work[id] = machine_group.work.get(id, 0.0) + amount
         machine_group.ranks[id] = allocation.rank
 
@@ -166,7 +166,9 @@
             if not able:
                 continue
             queues = [self.queue(work, machine_group, allocation.rank) for _, machine_group in able]
-            costs = [self.work(allocation.spec, machine_group.kind) for _, machine_group in able]
+            costs = [
+                self.work(allocation.spec, machine_group.machine_type) for _, machine_group in able
+            ]
             like = [machine_group.width for _, machine_group in able]
 
             found = self._least_counts(
@@ -211,42 +213,42 @@
                 low = middle + 1
         return counts(self.scheduler.stretches[low])
 
-    def fill(self, machine: Machine) -> list[Placement]:
+    def schedule_on(self, machine: Machine) -> list[Placement]:
         """The starts for a machine that has just reported."""
         now = trio.current_time()
         work = self.scheduler.shards.work.get(machine.shard)
         if work is None or not work.loaded:
             return []
-        if machine.resting_until < now:
+        if machine.quarantined_until < now:
             self.scheduler.gangs.start(work, machine.shard)
             self._start_arrays(work, machine, now)
         return [
             p
             for p in machine.placements.values()
-            if not p.sent_seq and not p.seen and p.grace is None
+            if not p.start_seq and not p.seen and p.grace is None
         ]
 
     def _start_arrays(self, work: ShardState, machine: Machine, now: float) -> None:
-        room = machine.free()
-        if room[0] + 1e-6 < work.least[0] or room[2] + 1e-6 < work.least[1]:
+        available = machine.free()
+        if available[0] + 1e-6 < work.least[0] or available[2] + 1e-6 < work.least[1]:
             return
-        if min(room[0], room[2]) <= 1e-6:
+        if min(available[0], available[2]) <= 1e-6:
             return
-        for id in self._startable(work, machine, room, now):
+        for id in self._startable(work, machine, available, now):
             allocation = work.allocations[id]
-            count = self._most_to_start(work, allocation, machine, room, now)
+            count = self._most_to_start(work, allocation, machine, available, now)
             resources = allocation.resources
             for _ in range(count):
                 self.place(
                     allocation, allocation.pending.pop(), machine, self.attempt(machine.shard)
                 )
-                room = room.minus(resources)
+                available = available.minus(resources)
                 self._take_from_queue(work, machine.group, id)
             if count > 0:
                 self._has_started(allocation, machine, count)
 
     def _startable(
-        self, work: ShardState, machine: Machine, room: Resources, now: float
+        self, work: ShardState, machine: Machine, available: Resources, now: float
     ) -> list[str]:
         """Arrays of which a task could start on the machine, in the order of starts."""
         kept = self._kept_for(work, machine, now)
@@ -257,7 +259,7 @@
         for id, allocation in work.allocations.items():
             if not allocation.pending.count or allocation.gang:
                 continue
-            if not fits(allocation.resources, room) or not self.scheduler.shards.ready(
+            if not fits(allocation.resources, available) or not self.scheduler.shards.ready(
                 work, id, allocation, now
             ):
                 continue
@@ -267,8 +269,8 @@
                 continue
             spec = allocation.spec
             rank, over, due = self.scheduler.priorities.key(allocation, level)
-            if spec.image and spec.image not in machine.images and machine.kind is not None:
-                due += spec.image_gb / max(machine.kind.fetch_rate, 1e-3)
+            if spec.image and spec.image not in machine.images and machine.machine_type is not None:
+                due += spec.image_gb / max(machine.machine_type.fetch_rate, 1e-3)
             rows.append((rank, over, due, not own.get(id, 0), id))
         return [row[-1] for row in sorted(rows)]
 
@@ -288,12 +290,12 @@
         work: ShardState,
         allocation: ShardAllocation,
         machine: Machine,
-        room: Resources,
+        available: Resources,
         now: float,
     ) -> int:
         """How many tasks of an array may start on a machine with this room."""
         spec = allocation.spec
-        limit = min(count_fitting(allocation.resources, room), allocation.pending.count)
+        limit = min(count_fitting(allocation.resources, available), allocation.pending.count)
         if limit:
             limit = min(limit, self.scheduler.quotas.tasks_within_limit(machine.shard, spec))
         if limit and not allocation.aged:
@@ -310,9 +312,9 @@
         return limit
 
     def _has_started(self, allocation: ShardAllocation, machine: Machine, count: int) -> None:
-        room = allocation.room_in.get(machine.group)
-        if room is not None:
-            room.take(count)
+        available = allocation.capacity_in.get(machine.group)
+        if available is not None:
+            available.take(count)
         if allocation.aged:
             allocation.aged = False  # it has begun: others' turn
             if machine.reserved and machine.reserved[0] == allocation.job.id:
@@ -330,7 +332,7 @@
         if self.report_s > self.policy.defer_share * self.scheduler.priorities.slack(spec):
             return 0  # even one report's wait is dear to this class
         cost = self.cost(spec, machine)
-        room = 0
+        available = 0
         for group, machine_group in work.machine_groups.items():
             theirs = self.cost(spec, machine_group.machines[0])
             cheaper = theirs < cost * CHEAPER
@@ -340,21 +342,21 @@
             if not cheaper and not alike:
                 continue
             found = self._room_in(work, allocation, group)
-            room += found.on_busy + (found.on_idle if cheaper else 0)
-        return room
+            available += found.on_busy + (found.on_idle if cheaper else 0)
+        return available
 
     def _room_in(
         self, work: ShardState, allocation: ShardAllocation, group: MachineGroupKey
-    ) -> TaskRoom:
+    ) -> TaskCapacity:
         """Tasks of a job that a group takes, as of the last survey and its own starts since."""
-        found = allocation.room_in.get(group)
+        found = allocation.capacity_in.get(group)
         if found is None:
-            rooms = work.rooms.get(group)
-            if rooms is None or not self._group_ok(work, allocation, group):
-                found = TaskRoom()
+            capacities = work.capacities.get(group)
+            if capacities is None or not self._group_ok(work, allocation, group):
+                found = TaskCapacity()
             else:
-                found = rooms.for_tasks(allocation.resources, allocation.pending.count)
-            allocation.room_in[group] = found
+                found = capacities.for_tasks(allocation.resources, allocation.pending.count)
+            allocation.capacity_in[group] = found
         return found
 
     def _group_ok(
@@ -366,11 +368,13 @@
 
     def cost(self, spec: user_api.JobSpec, machine: Machine) -> float:
         """What an hour of one such task takes of a machine, in money."""
-        kind = machine.kind
-        if kind is None:
+        machine_type = machine.machine_type
+        if machine_type is None:
             return math.inf
-        price = (kind.spot_price or kind.price) if machine.spot else kind.price
-        return price * dominant_share(resource_request(spec), kind)
+        price = (
+            (machine_type.spot_price or machine_type.price) if machine.spot else machine_type.price
+        )
+        return price * dominant_share(resource_request(spec), machine_type)
 
     def _take_from_queue(self, work: ShardState, group: MachineGroupKey, id: str) -> None:
         """From the machines' own queue, else from the longest of the shard that has it."""
@@ -397,7 +401,7 @@
         self.agents.placements.put(placement)
         allocation.since = trio.current_time()
 
-    def vacate(self, shard: int) -> None:
+    def evict_draining(self, shard: int) -> None:
         """Before the cloud takes a machine back, save and move what won't finish there.
 
         Left alone, the tasks would lose their progress and then wait for the machine's
--- a/pitchtally/scheduling/preemption.py
+++ b/pitchtally/scheduling/preemption.py
@@ -134,7 +134,7 @@
         out = []
         wanted = allocation.pending.count
         for machine in self.agents.of_shard(shard):
-            if not machine.usable or machine.resting_until >= now:
+            if not machine.usable or machine.quarantined_until >= now:
                 continue
             if (
                 machine.reserved
@@ -142,9 +142,9 @@
                 and (machine.reserved[1] >= now)
             ):
                 continue
-            room = machine.free()
+            available = machine.free()
             if not under:
-                if not fits(resources, room.plus(machine.yields(rank))):
+                if not fits(resources, available.plus(machine.yields(rank))):
                     continue
             if not self.scheduler.shards.machine_ok(allocation, machine):
                 continue
@@ -167,14 +167,14 @@
             cost = 0.0
             for _ in range(wanted):
                 victims = []
-                while candidates and not fits(resources, room):
+                while candidates and not fits(resources, available):
                     loss, _, placement = candidates.pop()
-                    room = room.plus(placement.resources)
+                    available = available.plus(placement.resources)
                     cost += loss
                     victims.append(placement)
-                if not fits(resources, room):
+                if not fits(resources, available):
                     break
-                room = room.minus(resources)
+                available = available.minus(resources)
                 out.append(Step(cost, machine.name, machine, victims))
         return sorted(out, key=lambda step: step[:2])
 
--- a/pitchtally/scheduling/priorities.py
+++ b/pitchtally/scheduling/priorities.py
@@ -104,7 +104,7 @@
         allocation.size = self.size(allocation.spec)
         allocation.late = self.lateness(job, allocation.release)
         allocation.bound = self.bound(allocation.spec)
-        allocation.room_in.clear()
+        allocation.capacity_in.clear()
         begun = bool(allocation.placed) or job.finished.count > 0 or bool(job.local)
         waits_since = allocation.since if begun else min(allocation.since, allocation.release)
         allocation.aged = now - waits_since > self.policy.start_within * AGED
--- a/pitchtally/scheduling/quotas.py
+++ b/pitchtally/scheduling/quotas.py
@@ -97,7 +97,7 @@
         midst of a failover must not stop every limited team on the machines that answer.
         """
         machines_with_orphans = self.agents.machines_with_orphans.get(shard)
-        if self.scheduler.shards.work[shard].settled and not machines_with_orphans:
+        if self.scheduler.shards.work[shard].reconciled and not machines_with_orphans:
             return (0.0, 0.0)
         hold = self.agents.shards.get(shard)
         if hold is None or not hold.loaded:
@@ -106,9 +106,9 @@
         # Nor is anything known of what tasks of jobs that are over take until they end.
         for name in hold.suspects | (machines_with_orphans or set()):
             machine = self.agents.machines.get(name)
-            if machine is None or machine.kind is None:
+            if machine is None or machine.machine_type is None:
                 return None
-            cpus, gpus = cpus + machine.kind.cpus, gpus + machine.kind.gpus
+            cpus, gpus = cpus + machine.machine_type.cpus, gpus + machine.machine_type.gpus
         return (cpus, gpus)
 
     def held_back(self, spec: user_api.JobSpec) -> bool:
@@ -151,8 +151,8 @@
                     continue
                 spec = job.spec
                 share, used = self.share(status.shard, spec.team), status.use.get(spec.team, (0, 0))
-                room = Resources(share[0] - used[0], share[1] - used[1], 0.0)
-                if count_fitting(limited_request(spec), room) >= count:
+                available = Resources(share[0] - used[0], share[1] - used[1], 0.0)
+                if count_fitting(limited_request(spec), available) >= count:
                     continue
                 if (
                     id not in status.reserved
@@ -196,12 +196,12 @@
         if team is None:
             return 0
         cpus, gpus = self.use_anywhere(spec.team)
-        room = Resources(
+        available = Resources(
             team.cpus_max - cpus if team.cpus_max else math.inf,
             team.gpus_max - gpus if team.gpus_max else math.inf,
             0.0,
         )
-        return count_fitting(limited_request(spec), room)
+        return count_fitting(limited_request(spec), available)
 
     def beyond(self, spec: user_api.JobSpec, other: str) -> bool:
         """Whether a team other than ours runs more than its own guarantee."""
@@ -223,7 +223,7 @@
         """
         for shard, work in list(self.scheduler.shards.work.items()):
             token = self.membership.token(shard)
-            if not work.settled or token is None or shard not in self.scheduler.statuses.newest:
+            if not work.reconciled or token is None or shard not in self.scheduler.statuses.newest:
                 continue
             for team in self.known.values():
                 if not self.limited(team.name) or (shard, team.name) in self.giving:
@@ -321,7 +321,7 @@
         try:
             await self.job_index.commit(conditions, [change], priority=rate_limits.ACCEPTANCES)
         except StoreUnavailable as error:
-            await self.scheduler.settle(
+            await self.scheduler.resolve_outcome(
                 error,
                 change.key,
                 versions,
--- a/pitchtally/scheduling/rebalancing.py
+++ b/pitchtally/scheduling/rebalancing.py
@@ -48,7 +48,7 @@
         self.balanced_at = now
         for shard, work in list(self.scheduler.shards.work.items()):
             status = self.scheduler.statuses.newest.get(shard)
-            if status is None or not work.settled:
+            if status is None or not work.reconciled:
                 continue
             rows = [
                 (h.rank, h.release, id)
@@ -90,7 +90,7 @@
         if here >= waiting:
             return
         for other in self.scheduler.statuses.newest.values():
-            if other.shard == allocation.shard or not other.settled:
+            if other.shard == allocation.shard or not other.reconciled:
                 continue
             count = self._movable(spec, other, waiting - here)
             if count > 0:
@@ -108,7 +108,7 @@
         there -= sum(n for j, n in other.waiting.items() if self.share_ratio(spec, j) > 0)
         return min(there, most)
 
-    async def even_out(self) -> None:
+    async def balance_queues(self) -> None:
         """Even out the shards' queues: the design's idle machines, one level up.
 
         A part splits a job by what its machines promised on arrival; boots, lost
@@ -120,7 +120,7 @@
         self.evened_out_at = now
         for shard, work in list(self.scheduler.shards.work.items()):
             status = self.scheduler.statuses.newest.get(shard)
-            if status is None or not work.settled:
+            if status is None or not work.reconciled:
                 continue
             rows = [
                 (h.pending.count * h.job.spec.cpus, id)
@@ -139,7 +139,7 @@
                 for other in self.scheduler.statuses.newest.values():
                     if (
                         other.shard == shard
-                        or not other.settled
+                        or not other.reconciled
                         or other.shard in self.scheduler.statuses.unreported
                     ):
                         continue
@@ -166,14 +166,14 @@
         cards = spec.gpus > 0
         width = 0.0
         for (type_, zone, spot), machines in self.scheduler.statuses.groups_of(status).items():
-            kind = self.types().get(type_)
-            if kind is not None and allows_machine_type(spec, kind, zone, spot):
+            machine_type = self.types().get(type_)
+            if machine_type is not None and allows_machine_type(spec, machine_type, zone, spot):
                 able = sum(
                     1
                     for machine in machines
                     if machine.flag in (MachineFlag.USABLE, MachineFlag.NEW)
                 )
-                width += able * (kind.gpus if cards else kind.cpus)
+                width += able * (machine_type.gpus if cards else machine_type.cpus)
         if not width:
             return math.inf, 0.0
         work = 0.0
@@ -222,7 +222,7 @@
                 log.debug("gave job=%s tasks=%d from=%d to=%d", job.id, count, shard, to)
         except StoreUnavailable as error:
             # Perhaps it was done, or will be: until it can't, the tasks start nowhere.
-            await self.scheduler.settle_job(error, job, version, shard, token)
+            await self.scheduler.resolve_job_outcome(error, job, version, shard, token)
         finally:
             allocation.moving = False
             if job.open:
--- a/pitchtally/scheduling/scheduler.py
+++ b/pitchtally/scheduling/scheduler.py
@@ -115,10 +115,12 @@
         sent = sum(w for _, w in self.statuses.unreported.get(status.shard, ()))
         for name, cells in status.matrix:
             type_, zone, spot = name.split("|")
-            kind = self.types().get(type_)
-            if kind is None or not allows_machine_type(spec, kind, zone, spot == "1"):
+            machine_type = self.types().get(type_)
+            if machine_type is None or not allows_machine_type(
+                spec, machine_type, zone, spot == "1"
+            ):
                 continue
-            task = self.estimates.task(spec) * dominant_share(resource_request(spec), kind)
+            task = self.estimates.task(spec) * dominant_share(resource_request(spec), machine_type)
             total += cells[level][size][stretch.sample_above(self.tasks, task)]
             if sent and total:
                 total -= math.ceil(sent / max(task, 1e-6))
@@ -281,7 +283,7 @@
         record: JobRecord = msgspec.structs.replace(job.current_record(), **changes)
         return self.layout.encode_record(job, record)
 
-    async def settle(
+    async def resolve_outcome(
         self,
         error: StoreUnavailable,
         key: str,
@@ -313,12 +315,14 @@
                 log.debug("settling %s: %s", key, again)
                 await trio.sleep(0.3)
 
-    async def settle_job(
+    async def resolve_job_outcome(
         self, error: StoreUnavailable, job: Job, version: int, shard: int, token: int
     ) -> None:
         """`settle` for a job's record."""
         key = keys.job(job.id)
-        await self.settle(error, key, {key: version}, shard, token, lambda: self._record_with(job))
+        await self.resolve_outcome(
+            error, key, {key: version}, shard, token, lambda: self._record_with(job)
+        )
 
     async def run(self) -> None:
         """Allot, preempt, refresh statuses; what is due is worked out anew each time."""
@@ -344,7 +348,7 @@
         self.placer.survey(shard)
         self.placer.allot(shard)
         self.gangs.start(work, shard)
-        self.placer.vacate(shard)
+        self.placer.evict_draining(shard)
         self.preemption.preempt(shard)
         self.gangs.reserve(shard)
 
@@ -360,7 +364,7 @@
                 await self.gangs.give_back()
                 await self.service_migration.move()
                 await self.rebalancing.rebalance()
-                await self.rebalancing.even_out()
+                await self.rebalancing.balance_queues()
                 await self.quotas.move_shares()
                 spent = min(self.report_s, trio.current_time() - at)
             except StoreUnavailable as error:
--- a/pitchtally/scheduling/service_migration.py
+++ b/pitchtally/scheduling/service_migration.py
@@ -44,7 +44,7 @@
         """Look at every such service of our shards that lacks replicas."""
         for shard, work in list(self.scheduler.shards.work.items()):
             token = self.membership.token(shard)
-            if not work.settled or token is None:
+            if not work.reconciled or token is None:
                 continue
             for allocation in list(work.allocations.values()):
                 if self._lacks_room(work, allocation):
@@ -83,12 +83,12 @@
         spec, missing = allocation.spec, allocation.pending.count
         zone = allocation.job.record.zone if allocation.one_zone else None
         for source in (CapacitySource.FREE, CapacitySource.YIELDING):
-            rooms = self.scheduler.gang_planner.free_capacity(spec, source)
+            capacities = self.scheduler.gang_planner.free_capacity(spec, source)
             for shard in shards:
                 left = self._zone_limits(allocation, capped=capped)
                 here = {
-                    (p, z): min(room, left.get(z, missing))
-                    for (p, z), room in rooms.items()
+                    (p, z): min(available, left.get(z, missing))
+                    for (p, z), available in capacities.items()
                     if p == shard and zone in (None, z)
                 }
                 found = plan_gang(here, missing, one_zone=False, spread=False)
--- a/pitchtally/scheduling/shard_statuses.py
+++ b/pitchtally/scheduling/shard_statuses.py
@@ -108,7 +108,7 @@
         waiting, queued = self._waiting(work)
         hold = self.agents.shards.get(shard)
         status = ShardStatus(
-            shard, hold.token if hold else 0, work.settled, queued, 0.0, machines, [], waiting
+            shard, hold.token if hold else 0, work.reconciled, queued, 0.0, machines, [], waiting
         )
         status.running = self.agents.placements.running(shard)
         status.kept = [machine.name for machine in kept]
@@ -194,11 +194,13 @@
 
     def _log_load(self, shard: int, work: ShardState) -> None:
         """What is free and what waits, for people who read logs."""
-        rooms: dict[str, list[float]] = {}
+        capacities: dict[str, list[float]] = {}
         for machine in self.agents.of_shard(shard):
-            if machine.usable and machine.kind is not None:
+            if machine.usable and machine.machine_type is not None:
                 free = machine.free()
-                row = rooms.setdefault(f"{machine.type}{'*' if machine.spot else ''}", [0, 0, 0])
+                row = capacities.setdefault(
+                    f"{machine.type}{'*' if machine.spot else ''}", [0, 0, 0]
+                )
                 row[0] += 1
                 row[1] += free[0]
                 row[2] += free[1]
@@ -207,7 +209,9 @@
             if allocation.pending.count:
                 name = allocation.job.spec.job_class
                 waits[name] = waits.get(name, 0) + allocation.pending.count
-        text = " ".join(f"{t}:{int(n)}x,{c:g}c,{g:g}g" for t, (n, c, g) in sorted(rooms.items()))
+        text = " ".join(
+            f"{t}:{int(n)}x,{c:g}c,{g:g}g" for t, (n, c, g) in sorted(capacities.items())
+        )
         quotas = self.scheduler.quotas
         teams = " ".join(
             f"{t}:{quotas.use(shard, t)[0]:g}/{quotas.share(shard, t)[0]:g}"
@@ -225,7 +229,7 @@
             return MachineFlag.UNRESPONSIVE
         if machine.drain:
             return MachineFlag.DRAINING
-        if machine.resting_until >= now:
+        if machine.quarantined_until >= now:
             return MachineFlag.UNHEALTHY
         return MachineFlag.USABLE if machine.usable else MachineFlag.NEW
 
@@ -244,17 +248,17 @@
             return found
         total = 0
         for (type_, zone, spot), machines in self.groups_of(status).items():
-            kind = self.types().get(type_)
-            if kind is None or not allows_machine_type(spec, kind, zone, spot):
+            machine_type = self.types().get(type_)
+            if machine_type is None or not allows_machine_type(spec, machine_type, zone, spot):
                 continue
             for machine in machines:
                 if machine.flag:
                     continue
-                room = machine.free
+                available = machine.free
                 if yielding:
-                    room = room.plus(machine.yielding)
-                if fits(resources, room):
-                    total += count_fitting(resources, room)
+                    available = available.plus(machine.yielding)
+                if fits(resources, available):
+                    total += count_fitting(resources, available)
         known[key] = total
         return total
 
--- a/pitchtally/scheduling/shards.py
+++ b/pitchtally/scheduling/shards.py
@@ -36,16 +36,16 @@
         self.recent: dict[tuple[object, ...], user_api.JobSpec] = {}  # a job of each shape seen
         self.job_index.watchers.append(self.on_job)
 
-    def gained(self, shard: int) -> None:
+    def shard_acquired(self, shard: int) -> None:
         """A part is ours; nothing of it is known yet."""
         self.work[shard] = ShardState()
 
-    def lost(self, shard: int) -> None:
+    def shard_lost(self, shard: int) -> None:
         """A part is another node's."""
         self.work.pop(shard, None)
         self.scheduler.statuses.newest.pop(shard, None)
 
-    def loaded(self, shard: int) -> None:
+    def shard_loaded(self, shard: int) -> None:
         """Our copy covers the failover: jobs wait until their machines are heard."""
         work = self.work[shard]
         work.loaded = True
@@ -53,8 +53,8 @@
             if any(p == shard for _, _, p in job.record.ranges):
                 work.blocked.add(job.id)
 
-    def unblock(self, shard: int, unheard: Collection[MachineGroupKey]) -> None:
-        """Jobs of which no machine still unheard can hold a task go on at once.
+    def suspects_changed(self, shard: int, groups: Collection[MachineGroupKey]) -> None:
+        """Jobs of which no machine still groups can hold a task go on at once.
 
         A job's tasks are only ever on machines that it allows, so one silent machine need
         not hold up jobs that could never have run there.
@@ -62,10 +62,10 @@
         work = self.work[shard]
         for id in sorted(work.blocked):
             job = self.job_index.jobs[id]
-            if any(self._may_be_on(job, group) for group in unheard):
+            if any(self._may_be_on(job, group) for group in groups):
                 continue
             work.blocked.discard(id)
-            self.hold(job, shard)
+            self.update_allocation(job, shard)
             self._attach_early(work, id)
             log.debug("job unblocked part=%d job=%s", shard, id)
         self.scheduler.wake.set()
@@ -73,13 +73,13 @@
     def _may_be_on(self, job: Job, group: MachineGroupKey) -> bool:
         """Whether a task of the job may be on machines of a group that an earlier leader used."""
         type_, zone, spot = group
-        kind = self.types().get(type_)
+        machine_type = self.types().get(type_)
         spec = job.spec
-        if kind is None:
+        if machine_type is None:
             return True
         if spec.one_zone and spec.tasks > 1 and job.record.zone not in (None, zone):
             return False
-        return allows_machine_type(spec, kind, zone, spot)
+        return allows_machine_type(spec, machine_type, zone, spot)
 
     def _attach_early(self, work: ShardState, id: str) -> None:
         """Tasks of a job that were seen on machines before it was known whether all are."""
@@ -90,13 +90,13 @@
             if placement.machine.placements.get(placement.key) is placement:
                 self._attach(placement)
 
-    def settled(self, shard: int) -> None:
+    def shard_reconciled(self, shard: int) -> None:
         """Every machine that may hold a task is heard or gone: the rest is nowhere."""
         work = self.work[shard]
-        work.settled = True
+        work.reconciled = True
         work.blocked.clear()
         for job in list(self.job_index.open.values()):
-            self.hold(job, shard)
+            self.update_allocation(job, shard)
         for id in sorted({placement.job.id for placement in work.early}):
             self._attach_early(work, id)
         self.scheduler.wake.set()
@@ -123,10 +123,10 @@
         if old is not None and old.ranges == job.record.ranges and old.zone == job.record.zone:
             return
         for shard in list(self.work):
-            self.hold(job, shard)
+            self.update_allocation(job, shard)
         self.scheduler.wake.set()
 
-    def hold(self, job: Job, shard: int) -> None:
+    def update_allocation(self, job: Job, shard: int) -> None:
         """Bring what a shard holds of a job up to its record."""
         work = self.work.get(shard)
         if work is None:
@@ -173,7 +173,7 @@
         allocation.rebuild()
         return True
 
-    def done(self, placement: Placement, ran: float) -> None:
+    def task_completed(self, placement: Placement, ran: float) -> None:
         """A task of ours is done."""
         self.scheduler.estimates.learn(placement.spec, ran)
         work = self.work.get(placement.machine.shard)
@@ -183,7 +183,7 @@
         )
         self.job_index.task_done(placement.job, placement.task, urgent=last)
 
-    def gone(self, placement: Placement, cause: str) -> None:
+    def placement_lost(self, placement: Placement, cause: str) -> None:
         """The task is on no machine any more: finished, or to be started again."""
         work = self.work.get(placement.machine.shard)
         if work is None:
@@ -236,7 +236,7 @@
         allocation.failed_on[machine.name] = now
         if placement.run_at is not None:
             allocation.failed_after = max(allocation.failed_after, now - placement.run_at)
-        self.weigh(allocation)
+        self.score(allocation)
         if not allocation.faulty:
             self._judge(work, machine)
             return
@@ -255,10 +255,10 @@
             other = self.agents.machines.get(name)
             if other is not None and other.failed_jobs.pop(allocation.job.id, None) is not None:
                 other.failed_at.pop(allocation.job.id, None)
-                if other.resting_until > now and not self._is_unhealthy(work, other):
-                    other.resting_until = -1e9
+                if other.quarantined_until > now and not self._is_unhealthy(work, other):
+                    other.quarantined_until = -1e9
 
-    def weigh(self, allocation: ShardAllocation) -> None:
+    def score(self, allocation: ShardAllocation) -> None:
         """Work out a job's standing anew; one that has never failed needs none."""
         if allocation.failed_on:
             allocation.faulty = self._standing(allocation) is Standing.FAULTY
@@ -292,25 +292,25 @@
         if not self._is_unhealthy(work, machine):
             return
         now = trio.current_time()
-        if machine.resting_until < now:
+        if machine.quarantined_until < now:
             log.info(
                 "machine rests machine=%s jobs=%d errors=%d",
                 machine.name,
                 len(machine.failed_jobs),
                 machine.errors,
             )
-        machine.resting_until = now + self.policy.unhealthy_rest
+        machine.quarantined_until = now + self.policy.unhealthy_rest
 
     def machine_ok(self, allocation: ShardAllocation, machine: Machine) -> bool:
         """Whether a machine may run tasks of the job."""
-        kind = machine.kind
-        if kind is None:
+        machine_type = machine.machine_type
+        if machine_type is None:
             return False
         ok = allocation.groups.get(machine.group)
         if ok is None:
             ok = allocation.groups[machine.group] = allows_machine(
                 allocation.job, machine.type, machine.zone, machine.spot
-            ) and fits(allocation.resources, capacity_of(kind))
+            ) and fits(allocation.resources, capacity_of(machine_type))
         if not ok:
             return False
         # Also what the machine remembers: a holding is new after a move or a failover. Not
--- a/pitchtally/state_store/rate_limits.py
+++ b/pitchtally/state_store/rate_limits.py
@@ -34,26 +34,26 @@
         self._queue: list[tuple[int, int, float]] = []
         self._count = 0
 
-    def _fill(self) -> None:
+    def _refill(self) -> None:
         now = self._now()
         self._level = min(self.burst, self._level + (now - self._at) * self.rate)
         self._at = now
 
     def resize(self, rate: float) -> None:
         """Change the rate, and the burst with it."""
-        self._fill()
+        self._refill()
         self.rate = rate
         self.burst = max(1.0, rate)
 
     def wait_for(self, priority: int, amount: float = 1.0) -> float:
         """Seconds until a call of this priority could go, as things stand."""
-        self._fill()
+        self._refill()
         ahead = sum(size for rank, _, size in self._queue if rank <= priority)
         return max(0.0, (ahead + amount - self._level) / self.rate)
 
     def penalty(self, amount: float = 1.0) -> None:
         """The other side says we are over its limit: it knows better, so go short."""
-        self._fill()
+        self._refill()
         self._level = min(self._level, 0.0) - amount
 
     async def take(self, priority: int, amount: float = 1.0) -> None:
@@ -63,7 +63,7 @@
         heapq.heappush(self._queue, entry)
         try:
             while True:
-                self._fill()
+                self._refill()
                 # More than a burst at once is paid for afterwards: those that follow wait
                 # longer. Worked out anew each time: a bucket that was made smaller under a
                 # waiter would never hold what it waited for, and nobody else would go.
--- a/pitchtally/state_store/replica.py
+++ b/pitchtally/state_store/replica.py
@@ -72,7 +72,7 @@
                     # A record that one slice cannot read must not stop the copy.
                     log.exception("listener fault key=%s", key)
 
-    def own(self, changes: Sequence[Write], revision: int) -> None:
+    def apply_own_commit(self, changes: Sequence[Write], revision: int) -> None:
         """Apply a commit of ours; one the watch has passed already is left alone."""
         if revision <= self.revision:
             return
--- a/tests/agents/test_machine_records.py
+++ b/tests/agents/test_machine_records.py
@@ -91,7 +91,7 @@
         await fleet.write()
         assert fleet.chunk(fleet.first) != fleet.chunk(fleet.second)
         fleet.first.address = "10.1.0.1:9001"  # its chunk is written anew
-        state_store.during_commit = lambda: fleet.agents.forget_machine(fleet.second.name)
+        state_store.during_commit = lambda: fleet.agents.machine_terminated(fleet.second.name)
         await fleet.write()
         await fleet.write()
         assert state_store.written[f"pt/fleet/0/{fleet.chunk(fleet.second)}"] == {}
@@ -103,7 +103,7 @@
     """A chunk that changes was written with what had been there before the wait."""
 
     async def body(fleet: Autoscaler, state_store: StateStoreClient) -> None:
-        state_store.during_commit = lambda: fleet.agents.forget_machine(fleet.second.name)
+        state_store.during_commit = lambda: fleet.agents.machine_terminated(fleet.second.name)
         await fleet.write()
         assert fleet.second.name not in state_store.written.get(
             f"pt/fleet/0/{fleet.chunk(fleet.second)}", {}
--- a/tests/cluster/test_cancellation_freshness.py
+++ b/tests/cluster/test_cancellation_freshness.py
@@ -16,11 +16,11 @@
 from pitchtally.config.settings import AgentTimes
 from pitchtally.membership.freshness import (
     NEVER,
-    Answer,
-    cancellations_known,
+    PeerReply,
+    cancellations_verified,
+    leadership_verified,
     lease_over,
-    longest_evidence_age,
-    owned_alone,
+    max_freshness_bound,
 )
 from pitchtally.membership.messages import Cancellation, PeerHeartbeat
 from pitchtally.membership.peer import Peer
@@ -206,8 +206,8 @@
     run(monkeypatch, day, times=SITES[site])
 
 
-A = Answer
-KNOWN: list[tuple[float, list[Answer | None], float, float]] = [
+A = PeerReply
+KNOWN: list[tuple[float, list[PeerReply | None], float, float]] = [
     # our copy as of, answers of the peers, cancellations known up to, owned alone up to
     (90.0, [None, None], 90.0, 90.0),
     (10.0, [A(99.0, 1.0, 1.0), None], 98.0, 10.0),  # a peer that reads the store passes on
@@ -222,9 +222,11 @@
 
 
 @pytest.mark.parametrize(("copy_at", "answers", "known", "owned"), KNOWN)
-def test_evidence(copy_at: float, answers: list[Answer | None], known: float, owned: float) -> None:
-    assert cancellations_known(copy_at, answers) == known
-    assert owned_alone(copy_at, answers) == owned
+def test_evidence(
+    copy_at: float, answers: list[PeerReply | None], known: float, owned: float
+) -> None:
+    assert cancellations_verified(copy_at, answers) == known
+    assert leadership_verified(copy_at, answers) == owned
 
 
 @pytest.mark.parametrize("site", SITES)
@@ -232,14 +234,14 @@
     """The edge: an leader that learns nothing renews last at c + blind, the agent counts on."""
     times = SITES[site]
     rules = policy.parse("", settings("n0", times))
-    assert 0 < rules.max_evidence_age < longest_evidence_age(times)
-    assert lease_over(longest_evidence_age(times), times) <= times.cancel_s
-    assert lease_over(longest_evidence_age(times) * 1.01, times) > times.cancel_s
-    at_most = f"max_evidence_age = {longest_evidence_age(times):.6f} - 0.001"
+    assert 0 < rules.max_evidence_age < max_freshness_bound(times)
+    assert lease_over(max_freshness_bound(times), times) <= times.cancel_s
+    assert lease_over(max_freshness_bound(times) * 1.01, times) > times.cancel_s
+    at_most = f"max_evidence_age = {max_freshness_bound(times):.6f} - 0.001"
     assert policy.parse(at_most, settings("n0", times)).max_evidence_age > rules.max_evidence_age
     with pytest.raises(policy.PolicyError, match=r"p.conf:1: max_evidence_age: .* beyond cancel_s"):
         policy.parse(
-            f"max_evidence_age = {longest_evidence_age(times) + 0.01}",
+            f"max_evidence_age = {max_freshness_bound(times) + 0.01}",
             settings("n0", times),
             "p.conf",
         )
--- a/tests/cluster/test_failover.py
+++ b/tests/cluster/test_failover.py
@@ -86,7 +86,7 @@
         for controller in sim.controllers.values():
             for shard, work in controller.scheduler.shards.work.items():
                 ranges = controller.job_index.jobs[bound["ref"]].record.ranges
-                if work.settled or not any(p == shard for _, _, p in ranges):
+                if work.reconciled or not any(p == shard for _, _, p in ranges):
                     continue
                 waiting += 1
                 assert bound["ref"] not in work.blocked
--- a/tests/cluster/test_large_fleet.py
+++ b/tests/cluster/test_large_fleet.py
@@ -119,8 +119,8 @@
             ranges = [TaskRange(0, spec.tasks, 0)]
             record = JobRecord(OPEN, spec.tasks, spec, time.time(), ranges)
             leader.replica.learn(f"pt/jobs/{spec.id}", encode(record), 60 + number)
-        leader.scheduler.shards.loaded(0)
-        leader.scheduler.shards.settled(0)
+        leader.scheduler.shards.shard_loaded(0)
+        leader.scheduler.shards.shard_reconciled(0)
         leader.scheduler.placer.survey(0)
         leader.scheduler.placer.allot(0)
         calls = _calls(leader.agents.serve(_heartbeat(dear, 2, 50, [], type="dear")))
@@ -450,7 +450,7 @@
         leader = _leader_of(0, 50)
         hold = leader.agents.shards[0]
         leader.scheduler.quotas.known = {"free": Team("free", cpus_max=600.0)}  # 200 for each shard
-        leader.scheduler.shards.work[0].settled = not unheard
+        leader.scheduler.shards.work[0].reconciled = not unheard
         for number in range(unheard):
             name = f"i-{number * 3:06d}"
             leader.agents._add(name, "big", "a", False, "10.1.0.1:9000")
@@ -458,7 +458,7 @@
         assert leader.scheduler.quotas.tasks_within_limit(0, _spec(1, 2.0)) == room
         leader.autoscaler.types.clear()
         for machine in leader.agents.machines.values():
-            machine.kind = None
+            machine.machine_type = None
         assert leader.scheduler.quotas.tasks_within_limit(0, _spec(1, 2.0)) == (
             0 if unheard else room
         )
@@ -498,7 +498,7 @@
         await sim.submit(job(2, rows=1, cut="gang", vcpus=8.0, oneZone=True))
         faults: list[str] = []
         for controller in sim.controllers.values():
-            scheduler, hold = controller.scheduler, controller.scheduler.shards.hold
+            scheduler, hold = controller.scheduler, controller.scheduler.shards.update_allocation
 
             async def lost(
                 *args: Any,
@@ -518,7 +518,7 @@
                     faults.append(each.id)
 
             monkeypatch.setattr(scheduler, "write_ranges", lost)
-            monkeypatch.setattr(scheduler.shards, "hold", watched)
+            monkeypatch.setattr(scheduler.shards, "update_allocation", watched)
         await trio.sleep(30)
         assert not faults
 
--- a/tests/cluster/test_partitions.py
+++ b/tests/cluster/test_partitions.py
@@ -11,7 +11,7 @@
 
 from pitchtally.config import policy
 from pitchtally.http import Request
-from pitchtally.membership.freshness import Answer
+from pitchtally.membership.freshness import PeerReply
 from pitchtally.membership.membership import Membership, shard_of
 from pitchtally.state_store.client import StateStoreClient
 from pitchtally.state_store.replica import Replica
@@ -35,15 +35,15 @@
         sim.network.deafen(name)
         orders: list[Any] = []
         leader = _leader(sim, name)
-        fill = leader.agents.fill
+        schedule_on = leader.scheduler.placer.schedule_on
 
         def watched(machine: Any) -> Any:
-            starts = fill(machine)
+            starts = schedule_on(machine)
             if machine.name == name:
                 orders.append((trio.current_time(), len(starts)))
             return starts
 
-        leader.agents.fill = watched
+        leader.scheduler.placer.schedule_on = watched
         at = trio.current_time()
         await trio.sleep(40)
         # Reports come every five seconds or more; the second unacknowledged answer tells.
@@ -67,7 +67,7 @@
         await trio.sleep(0.2)
         sim.start("n0")
         await trio.sleep(25)
-        assert _leader(sim, name).agents.shards[0].settled
+        assert _leader(sim, name).agents.shards[0].reconciled
         await sim.finish(["wk-000001"], limit=60)
 
     run(monkeypatch, day)
@@ -86,7 +86,7 @@
                 node,
                 machine.epoch,
                 machine.seq,
-                machine.heard_at,
+                machine.last_heartbeat_at,
                 machine.answered_at,
                 machine.lost,
                 machine.confirmed,
@@ -195,8 +195,8 @@
         membership.replica.verified_at = fresh
         for peer, heard in zip(membership.peers.values(), peers, strict=True):
             if heard is not None:
-                peer.answer = Answer(heard[0], heard[1], heard[1])
-        assert membership.cancellations_known_at() == sure
+                peer.answer = PeerReply(heard[0], heard[1], heard[1])
+        assert membership.cancellations_verified_at() == sure
 
     trio.run(main, clock=trio.testing.MockClock())
 
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -107,7 +107,7 @@
     config = settings("n1", state=state)
     found = Controller(config, policy.parse("", config))
     if gate_open:
-        found.replica.own([Write(KEY, found.gate.record())], 9)
+        found.replica.apply_own_commit([Write(KEY, found.gate.record())], 9)
     return found
 
 
@@ -242,7 +242,7 @@
     def body() -> None:
         upgraded = _controller()
         later = _controller(StateLimits(value_kb=1, txn_ops=4))
-        later.replica.own([Write(KEY, upgraded.gate.record())], 9)
+        later.replica.apply_own_commit([Write(KEY, upgraded.gate.record())], 9)
         bits = TaskBitmap(8)
         bits.add(1)
         _learn(later, {"fin/wk-000001/1": json.dumps(bits.text())})
@@ -343,7 +343,7 @@
         _learn(controller, {"shares": '{"tight":[[2.0,0.0],[2.0,0.0],[2.0,0.0]]}'})
         change = shares.change("tight", [(1.0, 0.0), (3.0, 0.0), (2.0, 0.0)])
         assert set(shares.versions("tight")) == {"pt/shares", change.key}
-        controller.replica.own([change], 30)
+        controller.replica.apply_own_commit([change], 30)
         late = b'{"tight":[[0.0,0.0],[2.0,0.0],[4.0,0.0]],"free":[[1,1],[1,1],[1,1]]}'
         controller.replica.learn("pt/shares", late, 40)
         assert shares.of("tight") == [(1.0, 0.0), (3.0, 0.0), (2.0, 0.0)]
--- a/tests/scheduling/test_failure_attribution.py
+++ b/tests/scheduling/test_failure_attribution.py
@@ -60,7 +60,7 @@
         await sim.finish([spec["ref"] for spec in good], limit=60)
         await trio.sleep(60)
         assert not any(
-            m.resting_until > 0
+            m.quarantined_until > 0
             for c in sim.controllers.values()
             for m in c.agents.machines.values()
         )
--- a/tests/state_store/test_size_limits.py
+++ b/tests/state_store/test_size_limits.py
@@ -52,7 +52,7 @@
     """A new job as the store then holds it."""
     first, record = controller.layout.lay_out_new("wk-1", JobRecord(OPEN, tasks, spec, 1.7e9))
     value = encode(record)
-    controller.replica.own([*first, Write("pt/jobs/wk-1", value)], 10**6)
+    controller.replica.apply_own_commit([*first, Write("pt/jobs/wk-1", value)], 10**6)
     return controller.job_index.jobs["wk-1"]
 
 
@@ -90,7 +90,7 @@
         return 1
     writes = [*first, Write(f"pt/jobs/{spec.id}", encode(record))]
     for number, change in enumerate(reversed(writes)):  # a full read may find the record first
-        controller.replica.own([change], 10**6 + number)
+        controller.replica.apply_own_commit([change], 10**6 + number)
     assert controller.job_index.jobs[spec.id].spec == spec
     return max(len(change.value or b"") for change in writes)
 
@@ -100,7 +100,7 @@
     changes = []
     for number, team in enumerate(teams):
         change = controller.scheduler.quotas.shares.change(team, [(12345.678, 12345.678)] * 3)
-        controller.replica.own([change], 10**6 + number)
+        controller.replica.apply_own_commit([change], 10**6 + number)
         changes.append(change)
     assert all(controller.scheduler.quotas.shares.of(team) for team in teams)
     return max(len(change.value or b"") for change in changes)
@@ -110,7 +110,7 @@
     zones = [f"{LONG[:20]}{i}" for i in range(8)]
     found = [cloud_api.MachineType(f"{LONG[:20]}{i}", 1.5, 2.5, zones=zones) for i in range(15)]
     changes = controller.autoscaler.catalog.lay_out(found)
-    controller.replica.own(changes, 10**6)
+    controller.replica.apply_own_commit(changes, 10**6)
     assert controller.autoscaler.types == {kind.name: kind for kind in found}
     return max(len(change.value or b"") for change in changes)
 
@@ -186,7 +186,7 @@
         config = settings("n0", state=state)
         controller = Controller(config, policy.parse("", config))
         if gate_open:
-            controller.replica.own([Write(KEY, controller.gate.record())], 10)
+            controller.replica.apply_own_commit([Write(KEY, controller.gate.record())], 10)
         assert controller.gate.open == gate_open
         body(controller)
 
