--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,18 +2,44 @@
 
 from __future__ import annotations
 
-from pathlib import Path
+from collections.abc import Callable
 
 import pytest
 
-from .production import HistoryMissing, Production
+from .production import VERSION_0_6_0, EarlierVersion, HistoryMissing, commit_in_production
+
+LoadVersion = Callable[[str], EarlierVersion]
+
+
+@pytest.fixture(scope="session")
+def load_version(tmp_path_factory: pytest.TempPathFactory) -> LoadVersion:
+    """Load a released version by its commit, each once in a session."""
+    loaded: dict[str, EarlierVersion] = {}
+
+    def load(commit: str) -> EarlierVersion:
+        if commit not in loaded:
+            try:
+                loaded[commit] = EarlierVersion(commit, tmp_path_factory.mktemp("version"))
+            except HistoryMissing as error:
+                pytest.fail(str(error))
+        return loaded[commit]
+
+    return load
 
 
 @pytest.fixture(scope="session")
-def production(tmp_path_factory: pytest.TempPathFactory) -> Production:
-    """The version in production, from this repository's history."""
-    folder: Path = tmp_path_factory.mktemp("production")
-    try:
-        return Production(folder)
-    except HistoryMissing as error:
-        pytest.fail(str(error))
+def production(load_version: LoadVersion) -> EarlierVersion:
+    """The version in production, 0.5.1, which knows no feature gate."""
+    return load_version(commit_in_production())
+
+
+@pytest.fixture(scope="session")
+def version_0_6_0(load_version: LoadVersion) -> EarlierVersion:
+    """The first version with the feature gate."""
+    return load_version(VERSION_0_6_0)
+
+
+@pytest.fixture(scope="session", params=["0.5.1", "0.6.0"])
+def earlier(request: pytest.FixtureRequest, load_version: LoadVersion) -> EarlierVersion:
+    """Each of the released versions in turn."""
+    return load_version(commit_in_production() if request.param == "0.5.1" else VERSION_0_6_0)
--- a/tests/production.py
+++ b/tests/production.py
@@ -1,4 +1,4 @@
-"""The version in production, loaded from this repository's history beside the present one."""
+"""Released versions, loaded from this repository's history beside the present one."""
 
 from __future__ import annotations
 
@@ -21,48 +21,49 @@
 from standins.network import HERE, Network
 
 ROOT = Path(__file__).resolve().parent.parent
-PACKAGE = "pitchtally_production"
+VERSION_0_6_0 = "4dbc4a62bb9624fbab8370e0e8fe46c94eccac3e"
 
 
 class HistoryMissing(Exception):
-    """The commit in production isn't in this clone."""
+    """The commit of a released version isn't in this clone."""
 
 
-def commit() -> str:
+def commit_in_production() -> str:
     """The commit that `deploy/service.toml` names as the one in production."""
     return str(tomllib.loads((ROOT / "deploy" / "service.toml").read_text())["production"])
 
 
-def extract(folder: Path) -> None:
-    """Write the whole tree of the version in production into a folder; raises HistoryMissing."""
-    found = subprocess.run(["git", "archive", commit()], cwd=ROOT, capture_output=True)
+def extract(commit: str, folder: Path) -> None:
+    """Write the whole tree of a commit into a folder; raises HistoryMissing."""
+    found = subprocess.run(["git", "archive", commit], cwd=ROOT, capture_output=True)
     if found.returncode:
         raise HistoryMissing(
-            f"commit {commit()}, which deploy/service.toml names, isn't in this clone: fetch "
-            f"the whole history (git fetch --unshallow). {found.stderr.decode().strip()}"
+            f"commit {commit}, an earlier version that tests play, isn't in this clone: "
+            f"fetch the whole history (git fetch --unshallow). {found.stderr.decode().strip()}"
         )
     with tarfile.open(fileobj=io.BytesIO(found.stdout)) as archive:
         archive.extractall(folder)
 
 
-class Production:
-    """The modules of the version in production, under a package name of their own."""
+class EarlierVersion:
+    """The modules of a released version, under a package name of their own."""
 
-    def __init__(self, folder: Path):
-        extract(folder)
+    def __init__(self, commit: str, folder: Path):
+        extract(commit, folder)
+        self.package = f"pitchtally_{commit[:12]}"
         self.folder = folder / "pitchtally"
         init = self.folder / "__init__.py"
         spec = importlib.util.spec_from_file_location(
-            PACKAGE, init, submodule_search_locations=[str(self.folder)]
+            self.package, init, submodule_search_locations=[str(self.folder)]
         )
         assert spec is not None and spec.loader is not None
         package = importlib.util.module_from_spec(spec)
-        sys.modules[PACKAGE] = package
+        sys.modules[self.package] = package
         spec.loader.exec_module(package)
 
     def module(self, name: str) -> ModuleType:
         """One of its modules, such as `control.jobs`."""
-        return importlib.import_module(f"{PACKAGE}.{name}")
+        return importlib.import_module(f"{self.package}.{name}")
 
     def controller(self, settings: Settings, policy: str) -> Any:
         """A controller of that version; it ignores the settings that it doesn't know."""
--- a/tests/sim.py
+++ b/tests/sim.py
@@ -31,7 +31,7 @@
 from standins.state import State
 
 from .oracle import Oracle
-from .production import Production
+from .production import EarlierVersion
 
 NODES = ["n0", "n1", "n2"]
 TIMES = WorkerTimes(report_s=1.0, lease_s=10.0, gang_wait_s=12.0, gang_peer_s=3.0, cancel_s=25.0)
@@ -138,11 +138,11 @@
         self.network.hosts[("10.2.0.1", 2379)] = ("state", self.state.handle)
         self.network.hosts[("10.2.0.2", 8443)] = ("cloud", self.world.handle)
         self.scopes: dict[str, trio.CancelScope] = {}
-        self.controllers: dict[str, Any] = {}  # a Controller, or one in production
+        self.controllers: dict[str, Any] = {}  # a Controller, or an earlier version's
         self.nursery: trio.Nursery
         self.oracle = Oracle(self.world.rules)
         self.final = self.oracle.final
-        self.production: Production | None = None  # the version in production, if it is played
+        self.earlier: EarlierVersion | None = None  # an earlier version, if one is played
         self.old: set[str] = set()  # nodes that start with it
         self.looks_closely = False  # users ask everywhere at once after each change they see
         self.looked_at: set[tuple[str, str]] = set()
@@ -153,8 +153,8 @@
             self.scopes[name] = scope
             config = settings(name, self.times, self.teams, self.state_limits)
             controller: Any
-            if name in self.old and self.production is not None:
-                controller = self.production.controller(config, self.policy_text)
+            if name in self.old and self.earlier is not None:
+                controller = self.earlier.controller(config, self.policy_text)
             else:
                 controller = Controller(config, policy.parse(self.policy_text, config))
             self.controllers[name] = controller
@@ -286,25 +286,25 @@
     seed: int = 1,
     times: WorkerTimes = TIMES,
     teams: list[Team] | None = None,
-    production: Production | None = None,
+    earlier: EarlierVersion | None = None,
     state: StateLimits = STATE_LIMITS,
 ) -> Sim:
     """Run a scenario: `await body(sim)` with everything up.
 
-    With a version in `production`, all nodes start with that.
+    With an `earlier` version, all nodes start with that.
     """
     sim = Sim(seed, times, teams)
     sim.state_limits = state
-    sim.production = production
-    sim.old = set(NODES) if production is not None else set()
+    sim.earlier = earlier
+    sim.old = set(NODES) if earlier is not None else set()
 
     async def main() -> None:
         sim.network.install(monkeypatch)
         clock = types.SimpleNamespace(time=trio.current_time)
         monkeypatch.setattr(order, "time", clock)
         monkeypatch.setattr(api, "time", clock)
-        if production is not None:
-            production.install(monkeypatch, sim.network, clock)
+        if earlier is not None:
+            earlier.install(monkeypatch, sim.network, clock)
         async with trio.open_nursery() as nursery:
             sim.nursery = sim.network.nursery = sim.world.nursery = nursery
             nursery.start_soon(sim.state.run)
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -23,7 +23,7 @@
 from pitchtally.settings import NextStateLimits, StateLimits
 from pitchtally.store import Write
 
-from .production import Production
+from .production import EarlierVersion
 from .sim import job, sent, settings
 
 STATE = StateLimits(
@@ -120,10 +120,10 @@
     _run(body)
 
 
-def test_what_is_written_while_the_gate_is_closed_is_read_in_production(
-    production: Production,
+def test_what_is_written_while_the_gate_is_closed_is_read_by_earlier_versions(
+    earlier: EarlierVersion,
 ) -> None:
-    """Each record goes through the new version's types, is encoded by it, and read by 0.5.1."""
+    """Each record goes through the new version's types, is encoded by it, and read by theirs."""
 
     def body() -> None:
         new = _controller()
@@ -143,7 +143,7 @@
             or b"",
         }
         assert new.workers.records.chunk_of("i-000360") == 360 // 3 // 10
-        old = production.controller(settings("n2", state=STATE), "")
+        old = earlier.controller(settings("n2", state=STATE), "")
         _learn(old, {key: written[key] for key in RECORDS})
         _learn(old, {key: written[key] for key in written if key not in RECORDS})
         _check_what_is_known(old)
@@ -153,8 +153,8 @@
     _run(body)
 
 
-def test_messages_are_read_in_both_directions(production: Production) -> None:
-    theirs = production.module("control.messages")
+def test_messages_are_read_in_both_directions(earlier: EarlierVersion) -> None:
+    theirs = earlier.module("control.messages")
     spec = parse_job(json.dumps(sent(job(1))).encode())
     told = messages.Heartbeat(
         "n0",
@@ -184,7 +184,7 @@
 
 
 def test_the_version_in_production_moves_machines_before_it_empties_a_chunk(
-    production: Production,
+    production: EarlierVersion,
 ) -> None:
     """It reads chunks of any width, and its own come first in the order of its writes."""
 
@@ -201,6 +201,46 @@
     _run(body)
 
 
+def _write_in_present_format(writer: Any, task_ranges: list[Any]) -> dict[str, str | bytes]:
+    """What a controller of either version with an open gate makes of the records above."""
+    _learn(writer, RECORDS)
+    job_ = writer.job_store.jobs["wk-000001"]
+    before, record = writer.layout.convert(job_)
+    assert job_.record.ranges == task_ranges
+    writes = [*before, writer.split.teams.shares.change("tight", [(4.0, 0), (2.0, 0), (0, 0)])]
+    writes += writer.fleet.machine_types.lay_out(list(writer.fleet.types.values()))
+    return {
+        **RECORDS,
+        **{write.key.removeprefix("pt/"): write.value or b"" for write in writes},
+        "format": writer.gate.record(),
+        "nodes/n1": msgspec.json.encode(writer.members._own_node()),
+        "jobs/wk-000001": writer.layout.encode_record(job_, record),
+    }
+
+
+@pytest.mark.parametrize("new_writes", [True, False], ids=["new writes", "old writes"])
+def test_what_is_written_with_an_open_gate_is_read_in_both_directions(
+    new_writes: bool, version_0_6_0: EarlierVersion
+) -> None:
+    def body() -> None:
+        old = version_0_6_0.controller(settings("n1", state=STATE), "")
+        new = _controller()
+        writer, reader = (new, old) if new_writes else (old, new)
+        _learn(writer, {"format": writer.gate.record()})
+        assert writer.gate.open and not reader.gate.open
+        written = _write_in_present_format(writer, [(0, 4, 0), (4, 6, 1)])
+        assert written["jobs/wk-000001"] != RECORDS["jobs/wk-000001"]
+        _learn(reader, {key: written[key] for key in RECORDS})
+        _learn(reader, {key: written[key] for key in written if key not in RECORDS})
+        _check_what_is_known(reader)
+        assert reader.gate.open
+        assert reader.gate.legacy_chunk_tasks == LEGACY_CHUNK
+        told = reader.members.alive["n1"]
+        assert (told.incarnation, told.reads) == (writer.members.incarnation, FORMAT)
+
+    _run(body)
+
+
 # --- finished tasks ----------------------------------------------------------------------------
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""The version in production is replaced node by node while both serve: all rules hold."""
+"""Earlier versions are replaced node by node while both serve, and back: all rules hold."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from pitchtally.settings import NextStateLimits, StateLimits
 
 from .meetings import CANCELLED, IDS, JOBS, leader, restart, users
-from .production import Production
+from .production import EarlierVersion
 from .sim import NODES, TIMES, Sim, job, run
 from .test_services import BACK_WITHIN_S, service
 
@@ -40,12 +40,15 @@
     sim.state.limits.changes = ANNOUNCED.txn_ops or 0
 
 
-async def roll(sim: Sim, during: Trouble | None = None) -> None:
-    """Replace the nodes one by one; a trouble begins with the second."""
+async def roll(sim: Sim, during: Trouble | None = None, *, back: bool = False) -> None:
+    """Replace the nodes one by one, or put them back; a trouble begins with the second."""
     async with trio.open_nursery() as nursery:
         for number, name in enumerate(NODES):
             sim.kill(name)
-            sim.old.discard(name)
+            if back:
+                sim.old.add(name)
+            else:
+                sim.old.discard(name)
             if during is not None and number == 1:
                 nursery.start_soon(during, sim)
             await trio.sleep(1.0)
@@ -192,18 +195,18 @@
 def test_rules_hold_as_nodes_are_replaced(
     trouble: Trouble,
     lowered_after: float,
-    production: Production,
+    production: EarlierVersion,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def day(sim: Sim) -> None:
         await play_upgrade(sim, trouble, lowered_after)
 
-    run(monkeypatch, day, production=production, state=STATE)
+    run(monkeypatch, day, earlier=production, state=STATE)
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_rules_hold_on_random_days_of_an_upgrade(
-    seed: int, production: Production, monkeypatch: pytest.MonkeyPatch
+    seed: int, production: EarlierVersion, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Any two troubles at any distance, limits lowered at any moment after the last node."""
     luck = random.Random(500 + seed)
@@ -222,11 +225,11 @@
     async def day(sim: Sim) -> None:
         await play_upgrade(sim, both, lowered_after)
 
-    run(monkeypatch, day, 500 + seed, production=production, state=STATE)
+    run(monkeypatch, day, 500 + seed, earlier=production, state=STATE)
 
 
 def test_nothing_too_large_is_sent_once_the_gate_is_open(
-    production: Production, monkeypatch: pytest.MonkeyPatch
+    production: EarlierVersion, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """What the old layout had made larger is brought into the new one before it is written."""
 
@@ -243,11 +246,11 @@
         await sim.finish([spec["ref"] for spec in [*WIDE, *JOBS[:6]]], limit=180)
         assert sim.state.too_large == []
 
-    run(monkeypatch, day, production=production, state=STATE)
+    run(monkeypatch, day, earlier=production, state=STATE)
 
 
 def test_a_member_of_the_old_version_keeps_the_gate_closed(
-    production: Production, monkeypatch: pytest.MonkeyPatch
+    production: EarlierVersion, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Dead or alive: only what a living process of each member has told counts."""
 
@@ -276,4 +279,80 @@
             await sim.submit(spec)
         await sim.finish([spec["ref"] for spec in specs])
 
-    run(monkeypatch, day, production=production, state=STATE)
+    run(monkeypatch, day, earlier=production, state=STATE)
+
+
+# --- from 0.6.0 and back to it -----------------------------------------------------------------
+
+THERE_AND_BACK: list[Trouble] = [
+    nothing,
+    leaders_end,
+    messages_of_earlier_processes,
+    jobs_cancelled_and_machines_cut,
+]
+
+
+async def submit_between_versions(sim: Sim, specs: list[dict[str, Any]]) -> None:
+    """Jobs reach a cluster in which both versions serve."""
+    assert 0 < len(sim.old) < len(NODES)
+    for spec in specs:
+        sim.nursery.start_soon(sim.submit, spec)
+
+
+def versions_serving(sim: Sim) -> set[str]:
+    return {type(found).__module__.split(".")[0] for found in sim.controllers.values()}
+
+
+async def play_there_and_back(sim: Sim, trouble: Trouble) -> None:
+    """A day begun by 0.6.0, rolled forwards and back with a trouble each time."""
+    before, forwards, after, backwards = JOBS[:4], [*JOBS[4:8], *WIDE], JOBS[8:10], JOBS[10:]
+    first_versions = versions_serving(sim)
+    for spec in before:
+        await sim.submit(spec)
+    with trio.fail_after(10):
+        while KEY not in sim.state.items:
+            await trio.sleep(0.1)
+    gate_record = sim.state.items[KEY][0]
+    sim.nursery.start_soon(users, sim)
+    lower_limits(sim)
+    for back, during, then in ((False, forwards, after), (True, backwards, SERVICES)):
+
+        async def both(sim: Sim, specs: list[dict[str, Any]] = during) -> None:
+            await submit_between_versions(sim, specs)
+            assert len(versions_serving(sim)) == 2
+            await trouble(sim)
+
+        await roll(sim, both, back=back)
+        sim.network.heal()
+        for name in sorted(sim.network.dead):
+            sim.start(name)
+        await trio.sleep(1.0)
+        assert (versions_serving(sim) == first_versions) is back
+        for spec in then:
+            sim.nursery.start_soon(sim.submit, spec)
+        await trio.sleep(PAUSE_S)
+        sim.check()
+    for id in CANCELLED:
+        if id not in sim.oracle.asked_cancel:
+            sim.nursery.start_soon(sim.cancel, id)
+    ids = [*IDS, *(spec["ref"] for spec in WIDE)]
+    await sim.finish(ids)
+    assert not [id for id in ids if id not in sim.final]
+    assert [sim.final[id] for id in CANCELLED] == ["withdrawn"] * len(CANCELLED)
+    await sim.known([*ids, *(spec["ref"] for spec in SERVICES)], 20)
+    await trio.sleep(TIMES.cancel_s + 1)
+    sim.check()
+    # Its value only: each new leader of 0.6.0 writes the same record once more.
+    assert sim.state.items[KEY][0] == gate_record
+    assert sim.state.too_large == []
+    assert not [key for key in sim.state.items if key.startswith(("pt/done/", "pt/fin/"))]
+
+
+@pytest.mark.parametrize("trouble", THERE_AND_BACK, ids=lambda t: t.__name__)
+def test_rules_hold_as_nodes_are_replaced_and_put_back(
+    trouble: Trouble, version_0_6_0: EarlierVersion, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async def day(sim: Sim) -> None:
+        await play_there_and_back(sim, trouble)
+
+    run(monkeypatch, day, earlier=version_0_6_0, state=STATE)
--- a/tests/test_upgrade_processes.py
+++ b/tests/test_upgrade_processes.py
@@ -17,7 +17,7 @@
 
 from standins.__main__ import FIRST, NODES, STATE
 
-from .production import ROOT, Production
+from .production import ROOT, EarlierVersion
 from .sim import job, sent
 
 PATIENCE_S = 60.0
@@ -77,7 +77,7 @@
 
 
 @pytest.fixture
-def cluster(production: Production, tmp_path: Path) -> Iterator[Cluster]:
+def cluster(production: EarlierVersion, tmp_path: Path) -> Iterator[Cluster]:
     found = Cluster(tmp_path, production.folder.parent)
     try:
         wait_for("settings", (tmp_path / f"node-{NODES - 1}.toml").exists)
