--- a/pitchtally/agents/command_sender.py
+++ b/pitchtally/agents/command_sender.py
@@ -15,7 +15,8 @@
 from ..config.settings import host_port
 from ..http import Client, HttpError
 from ..protocol import agent_api
-from .machines import LedShard, Machine
+from .led_shard import LedShard
+from .machine import Machine
 
 if TYPE_CHECKING:
     from .manager import AgentManager
@@ -67,7 +68,7 @@
                             nursery.start_soon(self._tell, machine, led_shard, probes)
                 for machine in list(self.agents.machines.values()):
                     held = self.agents.shards.get(machine.shard)
-                    if machine.unresponsive and held is not None and probes.available_tokens:
+                    if machine.unreachable and held is not None and probes.available_tokens:
                         nursery.start_soon(self._tell, machine, held, probes)
                 for name in list(self.touched):
                     self.touched.discard(name)
@@ -111,7 +112,7 @@
                     return
                 self.agents.observe(heartbeat, led_shard, direct=True)
                 if response.status == 200:
-                    machine.unacknowledged = 0  # commands reach it after all
+                    machine.ineffective_responses = 0  # commands reach it after all
                     return
 
     async def run_reachability(self) -> None:
--- a/pitchtally/agents/listener.py
+++ b/pitchtally/agents/listener.py
@@ -9,7 +9,7 @@
 from collections.abc import Collection
 from typing import Protocol
 
-from .machines import Machine, MachineGroupKey, Placement
+from .machine import Machine, MachineGroupKey, Placement
 
 
 class AgentListener(Protocol):
--- a/pitchtally/agents/machine_records.py
+++ b/pitchtally/agents/machine_records.py
@@ -17,7 +17,7 @@
 from ..state_store import keys, rate_limits
 from ..state_store.client import Write
 from ..state_store.errors import InvalidTransaction, StoreUnavailable
-from .machines import LedShard
+from .led_shard import LedShard
 
 if TYPE_CHECKING:
     from .manager import AgentManager
--- a/pitchtally/agents/manager.py
+++ b/pitchtally/agents/manager.py
@@ -26,9 +26,10 @@
 from ..protocol import agent_api, cloud_api
 from ..state_store.replica import Replica
 from .command_sender import CommandSender
+from .led_shard import LedShard
 from .listener import AgentListener, NoListener, NoStarter, TaskStarter
+from .machine import MAX_INEFFECTIVE_RESPONSES, HeartbeatNumber, Machine, Placement, TaskExit
 from .machine_records import MachineRecords
-from .machines import MAX_UNACKNOWLEDGED, LedShard, Machine, Placement
 from .placements import Placements
 
 log = logging.getLogger("workers")
@@ -114,10 +115,10 @@
             if machine is None:
                 machine = self._add(name, type_, zone, spot, address)
                 machine.lost = True  # until heard
-                machine.last_heartbeat_at = machine.answered_at = led_shard.acquired_at
+                machine.last_heartbeat_at = machine.lease_renewed_at = led_shard.acquired_at
             machine.recorded = True
             if not machine.confirmed:
-                led_shard.suspect(machine)
+                led_shard.add_suspect(machine)
         self._listener.shard_loaded(led_shard.shard)
         if led_shard.suspects:
             self._listener.suspects_changed(led_shard.shard, led_shard.suspect_groups.keys())
@@ -181,7 +182,7 @@
         if heartbeat.machine in self.released:
             return Response(503, b"{}")
         known = self.machines.get(heartbeat.machine)
-        if known is not None and (heartbeat.epoch, heartbeat.seq) <= known.reported:
+        if known is not None and (heartbeat.epoch, heartbeat.seq) <= known.last_heartbeat:
             # Every report has its own number: this is a copy, and nobody waits for
             # its answer.
             return Response(503, b"{}")
@@ -193,14 +194,14 @@
             # more. With it, a direct answer overtook it: the agent counts its lease
             # from this report, which it sent before that answer.
             if known is not None:
-                known.answered_at = max(known.answered_at, known.last_heartbeat_at)
+                known.lease_renewed_at = max(known.lease_renewed_at, known.last_heartbeat_at)
             # The answer renews the lease, so it carries the stops for jobs that are over: of
             # those nothing is wanted, whichever attempt it is and however old the report.
             return Response(200, encode(agent_api.HeartbeatResponse(token, self._ends(heartbeat))))
-        machine.reported = (heartbeat.epoch, heartbeat.seq)
+        machine.last_heartbeat = HeartbeatNumber(heartbeat.epoch, heartbeat.seq)
         commands = self._commands(machine, heartbeat)
-        machine.asked = [o for o in commands if o.op != agent_api.STOP]
-        machine.answered_at = trio.current_time()
+        machine.awaited_commands = [o for o in commands if o.op != agent_api.STOP]
+        machine.lease_renewed_at = trio.current_time()
         return Response(200, encode(agent_api.HeartbeatResponse(token, commands)))
 
     def _check_acknowledged(self, machine: Machine, heartbeat: agent_api.AgentHeartbeat) -> None:
@@ -215,19 +216,19 @@
         unheard = False
         if heartbeat.epoch > machine.epoch:
             # Its lease ran out although we answered within it.
-            unheard = machine.confirmed and now - machine.answered_at < self.times.lease_s
-            machine.unacknowledged += int(unheard) * (MAX_UNACKNOWLEDGED - 1)
-        elif machine.asked:
+            unheard = machine.confirmed and now - machine.lease_renewed_at < self.times.lease_s
+            machine.ineffective_responses += int(unheard) * (MAX_INEFFECTIVE_RESPONSES - 1)
+        elif machine.awaited_commands:
             listed = {task.task: task.attempt for task in heartbeat.tasks}
             unheard = not any(
                 (listed.get(command.task) == command.attempt) == (command.op == agent_api.START)
-                for command in machine.asked
+                for command in machine.awaited_commands
             )
         else:
             return
-        machine.asked = []
-        machine.unacknowledged = machine.unacknowledged + 1 if unheard else 0
-        if machine.unacknowledged == MAX_UNACKNOWLEDGED:
+        machine.awaited_commands = []
+        machine.ineffective_responses = machine.ineffective_responses + 1 if unheard else 0
+        if machine.ineffective_responses == MAX_INEFFECTIVE_RESPONSES:
             log.info(
                 "answers don't reach machine=%s tasks=%d", machine.name, len(machine.placements)
             )
@@ -265,14 +266,14 @@
         if machine.lost:
             machine.lost = False
             machine.idle_since = now
-        if heartbeat.notice is not None and machine.notice_at is None:
+        if heartbeat.notice is not None and machine.preemption_at is None:
             log.info("notice machine=%s in=%.1f", machine.name, heartbeat.notice)
-        machine.notice_at = None if heartbeat.notice is None else now + heartbeat.notice
+        machine.preemption_at = None if heartbeat.notice is None else now + heartbeat.notice
         self._reconcile(machine, heartbeat, led_shard, direct)
         if not machine.confirmed:
             machine.confirmed = True
             # Until it saw our token, an earlier leader may have renewed its lease.
-            machine.idle_since = machine.answered_at = now
+            machine.idle_since = machine.lease_renewed_at = now
         self._clear_suspect(led_shard, machine)
         if not machine.recorded:
             self.records.wake.set()
@@ -306,7 +307,7 @@
         listed = {task.task: task for task in heartbeat.tasks}
         self._drop_missing(machine, heartbeat, listed, direct)
         machine.exits = {
-            k: v for k, v in machine.exits.items() if k in listed and listed[k].attempt == v[0]
+            k: v for k, v in machine.exits.items() if k in listed and listed[k].attempt == v.attempt
         }
         machine.orphans.clear()
         for key, task in listed.items():
@@ -331,9 +332,11 @@
             task = listed.get(key)
             if task is not None and task.attempt == placement.attempt:
                 continue
-            if not placement.start_seq and not placement.seen:
+            if not placement.start_heartbeat_seq and not placement.observed:
                 continue  # decided, not ordered yet
-            if not placement.seen and (direct or heartbeat.seq <= placement.start_seq):
+            if not placement.observed and (
+                direct or heartbeat.seq <= placement.start_heartbeat_seq
+            ):
                 # Only the next report settles whether a start arrived: a direct
                 # answer may have been made while our response was on its way.
                 continue
@@ -346,7 +349,7 @@
             return  # our copy may be behind: the result stays where it is
         if key in machine.exits:
             return
-        machine.exits[key] = (task.attempt, task.cause or "")
+        machine.exits[key] = TaskExit(task.attempt, task.cause or "")
         if placement is None:
             placement = self._adopted(machine, key, task)
         self._ended(machine, placement, key, task)
@@ -365,14 +368,14 @@
                 return
             self.placements.put(placement)
             if not self._listener.adopt(placement):
-                placement.grace = 0.0
-        placement.seen = True
+                placement.stop_grace = 0.0
+        placement.observed = True
         if task.state != placement.state:
             placement.state = task.state
-            if task.state == agent_api.RUNNING and placement.run_at is None:
-                self.placements.runs(placement)
+            if task.state == agent_api.RUNNING and placement.running_since is None:
+                self.placements.mark_running(placement)
         if placement.spec.image:
-            machine.images[placement.spec.image] = trio.current_time()
+            machine.cached_images[placement.spec.image] = trio.current_time()
 
     def _watch_orphans(self, machine: Machine) -> None:
         names = self.machines_with_orphans.setdefault(machine.shard, set())
@@ -395,7 +398,7 @@
         if int(number) >= job.record.tasks:
             return None
         placement = Placement(job, int(number), task.attempt, machine)
-        placement.seen = True
+        placement.observed = True
         return placement
 
     def _ended(
@@ -410,16 +413,16 @@
             # It should have gone on: nothing is finished, and the machine isn't praised.
             log.info("replica ended task=%s machine=%s", key, machine.name)
         elif cause == agent_api.DONE:
-            machine.failed_jobs.clear()
-            machine.failed_at.clear()
-            machine.errors = 0
-            ran = now - placement.run_at if placement.run_at is not None else -1.0
+            machine.failures_by_job.clear()
+            machine.last_failure_at.clear()
+            machine.consecutive_errors = 0
+            ran = now - placement.running_since if placement.running_since is not None else -1.0
             if job.open:
                 self._listener.task_completed(placement, ran)
         elif cause == agent_api.ERROR:
-            machine.errors += 1
-            machine.failed_jobs[job.id] = machine.failed_jobs.get(job.id, 0) + 1
-            machine.failed_at[job.id] = now
+            machine.consecutive_errors += 1
+            machine.failures_by_job[job.id] = machine.failures_by_job.get(job.id, 0) + 1
+            machine.last_failure_at[job.id] = now
             log.info("task failed task=%s machine=%s", key, machine.name)
         elif cause not in (agent_api.STOPPED,):
             log.info("task ended task=%s machine=%s cause=%s", key, machine.name, cause)
@@ -436,14 +439,17 @@
         commands = []
         for key, placement in machine.placements.items():
             if not placement.job.open:
-                placement.grace = 0.0
-            if placement.grace is None:
+                placement.stop_grace = 0.0
+            if placement.stop_grace is None:
                 continue
             # One that should have saved by now is ended: its place is needed.
-            late = placement.stop_sent_at and now - placement.stop_sent_at > placement.grace * 2 + 5
-            grace = 0.0 if late else placement.grace
-            if not placement.stop_sent_at:
-                placement.stop_sent_at = now
+            late = (
+                placement.stop_commanded_at
+                and now - placement.stop_commanded_at > placement.stop_grace * 2 + 5
+            )
+            grace = 0.0 if late else placement.stop_grace
+            if not placement.stop_commanded_at:
+                placement.stop_commanded_at = now
                 self._tell(Decision.STOP, placement)
             commands.append(agent_api.Command(agent_api.STOP, key, placement.attempt, grace))
         commands += [
@@ -480,18 +486,18 @@
         now = trio.current_time()
         commands = self.stop_commands(machine)
         starts = []
-        if machine.usable and self.membership.may_start_tasks():
+        if machine.schedulable and self.membership.may_start_tasks():
             for placement in self._starter.schedule_on(machine):
-                placement.start_seq = heartbeat.seq
-                placement.at = now
+                placement.start_heartbeat_seq = heartbeat.seq
+                placement.placed_at = now
                 self._tell(Decision.START, placement)
                 starts.append(agent_api.Command(agent_api.START, placement.key, placement.attempt))
         # What an agent forgets is a change, and it reports each: beside a start that costs
         # nothing more, alone once a report interval will do.
-        if starts or now - machine.forgot_at >= self.times.report_s:
+        if starts or now - machine.exits_acknowledged_at >= self.times.report_s:
             forgets = self._forgets(machine)
             if forgets:
-                machine.forgot_at = now
+                machine.exits_acknowledged_at = now
                 commands += forgets
         commands += starts
         # A response may not hold a line over 64 KiB: the rest goes with the next.
@@ -500,7 +506,7 @@
                 if command.op == agent_api.START:
                     late = machine.placements.get(command.task)
                     if late is not None:
-                        late.start_seq = 0
+                        late.start_heartbeat_seq = 0
             commands = commands[:500]
         return commands
 
@@ -515,13 +521,13 @@
 
     def stop(self, placement: Placement, grace: float) -> None:
         """Order a task stopped; a shorter grace overrides a longer one."""
-        if not placement.start_seq and not placement.seen:
+        if not placement.start_heartbeat_seq and not placement.observed:
             # Never ordered: it is nowhere.
             self._gone(placement, "unsent")
             return
-        if placement.grace is None or grace < placement.grace:
-            placement.grace = grace
-            placement.stop_sent_at = 0.0
+        if placement.stop_grace is None or grace < placement.stop_grace:
+            placement.stop_grace = grace
+            placement.stop_commanded_at = 0.0
             self.command_sender.touch(placement.machine.name)
 
     def stop_job(self, id: str) -> None:
@@ -547,7 +553,7 @@
                 if (
                     machine.confirmed
                     and held
-                    and owned > lease_over(machine.answered_at, self.times)
+                    and owned > lease_over(machine.lease_renewed_at, self.times)
                 ):
                     log.info(
                         "lease over machine=%s tasks=%d", machine.name, len(machine.placements)
@@ -558,8 +564,8 @@
                     self._clear(machine, "lease")
                 if silent > self.policy.silence or (
                     # Announced, and silent since: the cloud's word comes before the lease's end.
-                    machine.notice_at is not None
-                    and now > machine.notice_at
+                    machine.preemption_at is not None
+                    and now > machine.preemption_at
                     and silent > self.times.report_s * 2
                 ):
                     machine.lost = True
--- a/pitchtally/autoscaling/autoscaler.py
+++ b/pitchtally/autoscaling/autoscaler.py
@@ -14,7 +14,7 @@
 import msgspec
 import trio
 
-from ..agents.machines import MachineGroupKey
+from ..agents.machine import MachineGroupKey
 from ..agents.manager import AgentManager
 from ..config.policy import Policy
 from ..config.settings import Settings
@@ -435,7 +435,7 @@
     def _apply_drain(self, names: Iterable[str]) -> None:
         wanted = set(names)
         for machine in self.agents.machines.values():
-            machine.drain = machine.name in wanted
+            machine.draining = machine.name in wanted
 
     def own_drain(self) -> None:
         """Apply the leader's drains to the leader's own machines."""
--- a/pitchtally/autoscaling/scale_out.py
+++ b/pitchtally/autoscaling/scale_out.py
@@ -14,7 +14,7 @@
 import msgspec
 import trio
 
-from ..agents.machines import MachineGroupKey
+from ..agents.machine import MachineGroupKey
 from ..jobs.resources import capacity_of, count_fitting, resource_request
 from ..membership.messages import MachineFlag, MachineStatus
 from ..protocol import cloud_api, user_api
--- a/pitchtally/scheduling/allocations.py
+++ b/pitchtally/scheduling/allocations.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from ..agents.machines import Machine, MachineGroupKey, Placement
+from ..agents.machine import Machine, MachineGroupKey, Placement
 from ..jobs.index import Job
 from ..jobs.resources import Resources, resource_request
 from ..protocol import cloud_api, user_api
--- a/pitchtally/scheduling/capacity.py
+++ b/pitchtally/scheduling/capacity.py
@@ -5,7 +5,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from ..agents.machines import Placement
+from ..agents.machine import Placement
 from ..jobs.index import Job
 from ..jobs.job_record import TaskRange
 from ..jobs.resources import capacity_of, fits, resource_request
--- a/pitchtally/scheduling/gangs.py
+++ b/pitchtally/scheduling/gangs.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from ..agents.machines import Machine
+from ..agents.machine import Machine, Reservation
 from ..jobs.index import Job
 from ..jobs.job_record import TaskRange, merge
 from ..jobs.resources import Resources, count_fitting, fits, resource_request
@@ -77,8 +77,8 @@
             allocation.tried = attempt
             for machine in plan:
                 self.scheduler.placer.place(allocation, allocation.pending.pop(), machine, attempt)
-                if machine.reserved and machine.reserved[0] == id:
-                    machine.reserved = None
+                if machine.reservation and machine.reservation.job_id == id:
+                    machine.reservation = None
             allocation.aged = False
 
     def _all_ready(
@@ -105,7 +105,7 @@
                 ready = id in self.scheduler.statuses.newest[other].ready
             if not ready:
                 for machine in plan:
-                    machine.reserved = (id, now + self.policy.heartbeat_interval * 4)
+                    machine.reservation = Reservation(id, now + self.policy.heartbeat_interval * 4)
                 return False
         return True
 
@@ -121,22 +121,25 @@
             return None
         machines = []
         for machine in self.agents.of_shard(shard):
-            if not machine.usable or machine.quarantined_until >= now:
+            if not machine.schedulable or machine.quarantined_until >= now:
                 continue
-            if machine.reserved and machine.reserved[0] != job.id and machine.reserved[1] >= now:
+            if (
+                machine.reservation
+                and machine.reservation.job_id != job.id
+                and machine.reservation.until >= now
+            ):
                 continue
-            if fits(resources, machine.free()) and self.scheduler.shards.machine_ok(
+            if fits(resources, machine.available()) and self.scheduler.shards.machine_ok(
                 allocation, machine
             ):
-                machines.append((machine, count_fitting(resources, machine.free())))
+                machines.append((machine, count_fitting(resources, machine.available())))
         # The least other use first: a machine with cards is left for work that needs them.
         machines.sort(
             key=lambda mc: (
-                not (mc[0].reserved and mc[0].reserved[0] == job.id),
-                mc[0].errors,
+                not (mc[0].reservation and mc[0].reservation.job_id == job.id),
+                mc[0].consecutive_errors,
                 self._waste(resources, mc[0]),
-                spec.image not in mc[0].images,
-                mc[0].slow,
+                spec.image not in mc[0].cached_images,
             )
         )
         caps = {zone: cap for p, zone, cap in job.record.caps if p == shard}
@@ -171,9 +174,11 @@
         work = self.scheduler.shards.work[shard]
         now = trio.current_time()
         machines = [
-            m for m in self.agents.of_shard(shard) if m.usable and m.quarantined_until < now
+            m for m in self.agents.of_shard(shard) if m.schedulable and m.quarantined_until < now
         ]
-        kept = {m.reserved[0] for m in machines if m.reserved and m.reserved[1] >= now}
+        kept = {
+            m.reservation.job_id for m in machines if m.reservation and m.reservation.until >= now
+        }
         held = [h for id in kept if (h := work.allocations.get(id)) is not None]
         wide = any(h.gang and h.spec.tasks > 1 for h in held)
         large = any(not h.gang and h.aged for h in held)
@@ -202,7 +207,7 @@
             large = large or not allocation.gang
             names = {opening.machine.name: opening.machine for opening in chosen}
             for machine in names.values():
-                machine.reserved = (id, now + eta * 1.5 + self.report_s * 3)
+                machine.reservation = Reservation(id, now + eta * 1.5 + self.report_s * 3)
             log.info("kept machines=%d for=%s eta=%.1f", len(names), id, eta)
 
     def _may_reserve(self, work: ShardState, allocation: ShardAllocation, now: float) -> bool:
@@ -220,7 +225,7 @@
         """Where that many tasks find room soonest; nothing if there is none for all."""
         openings = []
         for machine in machines:
-            if machine.reserved and machine.reserved[1] >= now:
+            if machine.reservation and machine.reservation.until >= now:
                 continue
             if not self.scheduler.shards.machine_ok(allocation, machine):
                 continue
@@ -234,14 +239,14 @@
 
     def _room_at(self, machine: Machine, resources: Resources, now: float) -> float | None:
         """Seconds until a machine has room for a need if nothing more starts there."""
-        available = machine.free()
+        available = machine.available()
         if fits(resources, available):
             return 0.0
         ends = []
         for placement in machine.placements.values():
             if placement.spec.is_service:
                 continue  # it never leaves by itself
-            ran = now - (placement.run_at or now)
+            ran = now - (placement.running_since or now)
             ends.append(
                 (max(1.0, self.scheduler.estimates.task(placement.spec) - ran), placement.resources)
             )
@@ -255,7 +260,7 @@
         """Whether a machine of the shard is kept free for the job."""
         now = trio.current_time()
         return any(
-            m.reserved and m.reserved[0] == id and m.reserved[1] >= now
+            m.reservation and m.reservation.job_id == id and m.reservation.until >= now
             for m in self.agents.of_shard(shard)
         )
 
--- a/pitchtally/scheduling/lower_price_capacity.py
+++ b/pitchtally/scheduling/lower_price_capacity.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from ..agents.machines import Machine, MachineGroupKey
+from ..agents.machine import Machine, MachineGroupKey
 from ..jobs.resources import NO_RESOURCES, Resources, count_fitting, fits
 
 
@@ -38,7 +38,7 @@
 
     def add(self, machine: Machine) -> None:
         """List a machine."""
-        free = machine.free()
+        free = machine.available()
         (self.busy if machine.placements else self.idle).append(free)
         a, b, c = self.largest
         self.largest = Resources(max(a, free[0]), max(b, free[1]), max(c, free[2]))
@@ -66,7 +66,7 @@
     """The rooms of machines that take work and report, by group."""
     found: dict[MachineGroupKey, GroupCapacity] = {}
     for machine in machines:
-        if machine.reserved is not None and machine.reserved[1] >= now:
+        if machine.reservation is not None and machine.reservation.until >= now:
             continue
         if now - machine.last_heartbeat_at > longest_silence:
             continue
--- a/pitchtally/scheduling/placer.py
+++ b/pitchtally/scheduling/placer.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from ..agents.machines import Machine, MachineGroupKey, Placement
+from ..agents.machine import Machine, MachineGroupKey, Placement
 from ..jobs.resources import Resources, count_fitting, dominant_share, fits, resource_request
 from ..protocol import cloud_api, user_api
 from . import stretch
@@ -77,10 +77,10 @@
         return left
 
     def _add_to_group(self, work: ShardState, machine: Machine, now: float) -> None:
-        usable = machine.usable
+        usable = machine.schedulable
         if not usable:
             for placement in list(machine.placements.values()):
-                if not placement.start_seq and not placement.seen:
+                if not placement.start_heartbeat_seq and not placement.observed:
                     # Chosen before the machine fell out of use: it is nowhere yet.
                     self.agents.stop(placement, 0.0)
         if not usable or machine.quarantined_until >= now or machine.machine_type is None:
@@ -104,7 +104,7 @@
                 if work.allocations[id].service:
                     machine_group.held += load.count * share
                     continue
-                machine_group.work[id] = load.left(seconds, now) * share
+                machine_group.work[id] = load.remaining_seconds(seconds, now) * share
                 machine_group.ranks[id] = load.rank
 
     def _renew_levels(self, work: ShardState, now: float) -> None:
@@ -225,11 +225,11 @@
         return [
             p
             for p in machine.placements.values()
-            if not p.start_seq and not p.seen and p.grace is None
+            if not p.start_heartbeat_seq and not p.observed and p.stop_grace is None
         ]
 
     def _start_arrays(self, work: ShardState, machine: Machine, now: float) -> None:
-        available = machine.free()
+        available = machine.available()
         if available[0] + 1e-6 < work.least[0] or available[2] + 1e-6 < work.least[1]:
             return
         if min(available[0], available[2]) <= 1e-6:
@@ -269,19 +269,23 @@
                 continue
             spec = allocation.spec
             rank, over, due = self.scheduler.priorities.key(allocation, level)
-            if spec.image and spec.image not in machine.images and machine.machine_type is not None:
+            if (
+                spec.image
+                and spec.image not in machine.cached_images
+                and machine.machine_type is not None
+            ):
                 due += spec.image_gb / max(machine.machine_type.fetch_rate, 1e-3)
             rows.append((rank, over, due, not own.get(id, 0), id))
         return [row[-1] for row in sorted(rows)]
 
     def _kept_for(self, work: ShardState, machine: Machine, now: float) -> str | None:
         """The job that the machine's room is kept for, if it still waits for it."""
-        if machine.reserved is None:
+        if machine.reservation is None:
             return None
-        id, until = machine.reserved
+        id, until = machine.reservation
         allocation = work.allocations.get(id)
         if until < now or allocation is None or not allocation.pending.count:
-            machine.reserved = None
+            machine.reservation = None
             return None
         return id
 
@@ -317,10 +321,10 @@
             available.take(count)
         if allocation.aged:
             allocation.aged = False  # it has begun: others' turn
-            if machine.reserved and machine.reserved[0] == allocation.job.id:
-                machine.reserved = None
+            if machine.reservation and machine.reservation.job_id == allocation.job.id:
+                machine.reservation = None
         if not allocation.pending.count:
-            machine.reserved = None
+            machine.reservation = None
 
     def _better_room(self, work: ShardState, allocation: ShardAllocation, machine: Machine) -> int:
         """Tasks of this job that machines of its shard with less to lose have room for.
@@ -392,7 +396,7 @@
 
     def attempt(self, shard: int) -> int:
         """A number for the next start, never used before by anyone."""
-        return self.agents.shards[shard].attempt()
+        return self.agents.shards[shard].next_attempt()
 
     def place(self, allocation: ShardAllocation, task: int, machine: Machine, attempt: int) -> None:
         """Give a task its place on a machine; the next report starts it."""
@@ -410,14 +414,14 @@
         now = trio.current_time()
         work = self.scheduler.shards.work[shard]
         for machine in self.agents.of_shard(shard):
-            if machine.notice_at is None:
+            if machine.preemption_at is None:
                 continue
-            left = machine.notice_at - now
+            left = machine.preemption_at - now
             for placement in list(machine.placements.values()):
-                if placement.grace is not None or not placement.seen:
+                if placement.stop_grace is not None or not placement.observed:
                     continue
                 spec = placement.spec
-                ran = now - placement.run_at if placement.run_at is not None else 0.0
+                ran = now - placement.running_since if placement.running_since is not None else 0.0
                 # The notice may be half as long as told, and estimates are rough.
                 over_soon = (self.scheduler.estimates.task(spec) - ran) * 2 < left
                 if over_soon and not spec.is_service:
--- a/pitchtally/scheduling/preemption.py
+++ b/pitchtally/scheduling/preemption.py
@@ -10,7 +10,7 @@
 
 import trio
 
-from ..agents.machines import Machine, Placement
+from ..agents.machine import Machine, Placement, Reservation
 from ..jobs.resources import fits
 from ..protocol import user_api
 from .allocations import ShardAllocation, ShardState
@@ -118,7 +118,7 @@
         grace = max(victim.spec.save for victim in victims)
         id = allocation.job.id
         for step in chosen:
-            step.machine.reserved = (id, now + grace + self.report_s * 3)
+            step.machine.reservation = Reservation(id, now + grace + self.report_s * 3)
         log.info(
             "preempted for=%s machines=%d tasks=%d",
             id,
@@ -134,23 +134,23 @@
         out = []
         wanted = allocation.pending.count
         for machine in self.agents.of_shard(shard):
-            if not machine.usable or machine.quarantined_until >= now:
+            if not machine.schedulable or machine.quarantined_until >= now:
                 continue
             if (
-                machine.reserved
-                and machine.reserved[0] != allocation.job.id
-                and (machine.reserved[1] >= now)
+                machine.reservation
+                and machine.reservation.job_id != allocation.job.id
+                and (machine.reservation.until >= now)
             ):
                 continue
-            available = machine.free()
+            available = machine.available()
             if not under:
-                if not fits(resources, available.plus(machine.yields(rank))):
+                if not fits(resources, available.plus(machine.preemptible(rank))):
                     continue
             if not self.scheduler.shards.machine_ok(allocation, machine):
                 continue
             candidates = []
             for placement in machine.placements.values():
-                if placement.grace is not None or placement.job.id == allocation.job.id:
+                if placement.stop_grace is not None or placement.job.id == allocation.job.id:
                     continue
                 if self._shared(placement):
                     continue
@@ -180,10 +180,10 @@
 
     def _loss(self, placement: Placement, now: float) -> float:
         """Work lost by a stop, in task-seconds weighed by size."""
-        if placement.run_at is None or not placement.seen:
+        if placement.running_since is None or not placement.observed:
             return 0.0
         spec = placement.spec
-        ran = now - placement.run_at
+        ran = now - placement.running_since
         if spec.checkpoint:
             ran = min(ran, spec.save)
         mates = spec.tasks if spec.kind == user_api.GANG else 1  # they stop together
--- a/pitchtally/scheduling/quotas.py
+++ b/pitchtally/scheduling/quotas.py
@@ -65,7 +65,7 @@
 
     def use(self, shard: int, team: str) -> tuple[float, float]:
         """CPUs and GPUs that a team's tasks take in a shard."""
-        return self.agents.placements.use(shard, team)
+        return self.agents.placements.team_use(shard, team)
 
     def tasks_within_limit(self, shard: int, spec: user_api.JobSpec) -> int:
         """How many more tasks of this job the team's share allows in the shard."""
--- a/pitchtally/scheduling/shard_statuses.py
+++ b/pitchtally/scheduling/shard_statuses.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from ..agents.machines import Machine, MachineGroupKey
+from ..agents.machine import Machine, MachineGroupKey
 from ..jobs.resources import (
     NO_RESOURCES,
     Resources,
@@ -103,7 +103,9 @@
         self, shard: int, work: ShardState, beyond: set[str], renew: bool, now: float
     ) -> None:
         old = self.newest.get(shard)
-        kept = [m for m in self.agents.of_shard(shard) if m.reserved and m.reserved[1] >= now]
+        kept = [
+            m for m in self.agents.of_shard(shard) if m.reservation and m.reservation.until >= now
+        ]
         machines = [self._machine(m, beyond, now) for m in self.agents.of_shard(shard)]
         waiting, queued = self._waiting(work)
         hold = self.agents.shards.get(shard)
@@ -112,7 +114,7 @@
         )
         status.running = self.agents.placements.running(shard)
         status.kept = [machine.name for machine in kept]
-        status.reserved = [machine.reserved[0] for machine in kept if machine.reserved]
+        status.reserved = [machine.reservation.job_id for machine in kept if machine.reservation]
         work.ready = {
             id
             for id in work.ready
@@ -134,8 +136,8 @@
         self._renewed(shard)
 
     def _machine(self, machine: Machine, beyond: set[str], now: float) -> MachineStatus:
-        free = machine.free() if machine.usable else NO_RESOURCES
-        if machine.reserved and machine.reserved[1] >= now:
+        free = machine.available() if machine.schedulable else NO_RESOURCES
+        if machine.reservation and machine.reservation.until >= now:
             free = NO_RESOURCES
         return MachineStatus(
             machine.name,
@@ -143,12 +145,11 @@
             machine.zone,
             machine.spot,
             Resources(max(0.0, free[0]), max(0.0, free[1]), max(0.0, free[2])),
-            Resources(*machine.yielding[-1]),
+            Resources(*machine.used_by_rank[-1]),
             len(machine.placements),
             now - machine.idle_since,
             self._flag(machine, now),
-            machine.slow,
-            self._over_on(machine, beyond),
+            over=self._over_on(machine, beyond),
         )
 
     def _waiting(self, work: ShardState) -> tuple[dict[str, int], float]:
@@ -196,8 +197,8 @@
         """What is free and what waits, for people who read logs."""
         capacities: dict[str, list[float]] = {}
         for machine in self.agents.of_shard(shard):
-            if machine.usable and machine.machine_type is not None:
-                free = machine.free()
+            if machine.schedulable and machine.machine_type is not None:
+                free = machine.available()
                 row = capacities.setdefault(
                     f"{machine.type}{'*' if machine.spot else ''}", [0, 0, 0]
                 )
@@ -223,15 +224,15 @@
     def _flag(self, machine: Machine, now: float) -> MachineFlag:
         if machine.lost:
             return MachineFlag.LOST if machine.confirmed else MachineFlag.UNHEARD
-        if machine.notice_at is not None:
+        if machine.preemption_at is not None:
             return MachineFlag.NOTICE
-        if machine.unresponsive:
+        if machine.unreachable:
             return MachineFlag.UNRESPONSIVE
-        if machine.drain:
+        if machine.draining:
             return MachineFlag.DRAINING
         if machine.quarantined_until >= now:
             return MachineFlag.UNHEALTHY
-        return MachineFlag.USABLE if machine.usable else MachineFlag.NEW
+        return MachineFlag.USABLE if machine.schedulable else MachineFlag.NEW
 
     def own(self) -> list[ShardStatus]:
         """What this node tells of its own shards."""
--- a/pitchtally/scheduling/shards.py
+++ b/pitchtally/scheduling/shards.py
@@ -8,7 +8,7 @@
 
 import trio
 
-from ..agents.machines import Machine, MachineGroupKey, Placement
+from ..agents.machine import Machine, MachineGroupKey, Placement
 from ..jobs.index import Job
 from ..jobs.job_record import DONE, JobRecord
 from ..jobs.resources import capacity_of, fits
@@ -217,7 +217,7 @@
         now = trio.current_time()
         if cause not in (agent_api.DONE, agent_api.ERROR):
             return
-        ran = now - placement.run_at if placement.run_at is not None else 0.0
+        ran = now - placement.running_since if placement.running_since is not None else 0.0
         if ran >= self.policy.unhealthy_rest:
             # Whatever ended it, it isn't that the job, or the machine, fails each start.
             allocation.short_runs = 0
@@ -234,8 +234,8 @@
         now = trio.current_time()
         machine = placement.machine
         allocation.failed_on[machine.name] = now
-        if placement.run_at is not None:
-            allocation.failed_after = max(allocation.failed_after, now - placement.run_at)
+        if placement.running_since is not None:
+            allocation.failed_after = max(allocation.failed_after, now - placement.running_since)
         self.score(allocation)
         if not allocation.faulty:
             self._judge(work, machine)
@@ -253,8 +253,8 @@
             )
         for name in allocation.failed_on:
             other = self.agents.machines.get(name)
-            if other is not None and other.failed_jobs.pop(allocation.job.id, None) is not None:
-                other.failed_at.pop(allocation.job.id, None)
+            if other is not None and other.failures_by_job.pop(allocation.job.id, None) is not None:
+                other.last_failure_at.pop(allocation.job.id, None)
                 if other.quarantined_until > now and not self._is_unhealthy(work, other):
                     other.quarantined_until = -1e9
 
@@ -269,14 +269,18 @@
             bool(allocation.job.finished.count or allocation.job.local),
             len(allocation.failed_on),
             allocation.failed_after,
-            [now - p.run_at for p in allocation.placed.values() if p.run_at is not None],
+            [
+                now - p.running_since
+                for p in allocation.placed.values()
+                if p.running_since is not None
+            ],
             self.report_s * 2,
         )
 
     def _is_unhealthy(self, work: ShardState, machine: Machine) -> bool:
         jobs = {}
         failures = {}
-        for id, count in machine.failed_jobs.items():
+        for id, count in machine.failures_by_job.items():
             job, allocation = self.job_index.jobs.get(id), work.allocations.get(id)
             if job is None or (not job.open and job.record.stage != DONE):
                 continue  # its user has cancelled it, as one does with a mistake
@@ -296,8 +300,8 @@
             log.info(
                 "machine rests machine=%s jobs=%d errors=%d",
                 machine.name,
-                len(machine.failed_jobs),
-                machine.errors,
+                len(machine.failures_by_job),
+                machine.consecutive_errors,
             )
         machine.quarantined_until = now + self.policy.unhealthy_rest
 
@@ -315,10 +319,10 @@
             return False
         # Also what the machine remembers: a holding is new after a move or a failover. Not
         # for ever: a machine may be well again, and there may be no other.
-        if allocation.failed_on or machine.failed_at:
+        if allocation.failed_on or machine.last_failure_at:
             at = max(
                 allocation.failed_on.get(machine.name, -1e9),
-                machine.failed_at.get(allocation.job.id, -1e9),
+                machine.last_failure_at.get(allocation.job.id, -1e9),
             )
             if trio.current_time() - at < self.policy.unhealthy_rest:
                 return False
--- a/tests/agents/test_machine_records.py
+++ b/tests/agents/test_machine_records.py
@@ -10,7 +10,8 @@
 import trio
 import trio.testing
 
-from pitchtally.agents.machines import LedShard, Machine
+from pitchtally.agents.led_shard import LedShard
+from pitchtally.agents.machine import Machine
 from pitchtally.config import policy
 from pitchtally.controller import Controller
 from pitchtally.http import Response
--- a/tests/cluster/test_large_fleet.py
+++ b/tests/cluster/test_large_fleet.py
@@ -13,7 +13,7 @@
 import trio
 import trio.testing
 
-from pitchtally.agents.machines import MachineGroupKey, Placement
+from pitchtally.agents.machine import MachineGroupKey, Placement
 from pitchtally.config import policy
 from pitchtally.config.settings import Team
 from pitchtally.controller import Controller
@@ -156,17 +156,20 @@
             leader.agents.placements.put(one)
             placed.append(one)
             if luck.random() < 0.7:
-                leader.agents.placements.runs(one)
+                leader.agents.placements.mark_running(one)
         now, seconds = trio.current_time(), 1000.0
         for each in jobs:
             mine = [p for p in placed if p.job is each]
-            walk = sum(seconds - (now - p.run_at if p.run_at is not None else 0) for p in mine)
+            walk = sum(
+                seconds - (now - p.running_since if p.running_since is not None else 0)
+                for p in mine
+            )
             load = leader.agents.placements.loads[0][MachineGroupKey("big", "a", False)][each.id]
-            assert load.left(seconds, now) == pytest.approx(walk)
+            assert load.remaining_seconds(seconds, now) == pytest.approx(walk)
             assert load.count == len(mine)
             assert dominant_share(load.resources, TYPE) == each.spec.cpus / 64
             assert leader.agents.placements.running(0)[each.id] == sum(
-                p.run_at is not None for p in mine
+                p.running_since is not None for p in mine
             )
         for one in placed:
             leader.agents.placements.drop(one)
--- a/tests/cluster/test_partitions.py
+++ b/tests/cluster/test_partitions.py
@@ -87,11 +87,11 @@
                 machine.epoch,
                 machine.seq,
                 machine.last_heartbeat_at,
-                machine.answered_at,
+                machine.lease_renewed_at,
                 machine.lost,
                 machine.confirmed,
                 sorted(machine.placements),
-                machine.unacknowledged,
+                machine.ineffective_responses,
                 name in controller.agents.released,
             )
         )
