--- a/pitchtally/agents/machine_records.py
+++ b/pitchtally/agents/machine_records.py
@@ -127,7 +127,7 @@
         # A name leaves the record only once its machine is known to be gone.
         value = encode(rows) if rows or not self.gate.open else None
         try:
-            done = await self.agents.job_index.commit(
+            done = await self.agents.commits.commit(
                 conditions, [Write(key, value)], priority=rate_limits.COMPLETIONS
             )
         except InvalidTransaction as error:
--- a/pitchtally/agents/manager.py
+++ b/pitchtally/agents/manager.py
@@ -19,6 +19,7 @@
 from ..config.policy import Policy
 from ..config.settings import Settings
 from ..http import Request, Response
+from ..jobs.commits import JobCommits
 from ..jobs.index import JobIndex
 from ..membership.freshness import lease_over
 from ..membership.membership import Membership, shard_of
@@ -47,6 +48,7 @@
         policy: Policy,
         membership: Membership,
         job_index: JobIndex,
+        commits: JobCommits,
         replica: Replica,
         types: Callable[[], dict[str, cloud_api.MachineType]],
     ):
@@ -55,6 +57,7 @@
         self.policy = policy
         self.membership = membership
         self.job_index = job_index
+        self.commits = commits
         self.replica = replica
         self.types = types
         self.count = settings.deployment.count
--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -16,6 +16,7 @@
 from .formats.job_layout import JobLayout
 from .formats.migration import Cleanup, JobMigration
 from .http import Request, Response, Server
+from .jobs.commits import JobCommits
 from .jobs.index import JobIndex
 from .jobs.progress_writer import ProgressWriter
 from .membership.format_negotiation import FormatUpgrade
@@ -52,16 +53,31 @@
         self.membership = Membership(settings, policy, self.state_store, self.replica)
         self.gate = FormatGate(self.replica, limits.state.value_kb)
         self.format_upgrade = FormatUpgrade(self.membership, self.state_store, self.gate)
-        self.job_index = JobIndex(self.state_store, self.replica, self.gate, self.membership.token)
+        self.job_index = JobIndex(self.replica, self.gate)
+        self.commits = JobCommits(self.state_store, self.replica, self.membership.token)
         self.layout = JobLayout(self.gate, limits.state_to_keep)
-        self.migration = JobMigration(self.job_index, self.layout, policy.heartbeat_interval)
-        self.cleanup = Cleanup(self.job_index, self._leader_guard, policy.period)
-        self.progress = ProgressWriter(self.job_index, self.layout, self.migration, policy.period)
+        self.migration = JobMigration(
+            self.job_index, self.commits, self.layout, policy.heartbeat_interval
+        )
+        self.cleanup = Cleanup(self.job_index, self.commits, self._leader_guard, policy.period)
+        self.decisions = DecisionLog(
+            self._evidence, self._counters, lambda: self.api.read_barrier.last
+        )
+        self.progress = ProgressWriter(
+            self.job_index,
+            self.commits,
+            self.layout,
+            self.migration,
+            policy.period,
+            lambda: self.api.line.waiting,
+            self.decisions.on_decision,
+        )
         self.agents = AgentManager(
             settings,
             policy,
             self.membership,
             self.job_index,
+            self.commits,
             self.replica,
             lambda: self.autoscaler.types,
         )
@@ -70,6 +86,7 @@
             policy,
             self.membership,
             self.job_index,
+            self.commits,
             self.agents,
             self.replica,
             self.migration,
@@ -97,11 +114,7 @@
             self.layout,
             lambda: self.autoscaler.types,
         )
-        self.progress.submissions_wait = lambda: self.api.line.waiting
         self.loops = Loops()
-        self.decisions = DecisionLog(
-            self._evidence, self._counters, lambda: self.api.read_barrier.last
-        )
         self._connect()
 
     def _connect(self) -> None:
@@ -123,7 +136,6 @@
         agents.connect(scheduler.shards, scheduler.placer)
         self.api.on_decision = self.decisions.on_decision
         agents.on_decision = self.decisions.on_decision
-        self.progress.on_decision = self.decisions.on_decision
 
     def _leader_guard(self) -> tuple[str, int] | None:
         """What a leader's write rests on, None if this node doesn't lead."""
--- a/pitchtally/formats/migration.py
+++ b/pitchtally/formats/migration.py
@@ -20,6 +20,7 @@
 from .job_layout import JobLayout
 
 if TYPE_CHECKING:
+    from ..jobs.commits import JobCommits
     from ..jobs.index import Job, JobIndex
 
 log = logging.getLogger("migration")
@@ -28,9 +29,10 @@
 class JobMigration:
     """Converts open jobs whose stored form can't be rewritten under the limits to keep."""
 
-    def __init__(self, job_index: JobIndex, layout: JobLayout, pause: float):
+    def __init__(self, job_index: JobIndex, commits: JobCommits, layout: JobLayout, pause: float):
         """`pause`: seconds between two looks for jobs that need it."""
         self.job_index = job_index
+        self.commits = commits
         self.layout = layout
         self.pause = pause
 
@@ -50,23 +52,23 @@
 
         Raises StoreDown.
         """
-        shard = self.job_index.writable_shard(job)
+        shard = self.commits.writable_shard(job)
         if shard is None and job.record.ranges:
             return False
         guard = {keys.job(job.id): job.version}
         if shard is not None:
-            guard[keys.shard(shard[0])] = shard[1]
+            guard[keys.shard(shard.shard)] = shard.token
         first, record = self.layout.convert(job)
         # Versions as of now: a key that changes later holds more than what is written here.
-        versions = {change.key: self.job_index.replica.version(change.key) for change in first}
-        most = self.job_index.state_store.limits.txn_ops
+        versions = {change.key: self.commits.replica.version(change.key) for change in first}
+        most = self.commits.max_writes
         for start in range(0, len(first), most):
             group = first[start : start + most]
             conditions = {**guard, **{change.key: versions[change.key] for change in group}}
-            if not await self.job_index.commit(conditions, group, priority=priority):
+            if not await self.commits.commit(conditions, group, priority=priority):
                 return False
         change = Write(keys.job(job.id), self.layout.encode_record(job, record))
-        done = await self.job_index.commit(guard, [change], priority=priority)
+        done = await self.commits.commit(guard, [change], priority=priority)
         if done:
             log.info("job converted job=%s keys=%d", job.id, len(first))
         return done
@@ -76,10 +78,15 @@
     """The leader removes what ended jobs have left besides their records."""
 
     def __init__(
-        self, job_index: JobIndex, leader: Callable[[], tuple[str, int] | None], pause: float
+        self,
+        job_index: JobIndex,
+        commits: JobCommits,
+        leader: Callable[[], tuple[str, int] | None],
+        pause: float,
     ):
         """`leader`: the key and version that a leader's write rests on, if this node leads."""
         self.job_index = job_index
+        self.commits = commits
         self.leader = leader
         self.pause = pause
 
@@ -95,13 +102,13 @@
 
     async def _remove_some(self) -> bool:
         guard = self.leader()
-        left_over = self.left_over(self.job_index.state_store.limits.txn_ops)
+        left_over = self.left_over(self.commits.max_writes)
         if guard is None or not left_over:
             return False
-        conditions = {key: self.job_index.replica.version(key) for key in left_over}
+        conditions = {key: self.commits.replica.version(key) for key in left_over}
         conditions[guard[0]] = guard[1]
         changes = [Write(key, None) for key in left_over]
-        return await self.job_index.commit(conditions, changes, priority=rate_limits.PROGRESS)
+        return await self.commits.commit(conditions, changes, priority=rate_limits.PROGRESS)
 
     def left_over(self, most: int) -> list[str]:
         """Keys of jobs that are over, at most so many."""
--- /dev/null
+++ b/pitchtally/jobs/commits.py
@@ -0,0 +1,78 @@
+"""Commits to the state store that this node's replica shows at once."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+from typing import NamedTuple
+
+from ..state_store.client import StateStoreClient, Write
+from ..state_store.errors import CompareFailed, LeaseExpired
+from ..state_store.replica import Replica
+from .index import Job
+
+log = logging.getLogger(__name__)
+
+# This node's fencing token for a shard, None if it doesn't lead the shard.
+FencingTokenLookup = Callable[[int], int | None]
+
+
+class WritableShard(NamedTuple):
+    """A shard that this node leads, and the fencing token that its writes must name."""
+
+    shard: int
+    token: int
+
+
+class JobCommits:
+    """Commits under the rules for records of jobs, and of whatever else shards own.
+
+    Every write is conditional on the versions of what it replaces, and on the fencing token of
+    the writer's shard (or on nothing else, for a user's cancellation).
+    """
+
+    def __init__(
+        self, state_store: StateStoreClient, replica: Replica, fencing_token: FencingTokenLookup
+    ):
+        self.state_store = state_store
+        self.replica = replica
+        self._fencing_token = fencing_token
+
+    @property
+    def max_writes(self) -> int:
+        """How many keys one transaction may write."""
+        return self.state_store.limits.txn_ops
+
+    @property
+    def write_burst(self) -> float:
+        """How many writes this node's rate limit lets through at once."""
+        return self.state_store.writes.burst
+
+    def writable_shard(self, job: Job) -> WritableShard | None:
+        """A shard with tasks of the job that this node leads; None if there is none."""
+        for task_range in job.record.ranges:
+            token = self._fencing_token(task_range.shard)
+            if token is not None:
+                return WritableShard(task_range.shard, token)
+        return None
+
+    async def commit(
+        self, conditions: dict[str, int], changes: list[Write], *, priority: int
+    ) -> bool:
+        """Commit, and apply the changes to the replica; False if a condition failed.
+
+        After a conflict the replica is brought up to date before anyone tries again: the usual
+        cause is another leader's write that the watch has yet to show.
+
+        Raises StoreUnavailable, and InvalidTransaction for what the store refuses as such.
+        """
+        try:
+            revision = await self.state_store.commit(conditions, changes, priority=priority)
+        except CompareFailed as conflict:
+            log.debug("conflict on %s", conflict)
+            await self.replica.refresh()
+            return False
+        except LeaseExpired:
+            return False
+        self.replica.apply_own_commit(changes, revision)
+        return True
--- a/pitchtally/jobs/index.py
+++ b/pitchtally/jobs/index.py
@@ -1,17 +1,16 @@
-"""All jobs, followed from the state store, and commits of their records.
+"""All jobs, followed from the state store.
 
-One record per job lives at `jobs/<id>`. Its finished set is a packed bitmap; where that
-would not fit a value it stands in keys of its own (`formats.finished_tasks`). The finished set
-only ever grows, so copies of any age can be joined. Every write is conditional on the
-record's version and on the writer's part (or on nothing else, for a user's cancellation).
+One record per job lives at `jobs/<id>`. Its finished tasks are a packed bitmap; where that
+would not fit a value it stands in keys of its own (`formats.finished_tasks`). The set of
+finished tasks only ever grows, so copies of any age can be joined.
 """
 
 from __future__ import annotations
 
 import bisect
-import logging
 from collections.abc import Callable
 from dataclasses import dataclass
+from typing import NamedTuple
 
 import msgspec
 import trio
@@ -21,13 +20,10 @@
 from ..formats.text_chunks import TextRef
 from ..protocol import user_api
 from ..state_store import keys
-from ..state_store.client import StateStoreClient, Write
-from ..state_store.errors import CompareFailed, LeaseExpired
 from ..state_store.replica import Replica
 from .job_record import CANCELLED, OPEN, JobRecord, decode_record, decode_spec, encode
 from .task_bitmap import TaskBitmap
-
-log = logging.getLogger("jobs")
+from .unwritten_progress import UnwrittenProgress
 
 _decode_text = msgspec.json.Decoder(str).decode
 
@@ -101,73 +97,93 @@
         return msgspec.structs.replace(self.record, finished=self.finished.text())
 
 
-Watcher = Callable[[Job, "JobRecord | None"], None]
+# Told of a job and of its record before the change, None if the job is new here.
+JobListener = Callable[[Job, "JobRecord | None"], None]
 
 
 @dataclass(frozen=True, slots=True)
-class StoredBits:
-    """A stretch of a job's finished set, read before the job's record."""
+class StoredBitmap:
+    """A stretch of a job's finished tasks, read before the job's record."""
 
     prefix: str
     number: int
     text: str
 
 
+class StoredRecord(NamedTuple):
+    """A record as read from the store."""
+
+    record: JobRecord
+    version: int
+    size: int  # bytes of the encoded record
+
+
+class CancelledVersion(NamedTuple):
+    """The version of a job's record that shows its cancellation; sorts by version."""
+
+    version: int
+    id: str
+
+
+class CommittedCancellation(NamedTuple):
+    """A committed cancellation: all that a peer's replica needs to show it."""
+
+    id: str
+    version: int
+    tasks: int
+    done: int  # tasks finished before
+
+
 class JobIndex:
-    """All jobs, followed from the store."""
-
-    def __init__(
-        self,
-        state_store: StateStoreClient,
-        replica: Replica,
-        gate: FormatGate,
-        guard: Callable[[int], int | None],
-    ):
-        self.state_store = state_store
+    """All jobs, followed from the replica; it commits nothing."""
+
+    def __init__(self, replica: Replica, gate: FormatGate):
         self.replica = replica
         self.gate = gate
-        self.guard = guard  # part -> this node's token for it, or None
         self.jobs: dict[str, Job] = {}
         self.open: dict[str, Job] = {}
-        self.watchers: list[Watcher] = []
-        self.dirty: set[str] = set()
-        self.wake = trio.Event()  # something is to be written at once
-        self.cancelled: list[tuple[int, str]] = []  # (version, id) of every one, in that order
-        self.early: dict[str, list[StoredBits]] = {}  # read before their record
-        self.early_records: dict[str, tuple[JobRecord, int, int]] = {}  # read before their spec
-        self.texts: dict[str, dict[tuple[str, int], str]] = {}  # job -> pieces of its spec
+        self.unwritten = UnwrittenProgress()
+        self.cancelled: list[CancelledVersion] = []  # sorted
         # Keys that a job has besides its record; they outlive it for a while.
         self.extra_keys: dict[str, set[str]] = {}
+        self._listeners: list[JobListener] = []
+        # What a full read brings before the record that it belongs to, by job.
+        self._early_bitmaps: dict[str, list[StoredBitmap]] = {}
+        self._records_without_spec: dict[str, StoredRecord] = {}
+        # Chunks of a job's spec, by the digest of the whole text and the chunk's number.
+        self._texts: dict[str, dict[tuple[str, int], str]] = {}
         replica.listen(keys.JOB_PREFIX, self._on_record)
-        replica.listen(keys.LEGACY_FINISHED_PREFIX, self._on_legacy_bits)
-        replica.listen(keys.FINISHED_PREFIX, self._on_bits)
-        replica.listen(keys.TEXT_PREFIX, self._on_piece)
+        replica.listen(keys.LEGACY_FINISHED_PREFIX, self._on_legacy_bitmap)
+        replica.listen(keys.FINISHED_PREFIX, self._on_bitmap)
+        replica.listen(keys.TEXT_PREFIX, self._on_text_chunk)
 
-    # --- following -----------------------------------------------------
+    def subscribe(self, listener: JobListener) -> None:
+        """Have a listener told of each change of a job, in the order of subscription."""
+        self._listeners.append(listener)
 
     def _on_record(self, id: str, value: bytes | None, version: int) -> None:
         if value is None:
             return  # job records are never removed
         record = decode_record(value)
         if record.stage == OPEN and record.spec is None and record.spec_text is not None:
-            self.early_records[id] = (record, version, len(value))
-            self._try_early_record(id)
+            self._records_without_spec[id] = StoredRecord(record, version, len(value))
+            self._complete_record(id)
             return
-        self.early_records.pop(id, None)
-        self._take_record(id, record, version, len(value))
+        self._records_without_spec.pop(id, None)
+        self._apply_record(id, record, version, len(value))
 
-    def _try_early_record(self, id: str) -> None:
+    def _complete_record(self, id: str) -> None:
         """Take in a record once all of its spec has been read."""
-        record, version, size = self.early_records[id]
+        record, version, size = self._records_without_spec[id]
         assert record.spec_text is not None
-        text = text_chunks.join(TextRef(*record.spec_text), self.texts.get(id, {}))
+        text = text_chunks.join(TextRef(*record.spec_text), self._texts.get(id, {}))
         if text is None:
             return
-        del self.early_records[id]
+        del self._records_without_spec[id]
         record.spec = decode_spec(text)
-        self._take_record(id, record, version, size)
+        self._apply_record(id, record, version, size)
 
-    def _take_record(self, id: str, record: JobRecord, version: int, size: int) -> None:
+    def _apply_record(self, id: str, record: JobRecord, version: int, size: int) -> None:
         job = self.jobs.get(id)
         if job is None:
             job = self.jobs[id] = Job(id, record, version, self.gate.legacy_chunk_tasks)
@@ -177,54 +193,61 @@
             job.record, job.version = record, version
         job.stored_bytes = size
         if record.stage == OPEN:
-            self.open[id] = job
-            if record.finished and not job.service:
-                job.finished.join_text(record.finished)
-            for bits in self.early.pop(id, ()):
-                self._join(job, bits)
-            self._settle_local(job)
+            self._update_open(job)
         else:
-            self.open.pop(id, None)
-            self.dirty.discard(id)
-            self.texts.pop(id, None)
-            self.early.pop(id, None)
-            job.finished = TaskBitmap(0)
-            job.local.clear()
+            self._close(job)
             if record.stage == CANCELLED and (old is None or old.stage == OPEN):
-                bisect.insort(self.cancelled, (version, id))
-        for watcher in self.watchers:
-            watcher(job, old)
-
-    def _on_legacy_bits(self, key: str, value: bytes | None, version: int) -> None:
-        self._take_bits(keys.LEGACY_FINISHED_PREFIX, key, value)
-
-    def _on_bits(self, key: str, value: bytes | None, version: int) -> None:
-        self._take_bits(keys.FINISHED_PREFIX, key, value)
-
-    def _take_bits(self, prefix: str, key: str, value: bytes | None) -> None:
+                bisect.insort(self.cancelled, CancelledVersion(version, id))
+        for listener in self._listeners:
+            listener(job, old)
+
+    def _update_open(self, job: Job) -> None:
+        self.open[job.id] = job
+        if job.record.finished and not job.service:
+            job.finished.add_text(job.record.finished)
+        for bitmap in self._early_bitmaps.pop(job.id, ()):
+            self._join_bitmap(job, bitmap)
+        self._drop_durable_local(job)
+
+    def _close(self, job: Job) -> None:
+        """Forget what only an open job needs."""
+        self.open.pop(job.id, None)
+        self.unwritten.discard(job.id)
+        self._texts.pop(job.id, None)
+        self._early_bitmaps.pop(job.id, None)
+        job.finished = TaskBitmap(0)
+        job.local.clear()
+
+    def _on_legacy_bitmap(self, key: str, value: bytes | None, version: int) -> None:
+        self._apply_bitmap(keys.LEGACY_FINISHED_PREFIX, key, value)
+
+    def _on_bitmap(self, key: str, value: bytes | None, version: int) -> None:
+        self._apply_bitmap(keys.FINISHED_PREFIX, key, value)
+
+    def _apply_bitmap(self, prefix: str, key: str, value: bytes | None) -> None:
         id, number = keys.parse_finished_tasks(key)
         self._note_extra_key(id, keys.absolute(prefix, key), present=value is not None)
         if value is None:
             return
         job = self.jobs.get(id)
-        bits = StoredBits(prefix, number, _decode_text(value))
+        bitmap = StoredBitmap(prefix, number, _decode_text(value))
         if job is None:
             # A full read comes in key order: these sort before `jobs/`.
-            self.early.setdefault(id, []).append(bits)
+            self._early_bitmaps.setdefault(id, []).append(bitmap)
         elif job.open:
-            self._join(job, bits)
-            self._settle_local(job)
+            self._join_bitmap(job, bitmap)
+            self._drop_durable_local(job)
 
-    def _on_piece(self, key: str, value: bytes | None, version: int) -> None:
+    def _on_text_chunk(self, key: str, value: bytes | None, version: int) -> None:
         id, digest, number = keys.parse_text_chunk(key)
         self._note_extra_key(id, keys.absolute(keys.TEXT_PREFIX, key), present=value is not None)
-        texts = self.texts.setdefault(id, {})
+        texts = self._texts.setdefault(id, {})
         if value is None:
             texts.pop((digest, number), None)
             return
         texts[(digest, number)] = _decode_text(value)
-        if id in self.early_records:
-            self._try_early_record(id)
+        if id in self._records_without_spec:
+            self._complete_record(id)
 
     def _note_extra_key(self, id: str, key: str, *, present: bool) -> None:
         present_keys = self.extra_keys.setdefault(id, set())
@@ -236,76 +259,45 @@
             del self.extra_keys[id]
 
     @staticmethod
-    def _join(job: Job, bits: StoredBits) -> None:
-        first = bits.number
-        if bits.prefix == keys.LEGACY_FINISHED_PREFIX:
+    def _join_bitmap(job: Job, bitmap: StoredBitmap) -> None:
+        first = bitmap.number
+        if bitmap.prefix == keys.LEGACY_FINISHED_PREFIX:
             first *= job.legacy_chunk_tasks
-        job.finished.join_text(bits.text, first)
+        job.finished.add_text(bitmap.text, first)
 
-    def _settle_local(self, job: Job) -> None:
+    def _drop_durable_local(self, job: Job) -> None:
         if job.local:
             job.local = {t for t in job.local if t not in job.finished}
         if job.local or job.complete:
-            self.dirty.add(job.id)
+            self.unwritten.add(job.id)
 
-    def cancelled_after(self, revision: int) -> list[tuple[str, int, int, int]]:
-        """Every cancellation that a copy of that revision can't show: (id, version, tasks, done).
+    def cancelled_after(self, revision: int) -> list[CommittedCancellation]:
+        """Every cancellation that a replica of that revision can't show.
 
-        By version, not by when we heard of it: a peer may have been deaf for any time.
+        By version, not by when it was heard of: a peer may have been cut off for any time.
         """
-        first = bisect.bisect_right(self.cancelled, (revision + 1, ""))
+        first = bisect.bisect_right(self.cancelled, CancelledVersion(revision + 1, ""))
         return [
-            (id, version, record.tasks, record.count)
+            CommittedCancellation(id, version, record.tasks, record.count)
             for version, id in self.cancelled[first:]
             if (record := self.jobs[id].record).stage == CANCELLED
         ]
 
     def learn_cancelled(self, id: str, version: int, tasks: int, done: int) -> None:
-        """A peer tells of a committed cancellation, perhaps before the watch shows it.
+        """Take in a committed cancellation from a peer, perhaps before the watch shows it.
 
-        Into the copy with it, as the watch would put it there: whatever asks about the job
-        from now on, a shard that is loaded or settled later too, finds it over.
+        It goes into the replica as the watch would put it there, so that whatever asks about
+        the job from now on finds it over, also a shard that is loaded or reconciled later.
         """
         final = JobRecord(CANCELLED, tasks, count=done)
         self.replica.learn(keys.job(id), encode(final), version)
 
-    # --- what the leader of a range says ----------------------------------
-
     def task_done(self, job: Job, task: int, urgent: bool) -> None:
-        """An agent has reported a task done."""
+        """Note that an agent has reported a task done; `urgent`: others wait for it."""
         if job.is_finished(task):
             return
         job.local.add(task)
-        self.dirty.add(job.id)
+        self.unwritten.add(job.id)
         if urgent or job.complete:
             job.awaited = True
-            self.wake.set()
-
-    # --- writing -----------------------------------------------------------
-
-    def writable_shard(self, job: Job) -> tuple[int, int] | None:
-        """A part of the job's that this node owns, with its token."""
-        for _, _, shard in job.record.ranges:
-            token = self.guard(shard)
-            if token is not None:
-                return shard, token
-        return None
-
-    async def commit(
-        self, conditions: dict[str, int], changes: list[Write], *, priority: int
-    ) -> bool:
-        """Commit and apply to the copy; False if a condition failed.
-
-        After a conflict the copy is brought up to date before anyone tries again:
-        the usual cause is another leader's write that the watch has yet to show.
-        """
-        try:
-            revision = await self.state_store.commit(conditions, changes, priority=priority)
-        except CompareFailed as conflict:
-            log.debug("conflict on %s", conflict)
-            await self.replica.refresh()
-            return False
-        except LeaseExpired:
-            return False
-        self.replica.apply_own_commit(changes, revision)
-        return True
+            self.unwritten.request_write()
--- a/pitchtally/jobs/progress_writer.py
+++ b/pitchtally/jobs/progress_writer.py
@@ -1,116 +1,136 @@
 """Finished tasks and ended jobs, made durable in batches.
 
 Progress is written at most once a period, unless users or other shards wait for it; the
-write that completes a job goes at once. What the store refuses for its size is put aside:
-nothing is lost, since agents keep what ended until it is durable.
+write that completes a job goes at once. A job whose write the store refuses for its size is
+tried again a period later: nothing is lost, since agents report exits until they are durable.
 """
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Callable
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 
 import trio
 
 from ..formats.job_layout import JobLayout
 from ..formats.migration import JobMigration
-from ..observability.decision_log import Decision, DecisionListener, DecisionReason, ignore_decision
+from ..observability.decision_log import Decision, DecisionListener, DecisionReason
 from ..state_store import keys, rate_limits
 from ..state_store.client import Write
 from ..state_store.errors import InvalidTransaction, StoreUnavailable
+from .commits import JobCommits
 from .index import Job, JobIndex
 from .job_record import DONE, JobRecord, encode
 from .task_bitmap import TaskBitmap
 
-log = logging.getLogger("progress")
+log = logging.getLogger(__name__)
 
-LOOK_EVERY_S = 0.25
+CHECK_INTERVAL_S = 0.25
 # Several completions often come together: a moment's wait batches them.
 BATCHING_S = 0.02
 # Progress that nobody waits for is written after that many periods at the latest.
-LATEST_PERIODS = 12
+MAX_DELAY_PERIODS = 12
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
-    """Writes of one job that go together; several steps where one transaction is too small."""
+class JobWrites:
+    """Writes of one job that share a transaction; one too small for all has several of these."""
 
     job: Job
     changes: list[Write]
     last: bool
 
 
+@dataclass(frozen=True, slots=True)
+class DueJobs:
+    """Jobs whose progress is to be written now, by urgency."""
+
+    complete: list[Job] = field(default_factory=list)
+    urgent: list[Job] = field(default_factory=list)  # users or other shards wait for it
+    routine: list[Job] = field(default_factory=list)
+
+
 class ProgressWriter:
     """The loop that writes what is known here of finished tasks."""
 
     def __init__(
-        self, job_index: JobIndex, layout: JobLayout, migration: JobMigration, period: float
+        self,
+        job_index: JobIndex,
+        commits: JobCommits,
+        layout: JobLayout,
+        migration: JobMigration,
+        period: float,
+        submissions_waiting: Callable[[], bool],
+        on_decision: DecisionListener,
     ):
+        """Eight parameters, one for each component that a write passes through.
+
+        `period`: seconds between two writes of a job's progress that nobody waits for.
+        `submissions_waiting`: whether users wait whose submissions were refused.
+        """
         self.job_index = job_index
-        self.state_store = job_index.state_store
+        self.commits = commits
         self.layout = layout
         self.migration = migration
         self.period = period
-        # Filled in by the service: whether users wait whose submissions were refused.
-        self.submissions_wait: Callable[[], bool] = lambda: False
-        self.on_decision: DecisionListener = ignore_decision
-        self._put_aside: dict[str, float] = {}  # job -> until when it isn't tried again
+        self._submissions_waiting = submissions_waiting
+        self._on_decision = on_decision
+        # Jobs whose write the store refused, and until when they aren't tried again.
+        self._refused_until: dict[str, float] = {}
 
     async def run(self) -> None:
         """Write what is due, again and again."""
         while True:
-            with trio.move_on_after(LOOK_EVERY_S):
-                await self.job_index.wake.wait()
-            self.job_index.wake = trio.Event()
+            await self.job_index.unwritten.wait(CHECK_INTERVAL_S)
             await trio.sleep(BATCHING_S)
             try:
                 await self._flush()
             except StoreUnavailable as error:
                 log.debug("progress not written: %s", error)
-                await trio.sleep(LOOK_EVERY_S)
+                await trio.sleep(CHECK_INTERVAL_S)
 
-    def _due(self) -> tuple[list[Job], list[Job], list[Job]]:
-        """Jobs to write: those that are over, what other shards wait for, the rest."""
+    def _due(self) -> DueJobs:
         now = trio.current_time()
-        over, urgent, later = [], [], []
-        for id in list(self.job_index.dirty):
+        due = DueJobs()
+        for id in self.job_index.unwritten.jobs():
             job = self.job_index.jobs[id]
             if not job.open or not (job.local or job.complete):
-                self.job_index.dirty.discard(id)
-            elif self.job_index.writable_shard(job) is None or self._put_aside.get(id, now) > now:
-                # Another leader will learn of these tasks from the agents' reports.
+                self.job_index.unwritten.discard(id)
+            elif self.commits.writable_shard(job) is None or self._is_refused(id, now):
+                # Another leader will learn of these tasks from agent heartbeats.
                 continue
             elif job.complete:
-                over.append(job)
-            elif job.awaited or (
-                # Under a flood progress comes last, but not never: agents go on
-                # reporting ended tasks until these are durable, a new leader too. So
-                # nothing is lost meanwhile, only reports grow.
-                now - job.flushed_at >= self.period * LATEST_PERIODS
-            ):
-                urgent.append(job)
+                due.complete.append(job)
+            elif job.awaited or now - job.flushed_at >= self.period * MAX_DELAY_PERIODS:
+                # Under a flood progress comes last, but not never: agents go on reporting
+                # exited tasks until these are durable, to a new leader too. So nothing is
+                # lost meanwhile, but heartbeats grow.
+                due.urgent.append(job)
             elif now - job.flushed_at >= self.period:
-                later.append(job)
-        return over, urgent, later
+                due.routine.append(job)
+        return due
+
+    def _is_refused(self, id: str, now: float) -> bool:
+        return self._refused_until.get(id, now) > now
 
     async def _flush(self) -> None:
-        over, urgent, later = self._due()
-        burst = self.state_store.writes.burst
-        first, most_first = rate_limits.COMPLETIONS, burst
-        if self.submissions_wait():
+        due = self._due()
+        burst = self.commits.write_burst
+        completion_priority, completion_burst = rate_limits.COMPLETIONS, burst
+        if self._submissions_waiting():
             # After an outage completions have piled up as well. They are late already, while
             # users whose submissions are refused give up before long: both get their share.
-            first, most_first = rate_limits.ACCEPTANCES, burst / 2
-        await self._write_all(over, first, most_first)
-        await self._write_all(urgent, rate_limits.ACCEPTANCES, burst / 2)
-        # Progress takes no more at once than leaves the next submission its tokens.
-        await self._write_all(later, rate_limits.PROGRESS, burst / 2)
+            completion_priority, completion_burst = rate_limits.ACCEPTANCES, burst / 2
+        await self._write_all(due.complete, completion_priority, completion_burst)
+        await self._write_all(due.urgent, rate_limits.ACCEPTANCES, burst / 2)
+        # Progress takes no more at once than leaves the next submission its permits.
+        await self._write_all(due.routine, rate_limits.PROGRESS, burst / 2)
 
     async def _write_all(self, jobs: list[Job], priority: int, burst: float) -> None:
         """Write jobs in transactions of at most so many changes."""
-        most = min(self.state_store.limits.txn_ops, burst)
-        batch: list[Step] = []
+        most = min(self.commits.max_writes, burst)
+        batch: list[JobWrites] = []
         size = 0
         for job in jobs:
             if not job.complete and self.layout.needs_conversion(job):
@@ -119,74 +139,74 @@
             if batch and size + self._cost(job) > most:
                 await self._write(batch, priority)
                 batch, size = [], 0
-            for step in self._steps(job):
-                if batch and size + len(step.changes) > most:
+            for writes in self._writes_of(job):
+                if batch and size + len(writes.changes) > most:
                     await self._write(batch, priority)
                     batch, size = [], 0
-                batch.append(step)
-                size += len(step.changes)
+                batch.append(writes)
+                size += len(writes.changes)
         if batch:
             await self._write(batch, priority)
 
     def _cost(self, job: Job) -> int:
-        return sum(len(step.changes) for step in self._steps(job))
+        return sum(len(writes.changes) for writes in self._writes_of(job))
 
-    def _steps(self, job: Job) -> list[Step]:
+    def _writes_of(self, job: Job) -> list[JobWrites]:
         """The writes that make this job's local knowledge durable."""
         if not job.open:
             return []  # it ended while others were written
         if job.complete:
             final = JobRecord(DONE, job.record.tasks)
             # Its other keys are removed later (`formats.cleanup`): they mean nothing now.
-            return [Step(job, [Write(keys.job(job.id), encode(final))], last=True)]
+            return [JobWrites(job, [Write(keys.job(job.id), encode(final))], last=True)]
         joined = TaskBitmap(job.record.tasks)
-        joined.join(bytes(job.finished.data))
+        joined.add_bytes(bytes(job.finished.data))
         for task in job.local:
             joined.add(task)
         changes = self.layout.progress(job, joined)
-        most = self.state_store.limits.txn_ops
+        most = self.commits.max_writes
         groups = [changes[i : i + most] for i in range(0, len(changes), most)]
-        return [Step(job, group, last=group is groups[-1]) for group in groups]
+        return [JobWrites(job, group, last=group is groups[-1]) for group in groups]
 
-    async def _write(self, steps: list[Step], priority: int) -> None:
+    async def _write(self, writes: list[JobWrites], priority: int) -> None:
         try:
-            await self._commit(steps, priority)
+            await self._commit(writes, priority)
         except InvalidTransaction as error:
-            if len(steps) > 1:
-                for step in steps:
-                    await self._write([step], priority)
+            if len(writes) > 1:
+                for write in writes:
+                    await self._write([write], priority)
                 return
-            job = steps[0].job
+            job = writes[0].job
             log.info("progress refused job=%s cause=%s", job.id, error)
-            self._put_aside[job.id] = trio.current_time() + self.period
+            self._refused_until[job.id] = trio.current_time() + self.period
 
-    async def _commit(self, steps: list[Step], priority: int) -> None:
+    async def _commit(self, writes: list[JobWrites], priority: int) -> None:
         conditions: dict[str, int] = {}
         changes: list[Write] = []
-        kept: list[Step] = []
-        for step in steps:
-            job = step.job
-            shard = self.job_index.writable_shard(job)
+        kept: list[JobWrites] = []
+        for write in writes:
+            job = write.job
+            shard = self.commits.writable_shard(job)
             if shard is None or not job.open:
                 continue
-            conditions[keys.shard(shard[0])] = shard[1]
+            conditions[keys.shard(shard.shard)] = shard.token
             conditions[keys.job(job.id)] = job.version
-            for change in step.changes:
+            for change in write.changes:
                 # Chunks are written by several leaders: each must join the latest.
-                conditions[change.key] = self.job_index.replica.version(change.key)
-            changes += step.changes
-            kept.append(step)
+                conditions[change.key] = self.commits.replica.version(change.key)
+            changes += write.changes
+            kept.append(write)
         if not kept:
             return
-        if not await self.job_index.commit(conditions, changes, priority=priority):
+        if not await self.commits.commit(conditions, changes, priority=priority):
             return  # whoever waits for it still does
         now = trio.current_time()
-        for step in kept:
-            if not step.last:
+        for write in kept:
+            if not write.last:
                 continue
-            job = step.job
+            job = write.job
             job.flushed_at = now
             job.awaited = False
-            self._put_aside.pop(job.id, None)
+            self._refused_until.pop(job.id, None)
             if job.record.stage == DONE:
-                self.on_decision(Decision.DONE, job.id, DecisionReason(version=job.version))
+                self._on_decision(Decision.DONE, job.id, DecisionReason(version=job.version))
--- a/pitchtally/jobs/task_bitmap.py
+++ b/pitchtally/jobs/task_bitmap.py
@@ -1,4 +1,7 @@
-"""A set of small integers, packed: which tasks of a job are done."""
+"""A set of small integers, one bit each: which tasks of a job are done.
+
+The bit of member n is bit n % 8, counted from the least significant, of byte n // 8.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +9,7 @@
 
 
 class TaskBitmap:
-    """A set of small integers, packed."""
+    """A set of the integers below `size`; members are only ever added."""
 
     __slots__ = ("count", "data", "size")
 
@@ -26,19 +29,22 @@
         self.count += 1
         return True
 
-    def join(self, data: bytes, offset: int = 0) -> None:
-        """Add a bitmap that starts at the byte `offset`."""
+    def add_bytes(self, data: bytes, offset: int = 0) -> None:
+        """Add the members of a bitmap whose first byte is this one's byte `offset`."""
         for i, byte in enumerate(data[: len(self.data) - offset], offset):
             new = byte & ~self.data[i]
             if new:
                 self.data[i] |= new
                 self.count += new.bit_count()
 
-    def join_text(self, text: str, first: int = 0) -> None:
-        """Add a bitmap as `text` gives it; its first bit is the member `first`."""
-        self.join(base64.b64decode(text), first // 8)
+    def add_text(self, text: str, first: int = 0) -> None:
+        """Add the members of a bitmap as `text` gives it; its first bit is the member `first`.
+
+        `first` is a multiple of eight. Raises binascii.Error for text that isn't base64.
+        """
+        self.add_bytes(base64.b64decode(text), first // 8)
 
     def text(self, first: int = 0, size: int | None = None) -> str:
-        """The set, or a stretch of its bytes, as text."""
+        """The set as base64, or `size` of its bytes from the byte `first` on."""
         end = None if size is None else first + size
         return base64.b64encode(bytes(self.data[first:end])).decode()
--- a/pitchtally/scheduling/quotas.py
+++ b/pitchtally/scheduling/quotas.py
@@ -319,7 +319,9 @@
         conditions = {keys.shard(shard): token, **versions}
         self.giving[(shard, team.name)] = give
         try:
-            await self.job_index.commit(conditions, [change], priority=rate_limits.ACCEPTANCES)
+            await self.scheduler.commits.commit(
+                conditions, [change], priority=rate_limits.ACCEPTANCES
+            )
         except StoreUnavailable as error:
             await self.scheduler.resolve_outcome(
                 error,
--- a/pitchtally/scheduling/scheduler.py
+++ b/pitchtally/scheduling/scheduler.py
@@ -22,6 +22,7 @@
 from ..config.policy import Policy
 from ..config.settings import Settings
 from ..formats.migration import JobMigration
+from ..jobs.commits import JobCommits
 from ..jobs.index import Job, JobIndex
 from ..jobs.job_record import JobRecord, TaskRange, merge
 from ..jobs.resources import dominant_share, resource_request
@@ -75,6 +76,7 @@
         policy: Policy,
         membership: Membership,
         job_index: JobIndex,
+        commits: JobCommits,
         agents: AgentManager,
         replica: Replica,
         migration: JobMigration,
@@ -86,6 +88,7 @@
         self.policy = policy
         self.membership = membership
         self.job_index = job_index
+        self.commits = commits
         self.agents = agents
         self.types = types
         self.count = settings.deployment.count
@@ -271,7 +274,7 @@
         if not self.layout.record_fits(value):
             return False  # too many pieces for a record: the tasks stay where they are
         try:
-            return await self.job_index.commit(
+            return await self.commits.commit(
                 {key: job.version, **guard}, [Write(key, value)], priority=priority
             )
         except InvalidTransaction as error:
@@ -306,7 +309,7 @@
             self.replica.version(name) == version for name, version in versions.items()
         ):
             try:
-                await self.job_index.commit(
+                await self.commits.commit(
                     {**versions, keys.shard(shard): token},
                     [Write(key, value())],
                     priority=rate_limits.ACCEPTANCES,
--- a/pitchtally/scheduling/shards.py
+++ b/pitchtally/scheduling/shards.py
@@ -34,7 +34,7 @@
         super().__init__(scheduler)
         self.work: dict[int, ShardState] = {}
         self.recent: dict[tuple[object, ...], user_api.JobSpec] = {}  # a job of each shape seen
-        self.job_index.watchers.append(self.on_job)
+        self.job_index.subscribe(self.on_job)
 
     def shard_acquired(self, shard: int) -> None:
         """A part is ours; nothing of it is known yet."""
--- a/tests/cluster/test_large_fleet.py
+++ b/tests/cluster/test_large_fleet.py
@@ -481,7 +481,7 @@
             written.extend(changes)
             return True
 
-        leader.job_index.commit = commit  # type: ignore[method-assign]
+        leader.commits.commit = commit  # type: ignore[method-assign]
         for number in range(0, 930, 3):
             await leader.agents.serve(_heartbeat(number, 1, 50, []))
         await leader.agents.records._write(leader.agents.shards[0])
--- a/tests/jobs/test_building_blocks.py
+++ b/tests/jobs/test_building_blocks.py
@@ -24,9 +24,9 @@
         assert stays_in_one_shard.add(index)
         assert not stays_in_one_shard.add(index)
     copy = TaskBitmap(100)
-    copy.join(bytes(stays_in_one_shard.data[:5]))
-    copy.join(bytes(stays_in_one_shard.data[5:]), 5)
-    copy.join(bytes(stays_in_one_shard.data))
+    copy.add_bytes(bytes(stays_in_one_shard.data[:5]))
+    copy.add_bytes(bytes(stays_in_one_shard.data[5:]), 5)
+    copy.add_bytes(bytes(stays_in_one_shard.data))
     assert copy.count == 40
     assert all((i in copy) == (i in chosen) for i in range(100))
 
--- a/tests/state_store/test_size_limits.py
+++ b/tests/state_store/test_size_limits.py
@@ -63,7 +63,7 @@
         tasks = controller.gate.legacy_chunk_tasks
     job_ = _open_job(controller, tasks, _spec(tasks))
     assert not job_.chunk_tasks
-    job_.finished.join(b"\xff" * (tasks // 8))
+    job_.finished.add_bytes(b"\xff" * (tasks // 8))
     ranges = [TaskRange(i * 50, i * 50 + 50, i % 3) for i in range(43)]
     return len(controller.scheduler._record_with(job_, ranges=ranges))
 
@@ -73,7 +73,7 @@
     wide = _open_job(controller, 100_000, _spec(100_000))
     assert wide.chunk_tasks
     wide.local = set(range(100_000 - 1))
-    steps = controller.progress._steps(wide)
+    steps = controller.progress._writes_of(wide)
     assert all(len(step.changes) <= controller.state_store.limits.txn_ops for step in steps)
     return max(len(change.value or b"") for step in steps for change in step.changes)
 
