--- /dev/null
+++ b/pitchtally/agents/commands/agent_client.py
@@ -0,0 +1,42 @@
+"""Calls of the agents' own HTTP interface."""
+
+from __future__ import annotations
+
+import msgspec
+
+from ...config.settings import MachineLimits, host_port
+from ...http import Client, HttpError, Response
+from ...protocol import agent_api
+
+# Of all sockets, one in so many for calls under way, twice (stops, and probes apart), and as
+# many kept open: a shard may hold more machines than there are sockets.
+SOCKETS_PER_CALL = 30
+MIN_CALLS = 8
+KEEP_ALIVE_S = 8.0
+
+_encode = msgspec.json.encode
+
+
+class AgentClient:
+    """An HTTP client for agents, with a bound on calls under way."""
+
+    def __init__(self, limits: MachineLimits, call_timeout: float):
+        self.max_calls = max(MIN_CALLS, limits.max_connections // SOCKETS_PER_CALL)
+        self._call_timeout = call_timeout
+        self._client = Client(keep=1, most=self.max_calls, idle=KEEP_ALIVE_S)
+
+    async def post_commands(self, address: str, request: agent_api.CommandRequest) -> Response:
+        """Send commands; raises HttpError, and ValueError for an address that isn't one."""
+        return await self._client.call(
+            host_port(address), "POST", "/commands", _encode(request), timeout=self._call_timeout
+        )
+
+    async def is_answering(self, address: str) -> bool:
+        """Whether an agent answers at all, within half the usual time."""
+        try:
+            response = await self._client.call(
+                host_port(address), "GET", "/status", timeout=self._call_timeout / 2
+            )
+        except (HttpError, ValueError):
+            return False
+        return response.status == 200
--- /dev/null
+++ b/pitchtally/agents/commands/builder.py
@@ -0,0 +1,142 @@
+"""The commands that an agent gets, from the state of its machine."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+import trio
+
+from ...jobs.index import Job
+from ...observability.decision_log import Decision, DecisionListener, DecisionReason
+from ...protocol import agent_api
+from ..led_shard import LedShard
+from ..listener import Freshness, SchedulerConnection
+from ..machine import Machine, Placement
+from ..task_keys import belongs_to_closed_job
+
+# An agent reads no line over 64 KiB: what goes beyond so many commands waits for the next.
+MAX_COMMANDS = 500
+# A task that was given this many times its grace, and some seconds, is stopped without any.
+OVERDUE_GRACES = 2
+OVERDUE_MARGIN_S = 5
+
+
+class CommandBuilder:
+    """Makes the commands of responses and of direct calls, and notes what has been sent."""
+
+    def __init__(
+        self,
+        shards: Mapping[int, LedShard],
+        jobs: Mapping[str, Job],
+        freshness: Freshness,
+        scheduler: SchedulerConnection,
+        acknowledge_interval: float,
+        on_decision: DecisionListener,
+    ):
+        """`acknowledge_interval`: seconds between two acknowledgements that go alone."""
+        self._shards = shards
+        self._jobs = jobs
+        self._freshness = freshness
+        self._scheduler = scheduler
+        self._acknowledge_interval = acknowledge_interval
+        self._on_decision = on_decision
+
+    def for_heartbeat(
+        self, machine: Machine, heartbeat: agent_api.AgentHeartbeat
+    ) -> list[agent_api.Command]:
+        """What the response to a heartbeat commands: stops, acknowledgements, then starts."""
+        now = trio.current_time()
+        commands = self.stops(machine)
+        starts = self._starts(machine, heartbeat, now)
+        # An agent reports each acknowledged exit as a change: beside a start that costs
+        # nothing more, alone once a heartbeat interval will do.
+        if starts or now - machine.exits_acknowledged_at >= self._acknowledge_interval:
+            acknowledgements = self._acknowledgements(machine)
+            if acknowledgements:
+                machine.exits_acknowledged_at = now
+                commands += acknowledgements
+        commands += starts
+        if len(commands) <= MAX_COMMANDS:
+            return commands
+        self._postpone_starts(machine, commands[MAX_COMMANDS:])
+        return commands[:MAX_COMMANDS]
+
+    def stops(self, machine: Machine) -> list[agent_api.Command]:
+        """Stop commands for all that must end on a machine."""
+        now = trio.current_time()
+        commands = []
+        for key, placement in machine.placements.items():
+            if not placement.job.open:
+                placement.stop_grace = 0.0
+            if placement.stop_grace is None:
+                continue
+            # One that should have saved its work by now is ended: its capacity is needed.
+            overdue = (
+                placement.stop_commanded_at
+                and now - placement.stop_commanded_at
+                > placement.stop_grace * OVERDUE_GRACES + OVERDUE_MARGIN_S
+            )
+            grace = 0.0 if overdue else placement.stop_grace
+            if not placement.stop_commanded_at:
+                placement.stop_commanded_at = now
+                self._log_decision(Decision.STOP, placement)
+            commands.append(agent_api.Command(agent_api.STOP, key, placement.attempt, grace))
+        commands += [
+            agent_api.Command(agent_api.STOP, key, attempt, 0.0)
+            for key, attempt in machine.orphans.items()
+        ]
+        return commands
+
+    def stops_of_closed_jobs(self, heartbeat: agent_api.AgentHeartbeat) -> list[agent_api.Command]:
+        """Stop commands for listed tasks of jobs that are over, whichever attempt they are."""
+        return [
+            agent_api.Command(agent_api.STOP, task.task, task.attempt, 0.0)
+            for task in heartbeat.tasks
+            if task.state != agent_api.EXITED and belongs_to_closed_job(self._jobs, task.task)
+        ][:MAX_COMMANDS]
+
+    def _starts(
+        self, machine: Machine, heartbeat: agent_api.AgentHeartbeat, now: float
+    ) -> list[agent_api.Command]:
+        commands: list[agent_api.Command] = []
+        if not machine.schedulable or not self._freshness.may_start_tasks():
+            return commands
+        for placement in self._scheduler.starter.schedule_on(machine):
+            placement.start_heartbeat_seq = heartbeat.seq
+            placement.placed_at = now
+            self._log_decision(Decision.START, placement)
+            commands.append(agent_api.Command(agent_api.START, placement.key, placement.attempt))
+        return commands
+
+    def _acknowledgements(self, machine: Machine) -> list[agent_api.Command]:
+        return [
+            agent_api.Command(agent_api.ACKNOWLEDGE, key, task_exit.attempt)
+            for key, task_exit in machine.exits.items()
+            if task_exit.cause != agent_api.DONE or self._is_durable(key)
+        ]
+
+    def _is_durable(self, key: str) -> bool:
+        """Whether a task's success is in the store; until then the agent must go on listing it."""
+        id, _, number = key.rpartition("/")
+        job = self._jobs.get(id)
+        if job is None or not job.open or job.service:
+            return True
+        return int(number) in job.finished
+
+    @staticmethod
+    def _postpone_starts(machine: Machine, dropped: list[agent_api.Command]) -> None:
+        for command in dropped:
+            if command.op != agent_api.START:
+                continue
+            placement = machine.placements.get(command.task)
+            if placement is not None:
+                placement.start_heartbeat_seq = 0
+
+    def _log_decision(self, decision: Decision, placement: Placement) -> None:
+        led_shard = self._shards.get(placement.machine.shard)
+        reason = DecisionReason(
+            placement.job.version,
+            token=led_shard.token if led_shard is not None else None,
+            machine=placement.machine.name,
+        )
+        self._on_decision(decision, placement.key, reason)
--- /dev/null
+++ b/pitchtally/agents/commands/sender.py
@@ -0,0 +1,86 @@
+"""The loop that calls agents: stops at once, and after a failover our fencing token.
+
+Never a start: a command held up on its way could run minutes later, while a late response to a
+heartbeat is dropped.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+
+import trio
+
+from ..led_shard import LedShard
+from ..machine import Machine
+from ..machine_index import MachineIndex
+from .call import CommandCall
+from .queue import CommandQueue
+
+# Several stops often come together: a moment's wait batches them.
+BATCHING_S = 0.01
+
+
+class CommandSender:
+    """Chooses which agents to call: those with stops, suspects, and unreachable ones."""
+
+    def __init__(
+        self,
+        index: MachineIndex,
+        shards: Mapping[int, LedShard],
+        queue: CommandQueue,
+        call: CommandCall,
+        load_shard: Callable[[LedShard], None],
+        interval: float,
+        max_calls: int,
+    ):
+        """Eight parameters: the state to look at, what to do about it, and two limits.
+
+        `load_shard` loads a shard once the replica allows it. `interval`: seconds between two
+        looks at suspect and unreachable machines. `max_calls`: calls of a kind at a time.
+        """
+        self._index = index
+        self._shards = shards
+        self._queue = queue
+        self._call = call
+        self._load_shard = load_shard
+        self._interval = interval
+        self._stops = trio.CapacityLimiter(max_calls)
+        # Apart: machines that can't be reached must not hold up stops for those that can.
+        self._probes = trio.CapacityLimiter(max_calls)
+
+    async def run(self) -> None:
+        """Call agents for as long as this node runs."""
+        async with trio.open_nursery() as nursery:
+            while True:
+                await self._queue.wait(self._interval)
+                await trio.sleep(BATCHING_S)
+                for led_shard in list(self._shards.values()):
+                    self._load_shard(led_shard)
+                    self._probe_suspects(nursery, led_shard)
+                self._probe_unreachable(nursery)
+                self._send_stops(nursery)
+
+    def _probe_suspects(self, nursery: trio.Nursery, led_shard: LedShard) -> None:
+        for name in list(led_shard.suspects):
+            machine = self._index.machines.get(name)
+            if machine is not None and self._probes.available_tokens:
+                nursery.start_soon(self._send, machine, led_shard, self._probes)
+
+    def _probe_unreachable(self, nursery: trio.Nursery) -> None:
+        for machine in list(self._index.machines.values()):
+            led_shard = self._shards.get(machine.shard)
+            if machine.unreachable and led_shard is not None and self._probes.available_tokens:
+                nursery.start_soon(self._send, machine, led_shard, self._probes)
+
+    def _send_stops(self, nursery: trio.Nursery) -> None:
+        for name in self._queue.take():
+            machine = self._index.machines.get(name)
+            led_shard = self._shards.get(machine.shard) if machine else None
+            if machine is not None and led_shard is not None and machine.confirmed:
+                nursery.start_soon(self._send, machine, led_shard, self._stops)
+
+    async def _send(
+        self, machine: Machine, led_shard: LedShard, limit: trio.CapacityLimiter
+    ) -> None:
+        async with limit:
+            await self._call.send(machine, led_shard)
--- /dev/null
+++ b/pitchtally/agents/failover.py
@@ -0,0 +1,91 @@
+"""A shard acquired by failover: which machines may hold tasks, and when all are known."""
+
+from __future__ import annotations
+
+import logging
+
+import trio
+
+from ..state_store.replica import Replica
+from .led_shard import LedShard
+from .listener import SchedulerConnection
+from .machine import Machine
+from .machine_index import MachineIndex
+from .machine_records import MachineRecords
+
+log = logging.getLogger(__name__)
+
+
+class ShardFailover:
+    """Takes each led shard from acquired over loaded to reconciled."""
+
+    def __init__(
+        self,
+        index: MachineIndex,
+        shards: dict[int, LedShard],
+        records: MachineRecords,
+        replica: Replica,
+        scheduler: SchedulerConnection,
+    ):
+        self._index = index
+        self._shards = shards
+        self._records = records
+        self._replica = replica
+        self._scheduler = scheduler
+
+    def acquire(self, shard: int, token: int) -> None:
+        """This node leads a shard under a new fencing token."""
+        self.release(shard)
+        self._shards[shard] = LedShard(shard, token)
+
+    def release(self, shard: int) -> None:
+        """Forget a shard that this node doesn't lead any more."""
+        if self._shards.pop(shard, None) is None:
+            return
+        self._index.remove_shard(shard)
+        self._scheduler.listener.shard_lost(shard)
+
+    def load(self, led_shard: LedShard) -> None:
+        """Add the recorded machines, once the replica includes everything up to the failover."""
+        if led_shard.loaded or self._replica.revision < led_shard.token:
+            return
+        led_shard.loaded = True
+        for name, row in self._records.of(led_shard.shard).items():
+            if name in self._index.terminated:
+                continue  # gone for certain; the record is about to say so too
+            machine = self._index.machines.get(name)
+            if machine is None:
+                machine = self._index.add(name, row.type, row.zone, row.spot, row.address)
+                machine.lost = True  # until it is heard
+                machine.last_heartbeat_at = machine.lease_renewed_at = led_shard.acquired_at
+            machine.recorded = True
+            if not machine.confirmed:
+                led_shard.add_suspect(machine)
+        listener = self._scheduler.listener
+        listener.shard_loaded(led_shard.shard)
+        if led_shard.suspects:
+            listener.suspects_changed(led_shard.shard, led_shard.suspect_groups.keys())
+        log.info("shard loaded shard=%d machines=%d", led_shard.shard, len(led_shard.suspects))
+        self._finish_if_reconciled(led_shard)
+
+    def clear_suspect(self, led_shard: LedShard, machine: Machine) -> None:
+        """A machine is heard, or gone: it holds nothing that isn't known."""
+        if machine.name not in led_shard.suspects:
+            return
+        last_of_group = led_shard.clear_suspect(machine)
+        if last_of_group and led_shard.loaded and led_shard.suspects:
+            self._scheduler.listener.suspects_changed(
+                led_shard.shard, led_shard.suspect_groups.keys()
+            )
+        self._finish_if_reconciled(led_shard)
+
+    def _finish_if_reconciled(self, led_shard: LedShard) -> None:
+        if led_shard.reconciled or not led_shard.loaded or led_shard.suspects:
+            return
+        led_shard.reconciled = True
+        log.info(
+            "shard reconciled shard=%d after=%.1f",
+            led_shard.shard,
+            trio.current_time() - led_shard.acquired_at,
+        )
+        self._scheduler.listener.shard_reconciled(led_shard.shard)
--- /dev/null
+++ b/pitchtally/agents/heartbeats/status_intake.py
@@ -0,0 +1,94 @@
+"""A status taken in, from a heartbeat or from the answer to a call."""
+
+from __future__ import annotations
+
+import logging
+
+import trio
+
+from ...protocol import agent_api
+from ..commands.task_control import TaskControl
+from ..failover import ShardFailover
+from ..led_shard import LedShard
+from ..listener import LossCause
+from ..machine import Machine
+from ..machine_index import MachineIndex
+from ..machine_records import MachineRecords
+from ..reachability import Reachability
+from .reconciliation import Reconciler
+
+log = logging.getLogger(__name__)
+
+
+class StatusIntake:
+    """Decides whether a status is news, and brings its machine up to it."""
+
+    def __init__(
+        self,
+        index: MachineIndex,
+        control: TaskControl,
+        reconciler: Reconciler,
+        failover: ShardFailover,
+        records: MachineRecords,
+        reachability: Reachability,
+    ):
+        self._index = index
+        self._control = control
+        self._reconciler = reconciler
+        self._failover = failover
+        self._records = records
+        self._reachability = reachability
+
+    def observe(
+        self, status: agent_api.AgentHeartbeat, led_shard: LedShard, *, direct: bool
+    ) -> Machine | None:
+        """Take in a status; None if it is older than what is known, or may be.
+
+        Only our fencing token proves that a status was made after this node acquired the
+        shard: any other may be a copy, late by more than a lease, of a machine long gone.
+        """
+        machine = self._index.machines.get(status.machine)
+        if status.token != led_shard.token:
+            if machine is not None and direct and status.epoch > machine.epoch:
+                machine.epoch = status.epoch  # what the next command must name
+                machine.seq = -1
+            return None
+        if machine is None:
+            machine = self._index.add(
+                status.machine, status.type, status.zone, status.spot, status.address
+            )
+        if (status.epoch, status.seq) <= (machine.epoch, machine.seq):
+            return None
+        now = trio.current_time()
+        self._update_machine(machine, status, now)
+        self._reconciler.reconcile(machine, status, direct=direct)
+        if not machine.confirmed:
+            machine.confirmed = True
+            # Until it saw our fencing token, an earlier leader may have renewed its lease.
+            machine.idle_since = machine.lease_renewed_at = now
+        self._failover.clear_suspect(led_shard, machine)
+        if not machine.recorded:
+            self._records.request_write()
+        if machine.placements:
+            machine.idle_since = now
+        return machine
+
+    def _update_machine(
+        self, machine: Machine, status: agent_api.AgentHeartbeat, now: float
+    ) -> None:
+        """Bring all but the machine's tasks up to a status."""
+        if machine.machine_type is None:
+            self._index.update_machine_type(machine)
+        if status.address:
+            machine.address = status.address
+        if status.epoch > machine.epoch and machine.epoch:
+            log.info("agent epoch new machine=%s tasks=%d", machine.name, len(machine.placements))
+            self._control.remove_all(machine, LossCause.NEW_EPOCH)
+        machine.epoch, machine.seq = status.epoch, status.seq
+        machine.last_heartbeat_at = self._reachability.last_heard_at = now
+        if machine.lost:
+            machine.lost = False
+            machine.idle_since = now
+        if status.notice is not None and machine.preemption_at is None:
+            log.info("preemption notice machine=%s in=%.1f", machine.name, status.notice)
+        machine.preemption_at = None if status.notice is None else now + status.notice
--- /dev/null
+++ b/pitchtally/agents/heartbeats/task_exits.py
@@ -0,0 +1,59 @@
+"""What a task's exit says of its machine and its job."""
+
+from __future__ import annotations
+
+import logging
+
+import trio
+
+from ...protocol import agent_api
+from ..commands.task_control import TaskControl
+from ..listener import SchedulerConnection
+from ..machine import Machine, Placement
+
+log = logging.getLogger(__name__)
+
+
+def note_success(machine: Machine) -> None:
+    """A task has succeeded on the machine: what failed on it before isn't its fault."""
+    machine.failures_by_job.clear()
+    machine.last_failure_at.clear()
+    machine.consecutive_errors = 0
+
+
+def note_error(machine: Machine, job_id: str, now: float) -> None:
+    """A task of a job has failed on the machine."""
+    machine.consecutive_errors += 1
+    machine.failures_by_job[job_id] = machine.failures_by_job.get(job_id, 0) + 1
+    machine.last_failure_at[job_id] = now
+
+
+class ExitHandler:
+    """Takes in exits of tasks that are placed, once each."""
+
+    def __init__(self, control: TaskControl, scheduler: SchedulerConnection):
+        self._control = control
+        self._scheduler = scheduler
+
+    def handle(self, placement: Placement, cause: str) -> None:
+        """A task has exited; `cause` is one of the agent's exit causes, or unknown to us."""
+        now = trio.current_time()
+        machine, job = placement.machine, placement.job
+        if cause == agent_api.DONE and placement.spec.is_service:
+            # It should have gone on: nothing is finished, nor does it speak for the machine.
+            log.info("replica exited task=%s machine=%s", placement.key, machine.name)
+        elif cause == agent_api.DONE:
+            note_success(machine)
+            self._report_completed(placement, now)
+        elif cause == agent_api.ERROR:
+            note_error(machine, job.id, now)
+            log.info("task failed task=%s machine=%s", placement.key, machine.name)
+        elif cause != agent_api.STOPPED:
+            log.info("task exited task=%s machine=%s cause=%s", placement.key, machine.name, cause)
+        self._control.remove(placement, cause)
+
+    def _report_completed(self, placement: Placement, now: float) -> None:
+        since = placement.running_since
+        ran = now - since if since is not None else -1.0
+        if placement.job.open:
+            self._scheduler.listener.task_completed(placement, ran)
--- /dev/null
+++ b/pitchtally/agents/lease_expiry.py
@@ -0,0 +1,88 @@
+"""Machines that aren't heard: their leases expire, and what they held is given up."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Mapping
+
+import trio
+
+from ..config.settings import AgentTimes
+from ..membership.freshness import lease_over
+from .commands.task_control import TaskControl
+from .led_shard import LedShard
+from .listener import Freshness, LossCause
+from .machine import Machine
+from .machine_index import MachineIndex
+
+log = logging.getLogger(__name__)
+
+# Looks at all machines per heartbeat interval.
+CHECKS_PER_HEARTBEAT = 4
+# After a preemption notice has run out, so many intervals without a heartbeat mean it is gone.
+PREEMPTED_SILENT_HEARTBEATS = 2
+# An unrecorded machine is forgotten after so many times the heartbeat timeout.
+FORGET_TIMEOUTS = 4
+
+
+class LeaseExpiry:
+    """Gives up placements once the machine's lease must have expired."""
+
+    def __init__(
+        self,
+        index: MachineIndex,
+        shards: Mapping[int, LedShard],
+        control: TaskControl,
+        freshness: Freshness,
+        times: AgentTimes,
+        heartbeat_timeout: float,
+    ):
+        """`heartbeat_timeout`: seconds without a heartbeat after which a machine counts as lost."""
+        self._index = index
+        self._shards = shards
+        self._control = control
+        self._freshness = freshness
+        self._times = times
+        self._heartbeat_timeout = heartbeat_timeout
+
+    async def run(self) -> None:
+        """Look at all machines, again and again."""
+        while True:
+            await trio.sleep(self._times.report_s / CHECKS_PER_HEARTBEAT)
+            now = trio.current_time()
+            leading_until = self._freshness.leadership_verified_at()
+            resumed_at = self._freshness.resumed_at()
+            for machine in list(self._index.machines.values()):
+                if machine.shard in self._shards:
+                    self._check(machine, now, leading_until, resumed_at)
+
+    def _check(self, machine: Machine, now: float, leading_until: float, resumed_at: float) -> None:
+        silent_for = now - max(machine.last_heartbeat_at, resumed_at)
+        if self._lease_has_expired(machine, leading_until):
+            log.info("lease expired machine=%s tasks=%d", machine.name, len(machine.placements))
+            machine.lost = True
+            self._control.remove_all(machine, LossCause.LEASE_EXPIRED)
+        if silent_for > self._heartbeat_timeout or self._is_preempted(machine, now, silent_for):
+            machine.lost = True
+        forgotten_after = self._heartbeat_timeout * FORGET_TIMEOUTS
+        if machine.lost and not machine.recorded and silent_for > forgotten_after:
+            self._index.remove(machine.name)
+
+    def _lease_has_expired(self, machine: Machine, leading_until: float) -> bool:
+        """Whether a machine's lease is over, and nobody but us can have renewed it.
+
+        Only our responses renew it, and none has for a whole lease. Cut off from all who could
+        tell, we wait: a new leader may be renewing it.
+        """
+        held = not machine.lost or machine.placements
+        if not machine.confirmed or not held:
+            return False
+        return leading_until > lease_over(machine.lease_renewed_at, self._times)
+
+    def _is_preempted(self, machine: Machine, now: float, silent_for: float) -> bool:
+        """Announced by the provider, and silent since: that comes before the lease's end."""
+        return (
+            machine.preemption_at is not None
+            and now > machine.preemption_at
+            and silent_for > self._times.report_s * PREEMPTED_SILENT_HEARTBEATS
+        )
--- a/pitchtally/agents/machine_records.py
+++ b/pitchtally/agents/machine_records.py
@@ -1,30 +1,37 @@
 """The record, in the state store, of the machines that may hold tasks.
 
-A later leader of a shard must know every place where a task may be, so no task starts
-on a machine that isn't in here, and a name leaves only once its machine is gone.
+A later leader of a shard must know every machine where a task may be, so no task starts on a
+machine that isn't recorded, and a name leaves the record only once its machine is gone. A
+shard's record is cut into chunks, each a value of the store (`formats.machine_layout`).
 """
 
 from __future__ import annotations
 
 import logging
-from collections.abc import Iterable
-from typing import TYPE_CHECKING, NamedTuple
+from collections.abc import Iterable, Mapping
+from typing import NamedTuple
 
 import msgspec
 import trio
 
+from ..config.settings import StateLimits
 from ..formats import legacy, machine_layout
+from ..formats.gate import FormatGate
+from ..jobs.commits import JobCommits
 from ..state_store import keys, rate_limits
 from ..state_store.client import Write
 from ..state_store.errors import InvalidTransaction, StoreUnavailable
 from .led_shard import LedShard
+from .machine_index import MachineIndex
 
-if TYPE_CHECKING:
-    from .manager import AgentManager
+log = logging.getLogger(__name__)
 
-log = logging.getLogger("records")
-
-encode = msgspec.json.encode
+# Machines come in batches: a moment's wait lets one write hold several.
+BATCHING_S = 0.03
+# Between two passes while the store is unavailable.
+RETRY_INTERVAL_S = 0.2
+# Longer numbers in names aren't the cloud's, and take the first chunk.
+MAX_NUMBER_DIGITS = 18
 
 
 class MachineRow(NamedTuple):
@@ -36,115 +43,147 @@
     address: str
 
 
+MachineRows = dict[str, MachineRow]  # by machine name
+
+
 class MachineRecords:
-    """Chunks of a shard's record: names with type, zone, kind and address."""
-
-    def __init__(self, agents: AgentManager) -> None:
-        self.agents = agents
-        self.gate = agents.job_index.gate
-        self.chunks: dict[keys.MachineChunk, dict[str, MachineRow]] = {}
-        self.wake = trio.Event()
-        limits = agents.settings.deployment.state_to_keep
+    """Chunks of all shards' records as read, and the writer of those of led shards."""
+
+    def __init__(
+        self,
+        index: MachineIndex,
+        shards: Mapping[int, LedShard],
+        commits: JobCommits,
+        gate: FormatGate,
+        limits: StateLimits,
+        interval: float,
+    ):
+        """`interval`: seconds between two passes over the led shards, unless one is requested."""
+        self.gate = gate
+        self.chunks: dict[keys.MachineChunk, MachineRows] = {}
         self.span = machine_layout.machines_per_chunk(int(limits.value_kb * 1024))
-        self._refused = False  # the store takes chunks of the old layout no more
-        agents.replica.listen(keys.MACHINES_PREFIX, self._on_record)
+        self._index = index
+        self._shards = shards
+        self._commits = commits
+        self._interval = interval
+        self._write_requested = trio.Event()
+        self._legacy_refused = False  # the store takes chunks of the old layout no more
+        commits.replica.listen(keys.MACHINES_PREFIX, self._on_record)
 
     def _on_record(self, key: str, value: bytes | None, version: int) -> None:
-        where = keys.parse_machines(key)
+        chunk = keys.parse_machines(key)
         if value is None:
-            self.chunks.pop(where, None)
+            self.chunks.pop(chunk, None)
         else:
-            self.chunks[where] = msgspec.json.decode(value, type=dict[str, MachineRow])
+            self.chunks[chunk] = msgspec.json.decode(value, type=MachineRows)
 
     def chunk_of(self, machine: str) -> int:
-        """The number of the chunk that names a machine in the layout to write."""
+        """The number of the chunk that names a machine, in the layout to write."""
         digits = machine.rpartition("-")[2]
-        number = int(digits) if digits.isdigit() and len(digits) < 19 else 0
-        place = number // self.agents.count
-        if self.gate.open or self._refused:
+        number = int(digits) if digits.isdigit() and len(digits) <= MAX_NUMBER_DIGITS else 0
+        place = number // self._index.shard_count
+        if self.gate.open or self._legacy_refused:
             return machine_layout.chunk_of(place, self.span)
         return place // legacy.machines_per_chunk(self.gate.value_kb)
 
-    def of(self, shard: int) -> dict[str, MachineRow]:
+    def of(self, shard: int) -> MachineRows:
         """Every recorded machine of a shard."""
-        out: dict[str, MachineRow] = {}
-        for (p, _), chunk in self.chunks.items():
-            if p == shard:
-                out.update(chunk)
-        return out
+        rows: MachineRows = {}
+        for chunk, chunk_rows in self.chunks.items():
+            if chunk.shard == shard:
+                rows.update(chunk_rows)
+        return rows
+
+    def request_write(self) -> None:
+        """Have the records of led shards brought up to date at once."""
+        self._write_requested.set()
 
     async def run(self) -> None:
-        """Write the records of our shards whenever their machines change."""
+        """Write the records of led shards whenever their machines change."""
         while True:
-            with trio.move_on_after(self.agents.times.report_s):
-                await self.wake.wait()
-            self.wake = trio.Event()
-            await trio.sleep(0.03)  # machines come in batches
-            for led_shard in list(self.agents.shards.values()):
+            with trio.move_on_after(self._interval):
+                await self._write_requested.wait()
+            self._write_requested = trio.Event()
+            await trio.sleep(BATCHING_S)
+            for led_shard in list(self._shards.values()):
                 try:
-                    await self._write(led_shard)
+                    await self.write(led_shard)
                 except StoreUnavailable as error:
-                    log.debug("fleet record: %s", error)
-                    await trio.sleep(0.2)
+                    log.debug("machine records not written: %s", error)
+                    await trio.sleep(RETRY_INTERVAL_S)
 
-    async def _write(self, led_shard: LedShard) -> None:
+    async def write(self, led_shard: LedShard) -> None:
         """Bring a shard's record up to its machines, chunk by chunk.
 
         A machine is named in its new chunk before it leaves one of another layout, so it is
-        named somewhere at any moment, whenever this node ends.
+        named somewhere at any moment, whenever this node ends. Raises StoreUnavailable.
         """
         if not led_shard.loaded:
             return
+        names = self._names_by_chunk(led_shard.shard)
+        emptied = {chunk.chunk for chunk in self.chunks if chunk.shard == led_shard.shard}
+        for number in [*sorted(names), *sorted(emptied - set(names))]:
+            # At thousands of machines a pass has dozens of chunks, and waits for permits and
+            # answers between them. So the shard is looked at anew before each.
+            if not self._is_led(led_shard):
+                return
+            if not await self._write_chunk(led_shard, number, names.get(number, [])):
+                return
+
+    def _names_by_chunk(self, shard: int) -> dict[int, list[str]]:
+        """The machines that the record is to name: those that may hold tasks."""
         names: dict[int, list[str]] = {}
-        for machine in self.agents.of_shard(led_shard.shard):
+        for machine in self._index.of_shard(shard):
             if machine.confirmed or machine.recorded:
                 names.setdefault(self.chunk_of(machine.name), []).append(machine.name)
-        others = {chunk for shard, chunk in self.chunks if shard == led_shard.shard} - set(names)
-        for chunk in [*sorted(names), *sorted(others)]:
-            # At thousands of machines a pass has dozens of chunks, and waits for tokens
-            # and answers between them. So the shard is looked at anew before each.
-            if self.agents.shards.get(led_shard.shard) is not led_shard:
-                return
-            if not await self._write_chunk(led_shard, chunk, names.get(chunk, [])):
-                return
+        return names
 
-    async def _write_chunk(self, led_shard: LedShard, chunk: int, names: list[str]) -> bool:
+    def _is_led(self, led_shard: LedShard) -> bool:
+        return self._shards.get(led_shard.shard) is led_shard
+
+    async def _write_chunk(self, led_shard: LedShard, number: int, names: list[str]) -> bool:
         """Write a chunk as it should be; False if it doesn't stand so afterwards."""
-        # A machine that went since the pass began is left out: its row would outlive it.
-        rows = {
-            name: MachineRow(machine.type, machine.zone, machine.spot, machine.address)
-            for name in names
-            if (machine := self.agents.machines.get(name)) is not None
-        }
-        if rows == self.chunks.get(keys.MachineChunk(led_shard.shard, chunk), {}):
+        rows = self._rows(names)
+        if rows == self.chunks.get(keys.MachineChunk(led_shard.shard, number), {}):
             self._mark_recorded(rows)
             return True
-        key = keys.machines(led_shard.shard, chunk)
+        key = keys.machines(led_shard.shard, number)
         conditions = {
             keys.shard(led_shard.shard): led_shard.token,
-            key: self.agents.replica.version(key),
+            key: self._commits.replica.version(key),
         }
-        # A name leaves the record only once its machine is known to be gone.
-        value = encode(rows) if rows or not self.gate.open else None
+        # Until the format gate opens an emptied chunk stays, as the old format has it.
+        value = msgspec.json.encode(rows) if rows or not self.gate.open else None
         try:
-            done = await self.agents.commits.commit(
+            done = await self._commits.commit(
                 conditions, [Write(key, value)], priority=rate_limits.COMPLETIONS
             )
         except InvalidTransaction as error:
             # Lower limits came before the gate opened. Earlier versions read any chunk, and
             # move what it names to theirs before they empty it.
             log.info(
-                "fleet record refused part=%d chunk=%d cause=%s", led_shard.shard, chunk, error
+                "machine records refused shard=%d chunk=%d cause=%s",
+                led_shard.shard,
+                number,
+                error,
             )
-            self._refused = True
+            self._legacy_refused = True
             return False
-        if done and self.agents.shards.get(led_shard.shard) is led_shard:
+        if done and self._is_led(led_shard):
             self._mark_recorded(rows)
         return done
 
+    def _rows(self, names: Iterable[str]) -> MachineRows:
+        """The rows of these machines; one that has gone since is left out."""
+        return {
+            name: MachineRow(machine.type, machine.zone, machine.spot, machine.address)
+            for name in names
+            if (machine := self._index.machines.get(name)) is not None
+        }
+
     def _mark_recorded(self, names: Iterable[str]) -> None:
-        """Tasks may start on these machines, as far as they are still there."""
+        """Let tasks start on these machines, as far as they are still there."""
         for name in names:
-            machine = self.agents.machines.get(name)
+            machine = self._index.machines.get(name)
             if machine is not None:
                 machine.recorded = True
--- a/pitchtally/autoscaling/autoscaler.py
+++ b/pitchtally/autoscaling/autoscaler.py
@@ -427,7 +427,7 @@
     def take_heartbeat(self, heartbeat: PeerHeartbeat) -> None:
         """What the leader says about machines of ours."""
         for name in heartbeat.released:
-            if name not in self.agents.released or name in self.agents.machines:
+            if name not in self.agents.terminated or name in self.agents.machines:
                 self.agents.machine_terminated(name)
         if heartbeat.node == self.membership.leader(0):
             self._apply_drain(heartbeat.drain)
--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -78,8 +78,8 @@
             self.membership,
             self.job_index,
             self.commits,
-            self.replica,
             lambda: self.autoscaler.types,
+            self.decisions.on_decision,
         )
         self.scheduler = Scheduler(
             settings,
@@ -121,11 +121,11 @@
         membership, agents, scheduler = self.membership, self.agents, self.scheduler
 
         def acquired(shard: int, token: int) -> None:
-            agents.acquired(shard, token)
+            agents.shard_acquired(shard, token)
             scheduler.shards.shard_acquired(shard)
 
         membership.on_acquired = acquired
-        membership.on_lost = agents.release_shard
+        membership.on_lost = agents.shard_lost
         membership.on_cancel = lambda c: self.job_index.learn_cancelled(
             c.job, c.version, c.tasks, c.done
         )
@@ -135,7 +135,6 @@
         membership.add_updates = self._add_updates
         agents.connect(scheduler.shards, scheduler.placer)
         self.api.on_decision = self.decisions.on_decision
-        agents.on_decision = self.decisions.on_decision
 
     def _leader_guard(self) -> tuple[str, int] | None:
         """What a leader's write rests on, None if this node doesn't lead."""
@@ -154,7 +153,7 @@
     def _counters(self) -> dict[str, int]:
         """Totals that other components count."""
         faults = {f"fault_{name}": count for name, count in self.loops.faults.items()}
-        return {**self.api.read_barrier.counts, **self.agents.answered, **faults}
+        return {**self.api.read_barrier.counts, **self.agents.endpoint.responses, **faults}
 
     def _plan_as_cluster_leader(self, spec: user_api.JobSpec) -> ScheduleReply:
         plan = self.scheduler.decide_as_leader(spec)
@@ -230,9 +229,9 @@
             ("format", self.format_upgrade.run),
             ("migration", self.migration.run),
             ("cleanup", self.cleanup.run),
-            ("expiry", self.agents.run_expiry),
+            ("expiry", self.agents.lease_expiry.run),
             ("direct_commands", self.agents.command_sender.run),
-            ("reachability", self.agents.command_sender.run_reachability),
+            ("reachability", self.agents.reachability.run),
             ("records", self.agents.records.run),
             ("planning", self.scheduler.run),
             ("splitting", self.scheduler.run_global_scheduling),
--- a/tests/agents/test_machine_records.py
+++ b/tests/agents/test_machine_records.py
@@ -55,8 +55,8 @@
         )
         controller.membership._announce(SHARD)
         self.agents = controller.agents
-        self.agents.load(self.hold)
-        span = controller.agents.records.span * controller.agents.count
+        self.agents.failover.load(self.hold)
+        span = controller.agents.records.span * controller.agents.index.shard_count
         self.first = self._add(0)
         self.second = self._add(span)
 
@@ -65,12 +65,12 @@
         return self.agents.shards[SHARD]
 
     def _add(self, number: int) -> Machine:
-        machine = self.agents._add(f"i-{number:06d}", "big", "a", False, "10.1.0.1:9000")
+        machine = self.agents.index.add(f"i-{number:06d}", "big", "a", False, "10.1.0.1:9000")
         machine.confirmed = True
         return machine
 
     async def write(self) -> None:
-        await self.agents.records._write(self.hold)
+        await self.agents.records.write(self.hold)
 
     def chunk(self, machine: Machine) -> int:
         return self.agents.records.chunk_of(machine.name)
@@ -120,7 +120,7 @@
         await fleet.write()
         fleet.first.address = "10.1.0.1:9001"
         second = f"pt/fleet/0/{fleet.chunk(fleet.second)}"
-        state_store.during_commit = lambda: fleet.agents.release_shard(SHARD)
+        state_store.during_commit = lambda: fleet.agents.shard_lost(SHARD)
         state_store.written.pop(second)
         await fleet.write()
         assert second not in state_store.written
--- a/tests/cluster/test_large_fleet.py
+++ b/tests/cluster/test_large_fleet.py
@@ -41,7 +41,7 @@
     found.replica.verified_at = trio.current_time()
     found.membership.leaders[shard] = (ShardLeader("n0", found.membership.incarnation), token)
     found.membership._announce(shard)
-    found.agents.load(found.agents.shards[shard])
+    found.agents.failover.load(found.agents.shards[shard])
     return found
 
 
@@ -369,7 +369,7 @@
             assert membership.verified_cluster_leader() is None  # another may lead by now
             # What wasn't listened to wasn't silent.
             assert not agents.machines["i-000000"].lost
-            nursery.start_soon(agents.run_expiry)
+            nursery.start_soon(agents.lease_expiry.run)
             await trio.sleep(TIMES.report_s)
             assert not agents.machines["i-000000"].lost
             membership.replica.verified_at = trio.current_time()
@@ -456,7 +456,7 @@
         leader.scheduler.shards.work[0].reconciled = not unheard
         for number in range(unheard):
             name = f"i-{number * 3:06d}"
-            leader.agents._add(name, "big", "a", False, "10.1.0.1:9000")
+            leader.agents.index.add(name, "big", "a", False, "10.1.0.1:9000")
             hold.suspects.add(name)
         assert leader.scheduler.quotas.tasks_within_limit(0, _spec(1, 2.0)) == room
         leader.autoscaler.types.clear()
@@ -484,7 +484,7 @@
         leader.commits.commit = commit  # type: ignore[method-assign]
         for number in range(0, 930, 3):
             await leader.agents.serve(_heartbeat(number, 1, 50, []))
-        await leader.agents.records._write(leader.agents.shards[0])
+        await leader.agents.records.write(leader.agents.shards[0])
         assert len(written) <= 8
         assert all(m.recorded for m in leader.agents.machines.values())
 
@@ -511,7 +511,7 @@
             ) -> bool:
                 done: bool = await write(*args, **more)
                 for shard in list(scheduler.shards.work):
-                    scheduler.agents.release_shard(shard)
+                    scheduler.agents.shard_lost(shard)
                 return done
 
             def watched(each: Any, shard: int, hold: Any = hold) -> None:
--- a/tests/cluster/test_partitions.py
+++ b/tests/cluster/test_partitions.py
@@ -92,7 +92,7 @@
                 machine.confirmed,
                 sorted(machine.placements),
                 machine.ineffective_responses,
-                name in controller.agents.released,
+                name in controller.agents.terminated,
             )
         )
     return rows
