--- a/tests/harness/simulation.py
+++ b/tests/harness/simulation.py
@@ -31,7 +31,7 @@
 from standins.network import HERE, Network
 from standins.state_store import State
 
-from .earlier_version import Production
+from .earlier_version import EarlierVersion, with_present_names
 from .invariants import InvariantChecker
 
 NODES = ["n0", "n1", "n2"]
@@ -139,11 +139,11 @@
         self.network.hosts[("10.2.0.1", 2379)] = ("state", self.state.handle)
         self.network.hosts[("10.2.0.2", 8443)] = ("cloud", self.world.handle)
         self.scopes: dict[str, trio.CancelScope] = {}
-        self.controllers: dict[str, Any] = {}  # a Controller, or one in production
+        self.controllers: dict[str, Any] = {}  # a Controller, or an earlier version's
         self.nursery: trio.Nursery
         self.invariants = InvariantChecker(self.world.rules)
         self.final = self.invariants.final
-        self.production: Production | None = None  # the version in production, if it is played
+        self.earlier: EarlierVersion | None = None  # an earlier version, if one is played
         self.old: set[str] = set()  # nodes that start with it
         self.looks_closely = False  # users ask everywhere at once after each change they see
         self.looked_at: set[tuple[str, str]] = set()
@@ -154,8 +154,8 @@
             self.scopes[name] = scope
             config = settings(name, self.times, self.teams, self.state_limits)
             controller: Any
-            if name in self.old and self.production is not None:
-                controller = self.production.controller(config, self.policy_text)
+            if name in self.old and self.earlier is not None:
+                controller = with_present_names(self.earlier.controller(config, self.policy_text))
             else:
                 controller = Controller(config, policy.parse(self.policy_text, config))
             self.controllers[name] = controller
@@ -287,25 +287,25 @@
     seed: int = 1,
     times: AgentTimes = TIMES,
     teams: list[Team] | None = None,
-    production: Production | None = None,
+    earlier: EarlierVersion | None = None,
     state: StateLimits = STATE_LIMITS,
 ) -> Simulation:
     """Run a scenario: `await body(sim)` with everything up.
 
-    With a version in `production`, all nodes start with that.
+    With an `earlier` version, all nodes start with that.
     """
     sim = Simulation(seed, times, teams)
     sim.state_limits = state
-    sim.production = production
-    sim.old = set(NODES) if production is not None else set()
+    sim.earlier = earlier
+    sim.old = set(NODES) if earlier is not None else set()
 
     async def main() -> None:
         sim.network.install(monkeypatch)
         clock = types.SimpleNamespace(time=trio.current_time)
         monkeypatch.setattr(priorities, "time", clock)
         monkeypatch.setattr(routes, "time", clock)
-        if production is not None:
-            production.install(monkeypatch, sim.network, clock)
+        if earlier is not None:
+            earlier.install(monkeypatch, sim.network, clock)
         async with trio.open_nursery() as nursery:
             sim.nursery = sim.network.nursery = sim.world.nursery = nursery
             nursery.start_soon(sim.state.run)
