--- a/pitchtally/agents/heartbeats/reconciliation.py
+++ b/pitchtally/agents/heartbeats/reconciliation.py
@@ -92,16 +92,17 @@
         listed = {task.task: task for task in heartbeat.tasks}
         for placement in missing_placements(machine, heartbeat, listed, direct=direct):
             self._control.remove(placement, LossCause.MISSING)
-        machine.exits = retained_exits(machine, listed)
+        if machine.exits:
+            machine.exits = retained_exits(machine, listed)
         machine.orphans.clear()
         for key, task in listed.items():
-            placement_or_none = machine.placements.get(key)
-            if placement_or_none is not None and placement_or_none.attempt != task.attempt:
-                placement_or_none = None
+            placed = machine.placements.get(key)
+            if placed is not None and placed.attempt != task.attempt:
+                placed = None
             if task.state == agent_api.EXITED:
-                self._take_exit(machine, placement_or_none, key, task)
+                self._take_exit(machine, placed, key, task)
             else:
-                self._take_active(machine, placement_or_none, key, task)
+                self._take_active(machine, placed, key, task)
         self._index.update_orphans(machine)
         if machine.orphans:
             self._queue.add(machine.name)
--- a/pitchtally/agents/heartbeats/task_exits.py
+++ b/pitchtally/agents/heartbeats/task_exits.py
@@ -44,7 +44,7 @@
             log.info("replica exited task=%s machine=%s", placement.key, machine.name)
         elif cause == agent_api.DONE:
             note_success(machine)
-            self._report_completed(placement, now)
+            self._notify_completed(placement, now)
         elif cause == agent_api.ERROR:
             note_error(machine, job.id, now)
             log.info("task failed task=%s machine=%s", placement.key, machine.name)
@@ -52,7 +52,7 @@
             log.info("task exited task=%s machine=%s cause=%s", placement.key, machine.name, cause)
         self._control.remove(placement, cause)
 
-    def _report_completed(self, placement: Placement, now: float) -> None:
+    def _notify_completed(self, placement: Placement, now: float) -> None:
         since = placement.running_since
         ran = now - since if since is not None else -1.0
         if placement.job.open:
--- a/pitchtally/agents/manager.py
+++ b/pitchtally/agents/manager.py
@@ -2,11 +2,8 @@
 
 from __future__ import annotations
 
-from collections.abc import Collection
-
 from ..config.policy import Policy
 from ..config.settings import Settings
-from ..http import Request, Response
 from ..jobs.commits import JobCommits
 from ..jobs.index import JobIndex
 from ..membership.membership import Membership
@@ -25,7 +22,6 @@
 from .lease_expiry import LeaseExpiry
 from .led_shard import LedShard
 from .listener import AgentListener, LossCause, SchedulerConnection, TaskStarter
-from .machine import Machine, Placement
 from .machine_index import MachineIndex, MachineTypeLookup
 from .machine_records import MachineRecords
 from .reachability import Reachability
@@ -38,7 +34,8 @@
     """Composes the components for agents.
 
     Others read `machines`, `placements`, `shards`, `terminated` and `machines_with_orphans`;
-    only the components change them. What the methods do is each the duty of one component.
+    only the components change them (the scheduler puts new placements). Methods that are one
+    component's duty are its own, bound once: heartbeats call some, so they cost no further call.
     """
 
     def __init__(
@@ -101,6 +98,11 @@
             client.max_calls,
         )
 
+        self.serve = self.endpoint.serve
+        self.of_shard = self.index.of_shard
+        self.stop = self.control.stop
+        self.stop_job = self.control.stop_job
+
     def _compose_intake(self, job_index: JobIndex) -> StatusIntake:
         reconciler = Reconciler(
             self.index,
@@ -124,10 +126,6 @@
         self._scheduler.listener = listener
         self._scheduler.starter = starter
 
-    async def serve(self, request: Request) -> Response:
-        """Respond to an agent's heartbeat."""
-        return await self.endpoint.serve(request)
-
     def shard_acquired(self, shard: int, token: int) -> None:
         """This node leads a shard under a new fencing token."""
         self.failover.acquire(shard, token)
@@ -149,15 +147,3 @@
         if led_shard is not None:
             self.failover.clear_suspect(led_shard, machine)
         self.records.request_write()
-
-    def of_shard(self, shard: int) -> Collection[Machine]:
-        """The machines of a shard."""
-        return self.index.of_shard(shard)
-
-    def stop(self, placement: Placement, grace: float) -> None:
-        """Have a task stopped within `grace` seconds; a shorter grace overrides a longer one."""
-        self.control.stop(placement, grace)
-
-    def stop_job(self, id: str) -> None:
-        """Have all tasks of a cancelled job stopped without grace."""
-        self.control.stop_job(id)
--- a/pitchtally/jobs/progress_writer.py
+++ b/pitchtally/jobs/progress_writer.py
@@ -61,20 +61,20 @@
         layout: JobLayout,
         migration: JobMigration,
         period: float,
-        submissions_waiting: Callable[[], bool],
+        submissions_queued: Callable[[], bool],
         on_decision: DecisionListener,
     ):
         """Eight parameters, one for each component that a write passes through.
 
         `period`: seconds between two writes of a job's progress that nobody waits for.
-        `submissions_waiting`: whether users wait whose submissions were refused.
+        `submissions_queued`: whether users wait whose submissions were refused.
         """
         self.job_index = job_index
         self.commits = commits
         self.layout = layout
         self.migration = migration
         self.period = period
-        self._submissions_waiting = submissions_waiting
+        self._submissions_queued = submissions_queued
         self._on_decision = on_decision
         # Jobs whose write the store refused, and until when they aren't tried again.
         self._refused_until: dict[str, float] = {}
@@ -118,7 +118,7 @@
         due = self._due()
         burst = self.commits.write_burst
         completion_priority, completion_burst = rate_limits.COMPLETIONS, burst
-        if self._submissions_waiting():
+        if self._submissions_queued():
             # After an outage completions have piled up as well. They are late already, while
             # users whose submissions are refused give up before long: both get their share.
             completion_priority, completion_burst = rate_limits.ACCEPTANCES, burst / 2
--- a/pitchtally/protocol/agent_api.py
+++ b/pitchtally/protocol/agent_api.py
@@ -1,23 +1,29 @@
 """What agents and controllers exchange: heartbeats, commands, redirects.
 
-Names on the wire (`seal`, `shift`, `pressing`, ...) are mapped to the field's terms here, and
-nowhere else.
+Agents send heartbeats to the leader of their shard (`POST /v1/report`), and take commands from
+it in the responses or at their own address (`POST /commands`, answered with a status, 409 if
+the epoch isn't theirs). Names on the wire (`seal`, `shift`, `pressing`, ...) are mapped to the
+field's terms here, and nowhere else. States and causes stay plain strings in the structs: a
+later agent may send ones that aren't listed here.
 """
 
 from __future__ import annotations
 
 from msgspec import Struct, field
 
+# Commands.
 START = "start"
 STOP = "kill"
 ACKNOWLEDGE = "forget"
 
-FETCHING = "fetching"
-WAITING = "waiting"
+# States of a task.
+FETCHING = "fetching"  # its image is being fetched
+WAITING = "waiting"  # for the rest of its gang
 RUNNING = "running"
-SAVING = "flushing"
+SAVING = "flushing"  # told to stop, saves its work within the grace
 EXITED = "ended"
 
+# Causes of an exit.
 DONE = "done"
 STOPPED = "stopped"
 GANG_PEERS_LOST = "mates_gone"
@@ -31,25 +37,25 @@
 class TaskStatus(Struct):
     """One task as an agent reports it."""
 
-    task: str = field(name="row")
+    task: str = field(name="row")  # the job's identifier, a slash, the task's number
     attempt: int = field(name="pressing")
     state: str = field(name="stage")
-    cause: str | None = None
-    saved: bool | None = None
+    cause: str | None = None  # of its exit
+    saved: bool | None = None  # whether it saved its work before it exited
 
 
 class AgentHeartbeat(Struct):
-    """An agent's report, also the body of its answers to direct commands."""
+    """An agent's status: the body of a heartbeat, and of its answers to commands."""
 
     machine: str = field(name="vat")
-    epoch: int = field(name="shift")
-    seq: int = field(name="tally")
-    token: int = field(name="seal", default=0)
-    address: str = ""
+    epoch: int = field(name="shift")  # risen whenever the agent starts, or its lease expires
+    seq: int = field(name="tally")  # counts up within an epoch
+    token: int = field(name="seal", default=0)  # the newest fencing token that it has seen
+    address: str = ""  # of its own HTTP interface, host:port
     type: str = field(name="press", default="")
     zone: str = field(name="parcel", default="")
     spot: bool = field(name="gleaning", default=False)
-    notice: float | None = field(name="recallS", default=None)
+    notice: float | None = field(name="recallS", default=None)  # seconds until its preemption
     tasks: list[TaskStatus] = field(name="rows", default_factory=list)
 
 
@@ -59,14 +65,14 @@
     op: str = field(name="order")
     task: str = field(name="row")
     attempt: int = field(name="pressing")
-    grace: float | None = field(name="settleS", default=None)
+    grace: float | None = field(name="settleS", default=None)  # seconds to save work in
 
 
 class HeartbeatResponse(Struct):
-    """The answer to a report."""
+    """The response to a heartbeat of a machine that this node leads; renews its lease."""
 
     token: int = field(name="seal")
-    orders: list[Command]
+    commands: list[Command] = field(name="orders")
 
 
 class CommandRequest(Struct):
@@ -74,10 +80,10 @@
 
     token: int = field(name="seal")
     epoch: int = field(name="shift")
-    orders: list[Command]
+    commands: list[Command] = field(name="orders")
 
 
 class Redirect(Struct, omit_defaults=True):
-    """Which node an agent should report to."""
+    """Which node leads the machine's shard, if that is known and another one."""
 
-    report_to: str | None = field(name="steward", default=None)
+    leader: str | None = field(name="steward", default=None)
--- /dev/null
+++ b/tests/agents/test_reconciliation.py
@@ -0,0 +1,135 @@
+"""The pure functions of reconciliation, and the check of responses, as tables."""
+
+from __future__ import annotations
+
+import json
+
+import pytest
+import trio
+import trio.testing
+
+from pitchtally.agents.heartbeats.reconciliation import (
+    adopted_placement,
+    missing_placements,
+    retained_exits,
+)
+from pitchtally.agents.heartbeats.response_effect import check_last_response
+from pitchtally.agents.machine import Machine, Placement, TaskExit
+from pitchtally.api.validation import parse_job
+from pitchtally.jobs.index import Job
+from pitchtally.jobs.job_record import CANCELLED, OPEN, JobRecord
+from pitchtally.protocol.agent_api import (
+    ACKNOWLEDGE,
+    RUNNING,
+    START,
+    AgentHeartbeat,
+    Command,
+    TaskStatus,
+)
+
+from ..harness.simulation import job
+
+LEASE_S = 10.0
+ID = "wk-000001"
+KEY = f"{ID}/0"
+
+
+@pytest.fixture(autouse=True)
+def clock(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A clock that stands still, for state that is made outside any loop."""
+    monkeypatch.setattr(trio, "current_time", lambda: 100.0)
+
+
+def _job(stage: str = OPEN) -> Job:
+    spec = parse_job(json.dumps(job(1, rows=4)).encode())
+    return Job(ID, JobRecord(stage, 4, spec if stage == OPEN else None), 1, 10_000)
+
+
+def _machine() -> Machine:
+    return Machine("i-000000", 0, "big", "a", False, "10.1.0.1:9000")
+
+
+def _heartbeat(epoch: int, seq: int, *listed: tuple[str, int]) -> AgentHeartbeat:
+    tasks = [TaskStatus(key, attempt, RUNNING) for key, attempt in listed]
+    return AgentHeartbeat("i-000000", epoch, seq, tasks=tasks)
+
+
+@pytest.mark.parametrize(
+    ("observed", "start_seq", "direct", "listed", "missing"),
+    [
+        (True, 3, False, [], True),  # it was there, and isn't listed any more
+        (True, 3, True, [], True),
+        (True, 3, False, [(KEY, 7)], False),
+        (True, 3, False, [(KEY, 8)], True),  # another attempt
+        (False, 0, False, [], False),  # its start was never sent
+        (False, 4, False, [], False),  # its start is in the response to this heartbeat
+        (False, 3, False, [], True),  # the start in an earlier response didn't arrive
+        (False, 3, True, [], False),  # which the answer to a call doesn't show
+    ],
+)
+def test_missing_placements(
+    observed: bool, start_seq: int, direct: bool, listed: list[tuple[str, int]], missing: bool
+) -> None:
+    machine = _machine()
+    placement = Placement(_job(), 0, 7, machine)
+    placement.observed, placement.start_heartbeat_seq = observed, start_seq
+    machine.placements[KEY] = placement
+    heartbeat = _heartbeat(1, 4, *listed)
+    by_key = {task.task: task for task in heartbeat.tasks}
+    found = missing_placements(machine, heartbeat, by_key, direct=direct)
+    assert found == ([placement] if missing else [])
+
+
+@pytest.mark.parametrize(
+    ("listed", "retained"), [([], False), ([(KEY, 7)], True), ([(KEY, 8)], False)]
+)
+def test_exits_are_retained_while_listed(listed: list[tuple[str, int]], retained: bool) -> None:
+    machine = _machine()
+    machine.exits[KEY] = TaskExit(7, "done")
+    by_key = {task.task: task for task in _heartbeat(1, 4, *listed).tasks}
+    assert retained_exits(machine, by_key) == (machine.exits if retained else {})
+
+
+@pytest.mark.parametrize(
+    ("key", "stage", "adopted"),
+    [
+        (f"{ID}/3", OPEN, True),
+        (f"{ID}/4", OPEN, False),  # the job has four tasks
+        (f"{ID}/x", OPEN, False),
+        ("wk-000002/0", OPEN, False),  # unknown: the replica may be behind
+        (f"{ID}/3", CANCELLED, False),
+    ],
+)
+def test_only_tasks_of_open_jobs_are_adopted(key: str, stage: str, adopted: bool) -> None:
+    status = TaskStatus(key, 7, RUNNING)
+    placement = adopted_placement({ID: _job(stage)}, _machine(), key, status)
+    assert (placement is not None) == adopted
+    assert placement is None or (placement.key, placement.attempt) == (key, 7)
+
+
+@pytest.mark.parametrize(
+    ("awaited", "heartbeat", "renewed_at", "before", "after"),
+    [
+        ([Command(START, KEY, 7)], _heartbeat(1, 5, (KEY, 7)), 99.0, 1, 0),
+        ([Command(START, KEY, 7)], _heartbeat(1, 5), 99.0, 1, 2),
+        ([Command(ACKNOWLEDGE, KEY, 7)], _heartbeat(1, 5), 99.0, 1, 0),
+        ([Command(ACKNOWLEDGE, KEY, 7)], _heartbeat(1, 5, (KEY, 7)), 99.0, 0, 1),
+        ([], _heartbeat(1, 5), 99.0, 1, 1),  # nothing was commanded, nothing is known
+        ([Command(START, KEY, 7)], _heartbeat(1, 4), 99.0, 1, 1),  # an old heartbeat
+        ([], _heartbeat(2, 0), 99.0, 0, 2),  # the lease expired although it was renewed
+        ([], _heartbeat(2, 0), 80.0, 1, 0),  # it expired for want of a response
+    ],
+)
+def test_response_without_effect_is_counted(
+    awaited: list[Command],
+    heartbeat: AgentHeartbeat,
+    renewed_at: float,
+    before: int,
+    after: int,
+) -> None:
+    machine = _machine()
+    machine.epoch, machine.seq, machine.confirmed = 1, 4, True
+    machine.awaited_commands, machine.lease_renewed_at = list(awaited), renewed_at
+    machine.ineffective_responses = before
+    check_last_response(machine, heartbeat, LEASE_S)
+    assert machine.ineffective_responses == after
