--- a/pitchtally/agents/machine_records.py
+++ b/pitchtally/agents/machine_records.py
@@ -13,7 +13,7 @@
 import msgspec
 import trio
 
-from ..formats import legacy, machine_layout
+from ..formats import format_1, machine_layout
 from ..state_store import keys, rate_limits
 from ..state_store.client import Write
 from ..state_store.errors import InvalidTransaction, StoreUnavailable
@@ -63,7 +63,7 @@
         place = number // self.agents.count
         if self.gate.open or self._refused:
             return machine_layout.chunk_of(place, self.span)
-        return place // legacy.machines_per_chunk(self.gate.value_kb)
+        return place // format_1.machines_per_chunk(self.gate.value_kb)
 
     def of(self, shard: int) -> dict[str, MachineRow]:
         """Every recorded machine of a shard."""
--- a/pitchtally/api/routes.py
+++ b/pitchtally/api/routes.py
@@ -16,11 +16,11 @@
 from ..agents.manager import AgentManager
 from ..config.policy import Policy
 from ..config.settings import Settings
-from ..formats.job_layout import JobLayout
 from ..http import Request, Response
 from ..jobs import job_record
 from ..jobs.index import Job, JobIndex
 from ..jobs.job_record import JobRecord
+from ..jobs.layout import JobLayout
 from ..membership.membership import Membership
 from ..membership.messages import Cancellation
 from ..observability.decision_log import Decision, DecisionListener, DecisionReason, ignore_decision
--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -13,10 +13,11 @@
 from .config.policy import Policy
 from .config.settings import Settings, host_port
 from .formats.gate import FormatGate
-from .formats.job_layout import JobLayout
-from .formats.migration import Cleanup, JobMigration
 from .http import Request, Response, Server
+from .jobs.cleanup import Cleanup
 from .jobs.index import JobIndex
+from .jobs.layout import JobLayout
+from .jobs.migration import JobMigration
 from .jobs.progress_writer import ProgressWriter
 from .membership.format_negotiation import FormatUpgrade
 from .membership.membership import CLUSTER_LEADER_SHARD, Membership
--- a/pitchtally/formats/finished_tasks.py
+++ b/pitchtally/formats/finished_tasks.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from ..state_store import keys
-from .legacy import BYTE_BITS
+from .format_1 import BYTE_BITS
 
 # Of a value: what a bitmap in the record may take, and one in a key of its own.
 INLINE_SHARE = 1 / 4
--- a/pitchtally/formats/gate.py
+++ b/pitchtally/formats/gate.py
@@ -18,7 +18,7 @@
 
 from ..state_store import keys
 from ..state_store.replica import Replica
-from . import legacy
+from . import format_1
 
 log = logging.getLogger("format")
 
@@ -60,7 +60,7 @@
         """`value_kb`: today's limit of a value, on which 0.5.1 rests its layouts."""
         self.format = FIRST_FORMAT
         self.value_kb = value_kb
-        self.legacy_chunk_tasks = legacy.chunk_tasks(value_kb)
+        self.legacy_chunk_tasks = format_1.chunk_tasks(value_kb)
         replica.listen(keys.FORMAT_PREFIX, self._on_record)
 
     def _on_record(self, key: str, value: bytes | None, version: int) -> None:
--- a/pitchtally/formats/job_layout.py
+++ b/pitchtally/jobs/layout.py
@@ -7,20 +7,17 @@
 from __future__ import annotations
 
 from collections.abc import Iterator
-from typing import TYPE_CHECKING
 
 import msgspec
 
 from ..config.settings import StateLimits
+from ..formats import finished_tasks, format_1, text_chunks
+from ..formats.gate import FormatGate
 from ..state_store import keys
 from ..state_store.client import Write
-from . import finished_tasks, legacy, text_chunks
-from .gate import FormatGate
-
-if TYPE_CHECKING:
-    from ..jobs.index import Job
-    from ..jobs.job_record import JobRecord
-    from ..jobs.task_bitmap import TaskBitmap
+from .index import Job
+from .job_record import JobRecord
+from .task_bitmap import TaskBitmap
 
 encode = msgspec.json.encode
 
@@ -109,8 +106,8 @@
     def _chunks(id: str, bits: TaskBitmap, tasks: int) -> Iterator[Write]:
         """Every key of a finished set that holds anything."""
         for first in range(0, bits.size, tasks):
-            size = tasks // legacy.BYTE_BITS
-            offset = first // legacy.BYTE_BITS
+            size = tasks // format_1.BYTE_BITS
+            offset = first // format_1.BYTE_BITS
             if any(bits.data[offset : offset + size]):
                 yield Write(keys.finished_tasks(id, first), encode(bits.text(offset, size)))
 
@@ -129,7 +126,7 @@
         writes = []
         for number in sorted({task // tasks for task in job.local}):
             first = number * tasks
-            text = joined.text(first // legacy.BYTE_BITS, tasks // legacy.BYTE_BITS)
+            text = joined.text(first // format_1.BYTE_BITS, tasks // format_1.BYTE_BITS)
             old = not job.record.chunk_tasks
             key = (
                 keys.legacy_finished_tasks(job.id, number)
--- a/pitchtally/formats/migration.py
+++ b/pitchtally/jobs/migration.py
@@ -9,18 +9,14 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable
-from typing import TYPE_CHECKING
 
 import trio
 
 from ..state_store import keys, rate_limits
 from ..state_store.client import Write
 from ..state_store.errors import StoreUnavailable
-from .job_layout import JobLayout
-
-if TYPE_CHECKING:
-    from ..jobs.index import Job, JobIndex
+from .index import Job, JobIndex
+from .layout import JobLayout
 
 log = logging.getLogger("migration")
 
@@ -70,47 +66,3 @@
         if done:
             log.info("job converted job=%s keys=%d", job.id, len(first))
         return done
-
-
-class Cleanup:
-    """The leader removes what ended jobs have left besides their records."""
-
-    def __init__(
-        self, job_index: JobIndex, leader: Callable[[], tuple[str, int] | None], pause: float
-    ):
-        """`leader`: the key and version that a leader's write rests on, if this node leads."""
-        self.job_index = job_index
-        self.leader = leader
-        self.pause = pause
-
-    async def run(self) -> None:
-        """Remove a few keys at a time, after all that anyone waits for."""
-        while True:
-            await trio.sleep(self.pause)
-            try:
-                while await self._remove_some():
-                    pass
-            except StoreUnavailable as error:
-                log.debug("not cleaned up: %s", error)
-
-    async def _remove_some(self) -> bool:
-        guard = self.leader()
-        left_over = self.left_over(self.job_index.state_store.limits.txn_ops)
-        if guard is None or not left_over:
-            return False
-        conditions = {key: self.job_index.replica.version(key) for key in left_over}
-        conditions[guard[0]] = guard[1]
-        changes = [Write(key, None) for key in left_over]
-        return await self.job_index.commit(conditions, changes, priority=rate_limits.PROGRESS)
-
-    def left_over(self, most: int) -> list[str]:
-        """Keys of jobs that are over, at most so many."""
-        found: list[str] = []
-        for id, extra_keys in self.job_index.extra_keys.items():
-            job = self.job_index.jobs.get(id)
-            if job is None or job.open:
-                continue
-            found.extend(sorted(extra_keys))
-            if len(found) >= most:
-                break
-        return found[:most]
--- a/pitchtally/jobs/progress_writer.py
+++ b/pitchtally/jobs/progress_writer.py
@@ -13,14 +13,14 @@
 
 import trio
 
-from ..formats.job_layout import JobLayout
-from ..formats.migration import JobMigration
 from ..observability.decision_log import Decision, DecisionListener, DecisionReason, ignore_decision
 from ..state_store import keys, rate_limits
 from ..state_store.client import Write
 from ..state_store.errors import InvalidTransaction, StoreUnavailable
 from .index import Job, JobIndex
 from .job_record import DONE, JobRecord, encode
+from .layout import JobLayout
+from .migration import JobMigration
 from .task_bitmap import TaskBitmap
 
 log = logging.getLogger("progress")
@@ -137,7 +137,7 @@
             return []  # it ended while others were written
         if job.complete:
             final = JobRecord(DONE, job.record.tasks)
-            # Its other keys are removed later (`formats.cleanup`): they mean nothing now.
+            # Its other keys are removed later (`jobs.cleanup`): they mean nothing now.
             return [Step(job, [Write(keys.job(job.id), encode(final))], last=True)]
         joined = TaskBitmap(job.record.tasks)
         joined.join(bytes(job.finished.data))
--- a/pitchtally/scheduling/scheduler.py
+++ b/pitchtally/scheduling/scheduler.py
@@ -21,9 +21,9 @@
 from ..agents.manager import AgentManager
 from ..config.policy import Policy
 from ..config.settings import Settings
-from ..formats.migration import JobMigration
 from ..jobs.index import Job, JobIndex
 from ..jobs.job_record import JobRecord, TaskRange, merge
+from ..jobs.migration import JobMigration
 from ..jobs.resources import dominant_share, resource_request
 from ..membership.membership import CLUSTER_LEADER_SHARD, Membership
 from ..membership.messages import ShardStatus
--- a/tests/formats/test_golden.py
+++ b/tests/formats/test_golden.py
@@ -26,7 +26,8 @@
 from pitchtally.config.policy import RENAMED as POLICY_EARLIER_NAMES
 from pitchtally.config.settings import NextStateLimits, StateLimits
 from pitchtally.controller import Controller
-from pitchtally.formats import finished_tasks, legacy, machine_layout, text_chunks
+from pitchtally.formats import finished_tasks, machine_layout, text_chunks
+from pitchtally.formats import format_1 as legacy
 from pitchtally.formats.gate import FORMAT, FormatRecord
 from pitchtally.formats.gate import KEY as GATE_KEY
 from pitchtally.jobs.job_record import CANCELLED, DONE, OPEN, TaskRange
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -15,7 +15,8 @@
 from pitchtally.config import policy
 from pitchtally.config.settings import NextStateLimits, StateLimits
 from pitchtally.controller import Controller
-from pitchtally.formats import finished_tasks, legacy, machine_layout, text_chunks
+from pitchtally.formats import finished_tasks, machine_layout, text_chunks
+from pitchtally.formats import format_1 as legacy
 from pitchtally.formats.gate import FIRST_FORMAT, FORMAT, KEY, all_read
 from pitchtally.jobs import job_record
 from pitchtally.jobs.job_record import OPEN, JobRecord, TaskRange
