--- a/pitchtally/agents/manager.py
+++ b/pitchtally/agents/manager.py
@@ -16,12 +16,13 @@
 import msgspec
 import trio
 
+from ..config.agent_lease import lease_expiry
 from ..config.policy import Policy
 from ..config.settings import Settings
 from ..http import Request, Response
 from ..jobs.index import JobIndex
-from ..membership.freshness import lease_over
-from ..membership.membership import Membership, shard_of
+from ..membership.membership import Membership
+from ..membership.shards import shard_of
 from ..observability.decision_log import Decision, DecisionListener, DecisionReason, ignore_decision
 from ..protocol import agent_api, cloud_api
 from ..state_store.replica import Replica
@@ -547,7 +548,7 @@
                 if (
                     machine.confirmed
                     and held
-                    and owned > lease_over(machine.answered_at, self.times)
+                    and owned > lease_expiry(machine.answered_at, self.times)
                 ):
                     log.info(
                         "lease over machine=%s tasks=%d", machine.name, len(machine.placements)
--- a/pitchtally/autoscaling/autoscaler.py
+++ b/pitchtally/autoscaling/autoscaler.py
@@ -20,8 +20,9 @@
 from ..config.settings import Settings
 from ..jobs.index import JobIndex
 from ..jobs.resources import capacity_of, count_fitting, resource_request
-from ..membership.membership import Membership, shard_of
+from ..membership.membership import Membership
 from ..membership.messages import MachineFlag, MachineStatus, PeerHeartbeat
+from ..membership.shards import shard_of
 from ..protocol import cloud_api, user_api
 from ..scheduling.capacity import allows_machine_type
 from ..scheduling.scheduler import Scheduler
--- a/pitchtally/config/policy.py
+++ b/pitchtally/config/policy.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from ..membership.freshness import max_freshness_bound
+from .agent_lease import max_freshness_bound
 from .settings import Settings, SettingsError
 
 # name: (default expression, lowest, highest, what it sets)
--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -20,14 +20,17 @@
 from .jobs.migration import JobMigration
 from .jobs.progress_writer import ProgressWriter
 from .membership.format_negotiation import FormatUpgrade
-from .membership.membership import CLUSTER_LEADER_SHARD, Membership
+from .membership.membership import Membership
 from .membership.messages import Cancellation, PeerHeartbeat, ScheduleReply
+from .membership.shards import CLUSTER_LEADER_SHARD
 from .observability.decision_log import DecisionLog, Evidence
 from .observability.supervision import Loop, Loops
 from .protocol import user_api
+from .protocol.state_store_api import Precondition
 from .scheduling.scheduler import Scheduler
 from .state_store import keys
 from .state_store.client import StateStoreClient
+from .state_store.identifiers import FencingToken, ShardId
 from .state_store.replica import Replica
 
 log = logging.getLogger("service")
@@ -38,6 +41,62 @@
 REPORTS = "/v1/report"
 
 
+class _ShardLeaderships:
+    """Passes on to agents and scheduler which shards this node begins or ceases to lead."""
+
+    def __init__(self, agents: AgentManager, scheduler: Scheduler):
+        self._agents = agents
+        self._scheduler = scheduler
+
+    def shard_acquired(self, shard: ShardId, token: FencingToken) -> None:
+        """The agents' side first: the scheduler asks it for the shard's machines."""
+        self._agents.acquired(shard, token)
+        self._scheduler.shards.shard_acquired(shard)
+
+    def shard_lost(self, shard: ShardId) -> None:
+        """The agents' side tells the scheduler."""
+        self._agents.release_shard(shard)
+
+
+class _PeerMessages:
+    """Connects peers' heartbeats and requests with the components that they concern."""
+
+    def __init__(self, job_index: JobIndex, scheduler: Scheduler, autoscaler: Autoscaler, api: Api):
+        self._job_index = job_index
+        self._scheduler = scheduler
+        self._autoscaler = autoscaler
+        self._api = api
+
+    def cancellation_received(self, cancellation: Cancellation) -> None:
+        """A peer knows of a committed cancellation."""
+        self._job_index.learn_cancelled(
+            cancellation.job, cancellation.version, cancellation.tasks, cancellation.done
+        )
+
+    def heartbeat_received(self, heartbeat: PeerHeartbeat) -> None:
+        """A peer's newest heartbeat."""
+        self._scheduler.statuses.take_heartbeat(heartbeat)
+        self._autoscaler.take_heartbeat(heartbeat)
+
+    def add_updates(self, heartbeat: PeerHeartbeat, revision: int) -> None:
+        """What the components tell a peer whose replica covers that revision."""
+        heartbeat.cancellations = [
+            Cancellation(*row) for row in self._job_index.cancelled_after(revision)
+        ]
+        heartbeat.shards = self._scheduler.statuses.own()
+        heartbeat.released = self._autoscaler.released_names()
+        heartbeat.drain = self._autoscaler.drain_names()
+
+    def plan_job(self, spec: user_api.JobSpec) -> ScheduleReply:
+        """Place a job as the cluster leader."""
+        plan = self._scheduler.decide_as_leader(spec)
+        return ScheduleReply(plan.ranges, plan.zone)
+
+    async def serve_forwarded(self, request: Request) -> Response:
+        """Answer a user's request that a peer has passed on."""
+        return await self._api.local(request)
+
+
 class Controller:
     """One controller: its components, put together."""
 
@@ -52,11 +111,17 @@
         self.replica = Replica(self.state_store, 1 / watch_rate, policy.session_ttl / 2)
         self.membership = Membership(settings, policy, self.state_store, self.replica)
         self.gate = FormatGate(self.replica, limits.state.value_kb)
-        self.format_upgrade = FormatUpgrade(self.membership, self.state_store, self.gate)
+        self.format_upgrade = FormatUpgrade(
+            self.membership,
+            self.state_store,
+            self.replica,
+            self.gate,
+            policy.heartbeat_interval,
+        )
         self.job_index = JobIndex(self.state_store, self.replica, self.gate, self.membership.token)
         self.layout = JobLayout(self.gate, limits.state_to_keep)
         self.migration = JobMigration(self.job_index, self.layout, policy.heartbeat_interval)
-        self.cleanup = Cleanup(self.job_index, self._leader_guard, policy.period)
+        self.cleanup = Cleanup(self.job_index, self._leader_precondition, policy.period)
         self.progress = ProgressWriter(self.job_index, self.layout, self.migration, policy.period)
         self.agents = AgentManager(
             settings,
@@ -106,38 +171,28 @@
         self._connect()
 
     def _connect(self) -> None:
-        membership, agents, scheduler = self.membership, self.agents, self.scheduler
-
-        def acquired(shard: int, token: int) -> None:
-            agents.acquired(shard, token)
-            scheduler.shards.shard_acquired(shard)
-
-        membership.on_acquired = acquired
-        membership.on_lost = agents.release_shard
-        membership.on_cancel = lambda c: self.job_index.learn_cancelled(
-            c.job, c.version, c.tasks, c.done
+        agents, scheduler = self.agents, self.scheduler
+        peer_messages = _PeerMessages(self.job_index, scheduler, self.autoscaler, self.api)
+        self.membership.connect(
+            _ShardLeaderships(agents, scheduler), peer_messages, peer_messages, peer_messages
         )
-        membership.on_heartbeat = self._take_peer_heartbeat
-        membership.on_forward = self.api.local
-        membership.on_schedule_request = self._plan_as_cluster_leader
-        membership.add_updates = self._add_updates
         agents.connect(scheduler.shards, scheduler.placer)
         self.api.on_decision = self.decisions.on_decision
         agents.on_decision = self.decisions.on_decision
         self.progress.on_decision = self.decisions.on_decision
 
-    def _leader_guard(self) -> tuple[str, int] | None:
-        """What a leader's write rests on, None if this node doesn't lead."""
+    def _leader_precondition(self) -> Precondition | None:
+        """What a cluster leader's write rests on, None if this node is not the leader."""
         token = self.membership.cluster_leader_token
-        return None if token is None else (keys.shard(CLUSTER_LEADER_SHARD), token)
+        return None if token is None else Precondition(keys.shard(CLUSTER_LEADER_SHARD), token)
 
     def _evidence(self) -> Evidence:
-        owned = self.membership.leaders.get(CLUSTER_LEADER_SHARD)
+        lease = self.membership.leadership.leaders.get(CLUSTER_LEADER_SHARD)
         return Evidence(
             self.replica.revision,
             self.membership.cancellations_verified_at(),
             self.membership.leader(CLUSTER_LEADER_SHARD),
-            owned[1] if owned is not None else 0,
+            lease.token if lease is not None else 0,
         )
 
     def _counters(self) -> dict[str, int]:
@@ -145,23 +200,6 @@
         faults = {f"fault_{name}": count for name, count in self.loops.faults.items()}
         return {**self.api.read_barrier.counts, **self.agents.answered, **faults}
 
-    def _plan_as_cluster_leader(self, spec: user_api.JobSpec) -> ScheduleReply:
-        plan = self.scheduler.decide_as_leader(spec)
-        return ScheduleReply(plan.ranges, plan.zone)
-
-    def _take_peer_heartbeat(self, heartbeat: PeerHeartbeat) -> None:
-        self.scheduler.statuses.take_heartbeat(heartbeat)
-        self.autoscaler.take_heartbeat(heartbeat)
-
-    def _add_updates(self, heartbeat: PeerHeartbeat, seen: int) -> None:
-        """What the slices have to tell a peer whose copy covers that revision."""
-        heartbeat.cancellations = [
-            Cancellation(*row) for row in self.job_index.cancelled_after(seen)
-        ]
-        heartbeat.shards = self.scheduler.statuses.own()
-        heartbeat.released = self.autoscaler.released_names()
-        heartbeat.drain = self.autoscaler.drain_names()
-
     async def run(self) -> None:
         """Serve and run every loop until cancelled."""
         times = self.settings.deployment.workers
@@ -194,7 +232,7 @@
                 nursery.start_soon(
                     self.loops.keep,
                     f"heartbeats_{peer.name}",
-                    lambda p=peer: self.membership.run_heartbeats(p),
+                    lambda p=peer: self.membership.heartbeats.run(p),
                 )
             log.info(
                 "serving node=%s address=%s objectives=%s",
@@ -211,10 +249,10 @@
             ("acceptances", self.api.submission_batcher.run)
         ] * SubmissionBatcher.LOOPS
         return [
-            ("pauses", self.membership.run_pause_detector),
+            ("pauses", self.membership.pause_detector.run),
             ("replica", self.replica.run),
-            ("lease", self.membership.run_lease),
-            ("ownership", self.membership.run_leadership),
+            ("lease", self.membership.session.run),
+            ("ownership", self.membership.failover.run),
             ("progress", self.progress.run),
             ("format", self.format_upgrade.run),
             ("migration", self.migration.run),
--- a/pitchtally/jobs/cleanup.py
+++ b/pitchtally/jobs/cleanup.py
@@ -7,6 +7,7 @@
 
 import trio
 
+from ..protocol.state_store_api import Precondition
 from ..state_store import rate_limits
 from ..state_store.client import Write
 from ..state_store.errors import StoreUnavailable
@@ -16,14 +17,17 @@
 
 
 class Cleanup:
-    """The leader removes what ended jobs have left besides their records."""
+    """The cluster leader removes what ended jobs have left besides their records."""
 
     def __init__(
-        self, job_index: JobIndex, leader: Callable[[], tuple[str, int] | None], pause: float
+        self, job_index: JobIndex, precondition: Callable[[], Precondition | None], pause: float
     ):
-        """`leader`: the key and version that a leader's write rests on, if this node leads."""
+        """`precondition`: what a cluster leader's write rests on, None if this node is not it.
+
+        `pause`: seconds between two attempts.
+        """
         self.job_index = job_index
-        self.leader = leader
+        self.precondition = precondition
         self.pause = pause
 
     async def run(self) -> None:
@@ -37,14 +41,16 @@
                 log.debug("not cleaned up: %s", error)
 
     async def _remove_some(self) -> bool:
-        guard = self.leader()
+        precondition = self.precondition()
         left_over = self.left_over(self.job_index.state_store.limits.txn_ops)
-        if guard is None or not left_over:
+        if precondition is None or not left_over:
             return False
-        conditions = {key: self.job_index.replica.version(key) for key in left_over}
-        conditions[guard[0]] = guard[1]
+        expected_versions = {key: self.job_index.replica.version(key) for key in left_over}
+        expected_versions[precondition.key] = precondition.version
         changes = [Write(key, None) for key in left_over]
-        return await self.job_index.commit(conditions, changes, priority=rate_limits.PROGRESS)
+        return await self.job_index.commit(
+            expected_versions, changes, priority=rate_limits.PROGRESS
+        )
 
     def left_over(self, most: int) -> list[str]:
         """Keys of jobs that are over, at most so many."""
--- a/pitchtally/membership/format_negotiation.py
+++ b/pitchtally/membership/format_negotiation.py
@@ -3,6 +3,8 @@
 from __future__ import annotations
 
 import logging
+from collections.abc import Mapping, Sequence
+from typing import Protocol
 
 import trio
 
@@ -11,25 +13,55 @@
 from ..state_store import keys, rate_limits
 from ..state_store.client import StateStoreClient, Write
 from ..state_store.errors import CompareFailed, LeaseExpired, StoreUnavailable
-from .membership import CLUSTER_LEADER_SHARD, Membership
+from ..state_store.identifiers import FencingToken
+from ..state_store.replica import Replica
+from .nodes import NodeRecord
+from .shards import CLUSTER_LEADER_SHARD
 
-log = logging.getLogger("format")
+log = logging.getLogger("format_negotiation")
+
+
+class Members(Protocol):
+    """The members of the cluster as this node sees them."""
+
+    @property
+    def nodes(self) -> Sequence[str]:
+        """Every configured node."""
+
+    @property
+    def alive(self) -> Mapping[str, NodeRecord]:
+        """The records of live nodes."""
+
+    @property
+    def cluster_leader_token(self) -> FencingToken | None:
+        """Our token if this node is the cluster leader."""
+
+    def answering(self) -> dict[str, str]:
+        """The incarnation of each node that has replied of late."""
 
 
 class FormatUpgrade:
-    """The leader's watch for the moment at which no member of an earlier version is left."""
+    """The cluster leader's watch for the moment at which no earlier version runs any more."""
 
     def __init__(
-        self, membership: Membership, state_store: StateStoreClient, format_gate: FormatGate
+        self,
+        members: Members,
+        state_store: StateStoreClient,
+        replica: Replica,
+        format_gate: FormatGate,
+        interval: float,
     ):
-        self.membership = membership
-        self.state_store = state_store
-        self.gate = format_gate
+        """`interval`: seconds between two attempts."""
+        self._members = members
+        self._state_store = state_store
+        self._replica = replica
+        self._gate = format_gate
+        self._interval = interval
 
     async def run(self) -> None:
         """Try to open the gate until it is open."""
-        while not self.gate.open:
-            await trio.sleep(self.membership.policy.heartbeat_interval)
+        while not self._gate.open:
+            await trio.sleep(self._interval)
             try:
                 await self._try_to_open()
             except (CompareFailed, LeaseExpired, StoreUnavailable) as error:
@@ -37,19 +69,20 @@
         await trio.sleep_forever()
 
     async def _try_to_open(self) -> None:
-        membership = self.membership
-        token = membership.cluster_leader_token
+        members = self._members
+        token = members.cluster_leader_token
         if token is None:
             return
-        if not gate.all_read(membership.nodes, membership.alive, membership.answering()):
+        if not gate.all_read(members.nodes, members.alive, members.answering()):
             return
-        # Replaced since, a member has another record, and the write fails.
-        conditions = {
-            keys.node(name): membership.replica.version(keys.node(name))
-            for name in membership.nodes
+        # A member that is replaced meanwhile has another record, and the write fails.
+        expected_versions = {
+            keys.node(name): self._replica.version(keys.node(name)) for name in members.nodes
         }
-        conditions[keys.shard(CLUSTER_LEADER_SHARD)] = token
-        conditions[keys.FORMAT] = membership.replica.version(keys.FORMAT)
-        changes = [Write(keys.FORMAT, self.gate.record())]
-        revision = await self.state_store.commit(conditions, changes, priority=rate_limits.LEASES)
-        membership.replica.apply_own_commit(changes, revision)
+        expected_versions[keys.shard(CLUSTER_LEADER_SHARD)] = token
+        expected_versions[keys.FORMAT] = self._replica.version(keys.FORMAT)
+        changes = [Write(keys.FORMAT, self._gate.record())]
+        revision = await self._state_store.commit(
+            expected_versions, changes, priority=rate_limits.LEASES
+        )
+        self._replica.apply_own_commit(changes, revision)
--- a/pitchtally/membership/freshness.py
+++ b/pitchtally/membership/freshness.py
@@ -1,21 +1,14 @@
-"""What a controller may conclude from what it has heard: pure functions of evidence and its age.
-
-Silence proves nothing. What counts is an answer to a question of our own, and it counts
-from the moment at which we asked: whatever the answer holds was so at that moment or
-later, however long the question or the answer was under way. A message that came on its
-own has no such moment; a cut may have held it for minutes.
-
-The deadlines of a cancellation are worked out here too, and nowhere else. Confirmed at
-c, the job's tasks must be gone by c + `cancel_s`. An leader that has not heard of it can
-have been sure of all cancellations up to c at the latest, so it renews leases until
-c + `max_evidence_age` at most; and an agent counts its lease from when it *sent* the report, which
-was no later. So every task is gone by c + `max_evidence_age` + `lease_s`, plus drift and the
-agent's own timer: `longest_evidence_age` is the largest `max_evidence_age` that keeps this
-within `cancel_s`.
-
-An leader that has heard of it needs no deadline of its own: every answer that renews a
-lease carries a kill for each listed task whose job is over (`Agents.serve`). An agent
-that gets the answer ends the task; one that doesn't ends it with its lease.
+"""What a controller may conclude from replies: pure functions of the replies and their age.
+
+Silence proves nothing. What counts is a reply to a request of our own, and it counts from the
+moment at which we sent the request: whatever the reply holds was so at that moment or later,
+however long either was under way. A message that came on its own has no such moment; a
+network partition may have held it for minutes.
+
+`config.agent_lease` derives the deadline of a cancellation from these ages. A leader that has
+heard of a cancellation needs no deadline of its own: every answer that renews a lease carries
+a stop command for each listed task whose job is over (`AgentManager.serve`). An agent that gets
+the answer ends the task; one that does not ends it when its lease expires.
 """
 
 from __future__ import annotations
@@ -23,26 +16,22 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ..config.settings import AgentTimes
-
-# Steady clocks drift by up to 0.05 %, each of two; the rest covers timers that fire late.
-DRIFT = 1.002
-
-NEVER = 1e6  # the age that a controller tells which hasn't read the store since it began
+# The age, in seconds, that a controller tells which has not read the store since it started.
+NEVER_READ = 1e6
 
 
 @dataclass(frozen=True, slots=True)
 class PeerReply:
-    """A peer's answer to a heartbeat of ours."""
+    """A peer's reply to a heartbeat of ours; times in seconds."""
 
-    asked_at: float  # when we sent the question
-    store_age: float  # how old the peer's copy of the store was as it answered
-    cancellations_age: float  # and the moment up to which it knew all cancellations
+    asked_at: float  # when we sent the heartbeat
+    store_age: float  # how old the peer's replica was as it replied
+    cancellations_age: float  # how long before its reply it last knew all cancellations
 
     @property
     def has_read(self) -> bool:
-        """Whether the peer has read the store since it began."""
-        return self.store_age < NEVER
+        """Whether the peer has read the store since it started."""
+        return self.store_age < NEVER_READ
 
     @property
     def cancellations_verified_at(self) -> float:
@@ -50,54 +39,46 @@
         return self.asked_at - self.cancellations_age
 
 
-def all_peers_asked_at(answers: Iterable[PeerReply | None]) -> float | None:
-    """When we had asked every peer, each of which then told what it knows; None if one hasn't.
+def all_peers_asked_at(replies: Iterable[PeerReply | None]) -> float | None:
+    """When we had asked every peer, each of which then replied; None if one has not.
 
-    A peer that has not read the store since it began doesn't know what its predecessor
-    confirmed or took, and so says nothing.
+    A peer that has not read the store since it started does not know what its predecessor
+    confirmed or acquired, so its reply says nothing.
     """
-    found = list(answers)
-    if not found or not all(a is not None and a.has_read for a in found):
+    known = list(replies)
+    if not known or not all(reply is not None and reply.has_read for reply in known):
         return None
-    return min(a.asked_at for a in found if a is not None)
+    return min(reply.asked_at for reply in known if reply is not None)
 
 
-def cancellations_verified(copy_at: float, answers: Iterable[PeerReply | None]) -> float:
+def cancellations_verified(replica_at: float, replies: Iterable[PeerReply | None]) -> float:
     """Up to when no confirmed cancellation can be unknown to us.
 
-    Our copy shows what was committed by `copy_at`. A peer's answer holds every
-    cancellation in its copy that is newer than ours: what it was sure of, we are, so two
-    that can't hear each other are told by the third. Without the store, all peers'
-    answers together: each holds what it confirmed itself, and nobody else confirms.
+    Our replica shows what was committed by `replica_at`. A peer's reply holds every
+    cancellation in its replica that is newer than ours: what it had verified, we have, so two
+    that cannot reach each other learn from the third. Without the store, all peers'
+    replies together suffice: each holds what it confirmed itself, and nobody else confirms.
     """
-    found = list(answers)
-    known = max(
-        [copy_at, *(a.cancellations_verified_at for a in found if a is not None and a.has_read)]
+    known = list(replies)
+    verified = max(
+        [
+            replica_at,
+            *(
+                reply.cancellations_verified_at
+                for reply in known
+                if reply is not None and reply.has_read
+            ),
+        ]
     )
-    asked = all_peers_asked_at(found)
-    return known if asked is None else max(known, asked)
+    asked_at = all_peers_asked_at(known)
+    return verified if asked_at is None else max(verified, asked_at)
 
 
-def leadership_verified(copy_at: float, answers: Iterable[PeerReply | None]) -> float:
-    """Up to when nobody else can have renewed a lease in a shard that we hold.
+def leadership_verified(replica_at: float, replies: Iterable[PeerReply | None]) -> float:
+    """Up to when nobody else can have renewed a lease in a shard that we lead.
 
-    The store showed the shard as ours, or every peer told the newest leader it knows of:
+    Either the store showed the shard as ours, or every peer told the newest leader it knows of:
     its predecessor's failovers too, since it has read the store after that one's end.
     """
-    asked = all_peers_asked_at(answers)
-    return copy_at if asked is None else max(copy_at, asked)
-
-
-def timer(times: AgentTimes) -> float:
-    """What an agent may take to notice that its lease is over."""
-    return times.report_s / 4
-
-
-def lease_over(answered_at: float, times: AgentTimes) -> float:
-    """When a machine's lease has ended for certain, if we last answered it then."""
-    return answered_at + times.lease_s * DRIFT + timer(times)
-
-
-def max_freshness_bound(times: AgentTimes) -> float:
-    """The longest that an leader may renew leases without news of cancellations."""
-    return (times.cancel_s - timer(times)) / DRIFT - times.lease_s * DRIFT
+    asked_at = all_peers_asked_at(replies)
+    return replica_at if asked_at is None else max(replica_at, asked_at)
--- /dev/null
+++ b/pitchtally/membership/peers/heartbeats.py
@@ -0,0 +1,104 @@
+"""Heartbeats between controllers: composed, exchanged, and taken in."""
+
+from __future__ import annotations
+
+import trio
+
+from ...state_store.replica import Replica
+from ..freshness import NEVER_READ, PeerReply
+from ..freshness_tracker import FreshnessTracker
+from ..leadership import ShardLeadership
+from ..messages import PeerHeartbeat
+from ..nodes import LiveNodes
+from .listener import NoPeerListener, NoPeerUpdates, PeerListener, PeerUpdates
+from .peer import Peer, PeerGroup
+from .transport import PeerTransport
+
+
+class HeartbeatComposer:
+    """Composes this node's heartbeats, and numbers them."""
+
+    def __init__(self, leadership: ShardLeadership, replica: Replica, freshness: FreshnessTracker):
+        self.updates: PeerUpdates = NoPeerUpdates()
+        self._leadership = leadership
+        self._replica = replica
+        self._freshness = freshness
+        self._composed = 0
+
+    def compose(self, revision: int) -> PeerHeartbeat:
+        """Our heartbeat for a peer whose replica covers that revision."""
+        self._composed += 1
+        now = trio.current_time()
+        identity = self._leadership.identity
+        leaders = self._leadership.leaders
+        heartbeat = PeerHeartbeat(
+            node=identity.name,
+            incarnation=identity.incarnation,
+            number=self._composed,
+            revision=self._replica.revision,
+            store_age=min(NEVER_READ, now - self._replica.verified_at),
+            cancellations_age=min(NEVER_READ, now - self._freshness.cancellations_verified_at()),
+            cancellations=[],
+            shards=[],
+            released=[],
+            drain=[],
+            tokens=[(shard, lease.token) for shard, lease in leaders.items()],
+        )
+        self.updates.add_updates(heartbeat, revision)
+        return heartbeat
+
+
+class HeartbeatReceiver:
+    """Takes in peers' heartbeats, whether they came on their own or as a reply."""
+
+    def __init__(self, peers: PeerGroup, leadership: ShardLeadership, live_nodes: LiveNodes):
+        self.listener: PeerListener = NoPeerListener()
+        self._peers = peers
+        self._leadership = leadership
+        self._live_nodes = live_nodes
+
+    def receive(self, heartbeat: PeerHeartbeat, asked_at: float | None) -> None:
+        """Take in a heartbeat; `asked_at`: when we asked for it, None if we did not."""
+        peer = self._peers.by_name.get(heartbeat.node)
+        if peer is None:
+            return
+        # Tokens and cancellations are committed: true however late they come.
+        for shard, token in heartbeat.tokens:
+            own_token = self._leadership.token(shard)
+            if own_token is not None and token > own_token:
+                # Our replica is behind, or cut off from the store.
+                self._leadership.fenced(shard, token)
+        for cancellation in heartbeat.cancellations:
+            self.listener.cancellation_received(cancellation)
+        listed = self._live_nodes.alive.get(heartbeat.node)
+        if peer.accept_newer(heartbeat, asked_at, listed.incarnation if listed else ""):
+            self.listener.heartbeat_received(heartbeat)
+
+
+class HeartbeatExchange:
+    """Sends heartbeats to peers, and takes in those that they reply with."""
+
+    def __init__(
+        self,
+        transport: PeerTransport,
+        composer: HeartbeatComposer,
+        receiver: HeartbeatReceiver,
+        interval: float,
+    ):
+        """`interval`: seconds between two heartbeats to a peer, the reply's time apart."""
+        self._transport = transport
+        self._composer = composer
+        self._receiver = receiver
+        self._interval = interval
+
+    async def run(self, peer: Peer) -> None:
+        """Exchange heartbeats with one peer, once per interval."""
+        while True:
+            asked_at = trio.current_time()
+            reply = await self._transport.send(peer, self._composer.compose(peer.revision))
+            if isinstance(reply, PeerHeartbeat) and reply.node == peer.name:
+                self._receiver.receive(reply, asked_at)
+                # Only now: what it tells is known here from this moment on.
+                peer.last_reply = PeerReply(asked_at, reply.store_age, reply.cancellations_age)
+                peer.statuses_sent_at = asked_at
+            await trio.sleep(self._interval)
--- a/pitchtally/scheduling/gang_planner.py
+++ b/pitchtally/scheduling/gang_planner.py
@@ -14,8 +14,8 @@
 from ..jobs.job_record import TaskRange, merge
 from ..jobs.resources import Resources, capacity_of, count_fitting, fits, resource_request
 from ..jobs.task_bitmap import TaskBitmap
-from ..membership.membership import CLUSTER_LEADER_SHARD
 from ..membership.messages import MachineFlag, ShardStatus
+from ..membership.shards import CLUSTER_LEADER_SHARD
 from ..protocol import user_api
 from ..state_store import keys
 from .capacity import CapacitySource, Plan, allows_machine_type, plan_gang
--- a/pitchtally/scheduling/scheduler.py
+++ b/pitchtally/scheduling/scheduler.py
@@ -25,8 +25,9 @@
 from ..jobs.job_record import JobRecord, TaskRange, merge
 from ..jobs.migration import JobMigration
 from ..jobs.resources import dominant_share, resource_request
-from ..membership.membership import CLUSTER_LEADER_SHARD, Membership
+from ..membership.membership import Membership
 from ..membership.messages import ShardStatus
+from ..membership.shards import CLUSTER_LEADER_SHARD
 from ..protocol import cloud_api, user_api
 from ..state_store import keys, rate_limits
 from ..state_store.client import Write
--- a/pitchtally/state_store/client.py
+++ b/pitchtally/state_store/client.py
@@ -33,6 +33,9 @@
 
 T = TypeVar("T")
 
+# Stands for the time of something that has not happened yet; steady clock, seconds.
+LONG_AGO = -1e9
+
 
 @dataclass(slots=True)
 class Write:
@@ -62,7 +65,7 @@
         self.writes = rate_limits.TokenBucket(limits.write_rps * share, limits.write_rps * share)
         self.limits = limits
         self.client = Client(keep=8)
-        self.answered_at = -1e9
+        self.answered_at = LONG_AGO
         self.failing_since: float | None = None
         self._told: set[str] = set()  # causes of unusable answers, each logged once
 
--- a/pitchtally/state_store/replica.py
+++ b/pitchtally/state_store/replica.py
@@ -15,7 +15,7 @@
 
 from ..protocol import state_store_api
 from . import keys, rate_limits
-from .client import StateStoreClient, Write
+from .client import LONG_AGO, StateStoreClient, Write
 from .errors import StoreUnavailable
 
 log = logging.getLogger("replica")
@@ -46,7 +46,7 @@
         self.revision = -1
         self.versions: dict[str, int] = {}
         self.listeners: list[tuple[str, Listener]] = []
-        self.verified_at = -1e9  # a request sent at this time has confirmed the copy
+        self.verified_at = LONG_AGO  # a request sent at this time has confirmed the copy
 
     def listen(self, prefix: str, listener: Listener) -> None:
         """Have a listener told of every change below a prefix."""
--- a/tests/agents/test_machine_records.py
+++ b/tests/agents/test_machine_records.py
@@ -14,7 +14,7 @@
 from pitchtally.config import policy
 from pitchtally.controller import Controller
 from pitchtally.http import Response
-from pitchtally.membership.membership import ShardLeader
+from pitchtally.membership.shards import ShardLeader, ShardLease
 from pitchtally.protocol import cloud_api
 
 from ..harness.http_stub import Call, answer_calls
@@ -48,11 +48,11 @@
         self.controller = controller = Controller(config, policy.parse("", config))
         controller.autoscaler.catalog.known = {"big": TYPE}
         controller.replica.revision = TOKEN
-        controller.membership.leaders[SHARD] = (
+        controller.membership.leadership.leaders[SHARD] = ShardLease(
             ShardLeader("n0", controller.membership.incarnation),
             TOKEN,
         )
-        controller.membership._announce(SHARD)
+        controller.membership.leadership.announce(SHARD)
         self.agents = controller.agents
         self.agents.load(self.hold)
         span = controller.agents.records.span * controller.agents.count
--- a/tests/cluster/test_cancellation_freshness.py
+++ b/tests/cluster/test_cancellation_freshness.py
@@ -13,17 +13,16 @@
 import trio.testing
 
 from pitchtally.config import policy
+from pitchtally.config.agent_lease import lease_expiry, max_freshness_bound
 from pitchtally.config.settings import AgentTimes
 from pitchtally.membership.freshness import (
-    NEVER,
+    NEVER_READ,
     PeerReply,
     cancellations_verified,
     leadership_verified,
-    lease_over,
-    max_freshness_bound,
 )
 from pitchtally.membership.messages import Cancellation, PeerHeartbeat
-from pitchtally.membership.peer import Peer
+from pitchtally.membership.peers.peer import Peer
 
 from ..harness.simulation import Simulation, job, run, settings
 
@@ -213,7 +212,8 @@
     (10.0, [A(99.0, 1.0, 1.0), None], 98.0, 10.0),  # a peer that reads the store passes on
     (10.0, [A(99.0, 60.0, 2.0), None], 97.0, 10.0),  # or one that hears all of its own
     (10.0, [A(99.0, 60.0, 60.0), A(98.0, 50.0, 50.0)], 98.0, 98.0),  # all asked, in an outage
-    (10.0, [A(99.0, NEVER, NEVER), A(98.0, 50.0, 50.0)], 48.0, 10.0),  # one has read nothing
+    # one has read nothing
+    (10.0, [A(99.0, NEVER_READ, NEVER_READ), A(98.0, 50.0, 50.0)], 48.0, 10.0),
     (10.0, [A(99.0, 60.0, 60.0), A(20.0, 1.0, 1.0)], 39.0, 20.0),  # one is silent since
     (95.0, [A(99.0, 60.0, 60.0), A(98.0, 50.0, 50.0)], 98.0, 98.0),
     (99.5, [A(99.0, 60.0, 60.0), A(98.0, 50.0, 50.0)], 99.5, 99.5),
@@ -235,8 +235,8 @@
     times = SITES[site]
     rules = policy.parse("", settings("n0", times))
     assert 0 < rules.max_evidence_age < max_freshness_bound(times)
-    assert lease_over(max_freshness_bound(times), times) <= times.cancel_s
-    assert lease_over(max_freshness_bound(times) * 1.01, times) > times.cancel_s
+    assert lease_expiry(max_freshness_bound(times), times) <= times.cancel_s
+    assert lease_expiry(max_freshness_bound(times) * 1.01, times) > times.cancel_s
     at_most = f"max_evidence_age = {max_freshness_bound(times):.6f} - 0.001"
     assert policy.parse(at_most, settings("n0", times)).max_evidence_age > rules.max_evidence_age
     with pytest.raises(policy.PolicyError, match=r"p.conf:1: max_evidence_age: .* beyond cancel_s"):
@@ -280,7 +280,7 @@
         start = trio.current_time()
         for incarnation, number, asked in heartbeats:
             asked_at = None if asked is None else start + asked
-            found.append(peer.renews(_beat(incarnation, number), asked_at, listed))
+            found.append(peer.accept_newer(_beat(incarnation, number), asked_at, listed))
             await trio.sleep(1.0)
         assert found == taken
 
--- a/tests/cluster/test_failover.py
+++ b/tests/cluster/test_failover.py
@@ -6,7 +6,7 @@
 import trio
 
 from pitchtally.config.settings import Team
-from pitchtally.membership.membership import shard_of
+from pitchtally.membership.shards import shard_of
 
 from ..harness.fault_scenarios import cluster_leader, isolate, restart, revive
 from ..harness.simulation import NODES, TIMES, Simulation, job, run
--- a/tests/cluster/test_large_fleet.py
+++ b/tests/cluster/test_large_fleet.py
@@ -21,8 +21,8 @@
 from pitchtally.jobs.index import Job
 from pitchtally.jobs.job_record import OPEN, JobRecord, TaskRange, encode
 from pitchtally.jobs.resources import dominant_share
-from pitchtally.membership.membership import ShardLeader, shard_of
 from pitchtally.membership.messages import PeerHeartbeat
+from pitchtally.membership.shards import ShardLeader, ShardLease, shard_of
 from pitchtally.protocol import cloud_api, user_api
 from pitchtally.state_store import rate_limits
 from standins.network import HERE
@@ -39,8 +39,9 @@
     found.autoscaler.catalog.known = {"big": TYPE}
     found.replica.revision = token
     found.replica.verified_at = trio.current_time()
-    found.membership.leaders[shard] = (ShardLeader("n0", found.membership.incarnation), token)
-    found.membership._announce(shard)
+    leader = ShardLeader("n0", found.membership.incarnation)
+    found.membership.leadership.leaders[shard] = ShardLease(leader, token)
+    found.membership.leadership.announce(shard)
     found.agents.load(found.agents.shards[shard])
     return found
 
@@ -355,7 +356,7 @@
         leader = _leader_of(0, 50)
         membership, agents = leader.membership, leader.agents
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(membership.run_pause_detector)
+            nursery.start_soon(membership.pause_detector.run)
             await agents.serve(_heartbeat(0, 1, 50, []))
             await trio.sleep(1)
             membership.replica.verified_at = trio.current_time()
@@ -563,7 +564,7 @@
 
         def told(number: int, tokens: list[tuple[int, int]]) -> None:
             heartbeat = PeerHeartbeat("n1", "x", number, 0, 0.0, 0.0, [], [], [], [], tokens)
-            leader.membership._take_heartbeat(heartbeat, None)
+            leader.membership.receiver.receive(heartbeat, None)
 
         told(1, [(1, 49), (2, 80)])
         assert leader.membership.token(1) == 50
--- a/tests/cluster/test_partitions.py
+++ b/tests/cluster/test_partitions.py
@@ -12,7 +12,8 @@
 from pitchtally.config import policy
 from pitchtally.http import Request
 from pitchtally.membership.freshness import PeerReply
-from pitchtally.membership.membership import Membership, shard_of
+from pitchtally.membership.membership import Membership
+from pitchtally.membership.shards import shard_of
 from pitchtally.state_store.client import StateStoreClient
 from pitchtally.state_store.replica import Replica
 
@@ -195,7 +196,7 @@
         membership.replica.verified_at = fresh
         for peer, heard in zip(membership.peers.values(), peers, strict=True):
             if heard is not None:
-                peer.answer = PeerReply(heard[0], heard[1], heard[1])
+                peer.last_reply = PeerReply(heard[0], heard[1], heard[1])
         assert membership.cancellations_verified_at() == sure
 
     trio.run(main, clock=trio.testing.MockClock())
--- a/tests/formats/test_golden.py
+++ b/tests/formats/test_golden.py
@@ -33,7 +33,6 @@
 from pitchtally.jobs.job_record import CANCELLED, DONE, OPEN, TaskRange
 from pitchtally.jobs.job_record import JobRecord as JobRecord
 from pitchtally.jobs.task_bitmap import TaskBitmap
-from pitchtally.membership.membership import NodeRecord, ShardLeader
 from pitchtally.membership.messages import (
     Ack,
     Cancelled,
@@ -46,6 +45,8 @@
 )
 from pitchtally.membership.messages import decode as decode_message
 from pitchtally.membership.messages import encode as encode_message
+from pitchtally.membership.nodes import NodeRecord
+from pitchtally.membership.shards import ShardLeader
 from pitchtally.protocol import agent_api, cloud_api, state_store_api, user_api
 from pitchtally.protocol.agent_api import (
     ACKNOWLEDGE,
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -22,7 +22,7 @@
 from pitchtally.jobs.job_record import OPEN, JobRecord, TaskRange
 from pitchtally.jobs.task_bitmap import TaskBitmap
 from pitchtally.membership import messages
-from pitchtally.membership.membership import NodeRecord
+from pitchtally.membership.nodes import NodeRecord
 from pitchtally.state_store.client import Write
 
 from ..harness.earlier_version import Production, with_present_names
@@ -136,7 +136,7 @@
         assert not first
         written: dict[str, str | bytes] = {
             **RECORDS,
-            "nodes/n1": msgspec.json.encode(new.membership._own_node()),
+            "nodes/n1": msgspec.json.encode(new.membership.session.own_record()),
             "jobs/wk-000001": new.scheduler._record_with(job_),
             "jobs/wk-000004": job_record.encode(record),
             "shares": new.scheduler.quotas.shares.change(
--- a/tests/membership/test_mismatched_replies.py
+++ b/tests/membership/test_mismatched_replies.py
@@ -29,6 +29,7 @@
     decode,
     encode,
 )
+from pitchtally.membership.peers.listener import NoPeerRequestHandler
 from pitchtally.state_store.client import Write
 
 from ..harness.http_stub import Call, answer_calls
@@ -116,7 +117,7 @@
     answer_calls(monkeypatch, answer)
     config = settings("n0")
     membership = Controller(config, policy.parse("", config)).membership
-    membership._calls = 40  # some were made before
+    membership.transport._calls = 40  # some were made before
     return membership
 
 
@@ -143,7 +144,7 @@
         peer = membership.peers["n1"]
         for _ in range(2):
             assert await membership.send(peer, Forward("GET", "/api/jobs/wk-1", b"")) is None
-        assert peer.failing
+        assert peer.failure
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
@@ -162,10 +163,11 @@
     async def main() -> None:
         server = _members(monkeypatch, lambda asked: Ack())
 
-        async def answer(request: Request) -> Response:
-            return Response(404, b"{}")
+        class Handler(NoPeerRequestHandler):
+            async def serve_forwarded(self, request: Request) -> Response:
+                return Response(404, b"{}")
 
-        server.on_forward = answer
+        server.peer_server.handler = Handler()
         message.call = 41
         response = await server.serve(Request("POST", "/peer", {}, encode(message)))
         reply = decode(response.body)
