--- a/pitchtally/agents/machine_records.py
+++ b/pitchtally/agents/machine_records.py
@@ -14,9 +14,10 @@
 import trio
 
 from ..formats import format_1, machine_layout
-from ..state_store import keys, rate_limits
+from ..state_store import keys
 from ..state_store.client import Write
 from ..state_store.errors import InvalidTransaction, StoreUnavailable
+from ..state_store.rate_limits import Priority
 from .machines import LedShard
 
 if TYPE_CHECKING:
@@ -128,7 +129,7 @@
         value = encode(rows) if rows or not self.gate.open else None
         try:
             done = await self.agents.job_index.commit(
-                conditions, [Write(key, value)], priority=rate_limits.COMPLETIONS
+                conditions, [Write(key, value)], priority=Priority.COMPLETIONS
             )
         except InvalidTransaction as error:
             # Lower limits came before the gate opened. Earlier versions read any chunk, and
--- a/pitchtally/api/read_barrier.py
+++ b/pitchtally/api/read_barrier.py
@@ -111,7 +111,7 @@
                     await self._wake.wait()
                 self._reads += 1
                 nursery.start_soon(self._read)
-                await trio.sleep(REQUESTS_PER_READ / self.state_store.requests.rate)
+                await trio.sleep(REQUESTS_PER_READ / self.state_store.request_limit.rate)
 
     async def _read(self) -> None:
         """One read, for every question that waits as it is sent."""
--- a/pitchtally/api/routes.py
+++ b/pitchtally/api/routes.py
@@ -27,9 +27,10 @@
 from ..protocol import agent_api, cloud_api, user_api
 from ..scheduling.capacity import Plan
 from ..scheduling.scheduler import Scheduler
-from ..state_store import keys, rate_limits
+from ..state_store import keys
 from ..state_store.client import StateStoreClient, Write
 from ..state_store.errors import CompareFailed, LeaseExpired, StoreUnavailable
+from ..state_store.rate_limits import Priority
 from ..state_store.replica import Replica
 from .admission_queue import AdmissionQueue
 from .read_barrier import Confirmed, ReadBarrier
@@ -235,14 +236,14 @@
 
     def _wait_for_tokens(self, id: str) -> float:
         """Seconds until a submission could be written, those before it counted."""
-        writes = self.state_store.writes
+        writes = self.state_store.write_limit
         waiting = len(self.submission_batcher.waiting)  # for the commit under way
-        wait = self.state_store.requests.wait_for(rate_limits.ACCEPTANCES)
-        if not writes.wait_for(rate_limits.ACCEPTANCES, waiting + writes.burst * SPARE):
+        wait = self.state_store.request_limit.wait_time(Priority.SUBMISSIONS)
+        if not writes.wait_time(Priority.SUBMISSIONS, waiting + writes.burst * SPARE):
             return wait  # tokens would be lost while those who came earlier stay away
         # They may come back to any node: each takes its share of them.
         ahead = self.line.ahead_of(id) / max(1, len(self.membership.alive))
-        return max(wait, writes.wait_for(rate_limits.ACCEPTANCES, 1 + waiting + ahead))
+        return max(wait, writes.wait_time(Priority.SUBMISSIONS, 1 + waiting + ahead))
 
     def _known(self, body: bytes) -> Job | None:
         id = id_of(body)
@@ -310,9 +311,7 @@
         for start in range(0, len(changes), most):
             group = changes[start : start + most]
             try:
-                revision = await self.state_store.commit(
-                    {}, group, priority=rate_limits.ACCEPTANCES
-                )
+                revision = await self.state_store.commit({}, group, priority=Priority.SUBMISSIONS)
             except (CompareFailed, LeaseExpired, StoreUnavailable) as error:
                 log.info("not accepted cause=%s", error)
                 return False
@@ -366,7 +365,7 @@
         final = JobRecord(job_record.CANCELLED, job.record.tasks, count=job.finished.count)
         change = Write(keys.job(job.id), encode(final))
         revision = await self.state_store.commit(
-            {change.key: job.version}, [change], priority=rate_limits.COMPLETIONS
+            {change.key: job.version}, [change], priority=Priority.COMPLETIONS
         )
         self.replica.apply_own_commit([change], revision)
         self.on_decision(Decision.CANCELLED, job.id, DecisionReason(version=revision))
--- a/pitchtally/api/submission_batcher.py
+++ b/pitchtally/api/submission_batcher.py
@@ -4,9 +4,9 @@
 
 import trio
 
-from ..state_store import rate_limits
 from ..state_store.client import StateStoreClient, Write
 from ..state_store.errors import CompareFailed, LeaseExpired, StoreUnavailable
+from ..state_store.rate_limits import Priority
 from ..state_store.replica import Replica
 
 
@@ -56,7 +56,7 @@
         for pending in list(self.waiting):
             size += len(pending.change.value or b"") + 300
             if len(batch) >= self.state_store.limits.txn_ops or (
-                batch and (size > self.BYTES or len(batch) >= self.state_store.writes.burst)
+                batch and (size > self.BYTES or len(batch) >= self.state_store.write_limit.burst)
             ):
                 break
             # A repeat of an id goes alone, so that its condition can fail. So does one that
@@ -98,7 +98,7 @@
             revision = await self.state_store.commit(
                 conditions,
                 [p.change for p in batch],
-                priority=rate_limits.ACCEPTANCES,
+                priority=Priority.SUBMISSIONS,
                 on_sent=sent,
             )
         except CompareFailed as conflict:
--- a/pitchtally/autoscaling/catalog.py
+++ b/pitchtally/autoscaling/catalog.py
@@ -12,9 +12,10 @@
 from ..formats.gate import FormatGate
 from ..membership.membership import Membership
 from ..protocol import cloud_api
-from ..state_store import keys, rate_limits
+from ..state_store import keys
 from ..state_store.client import StateStoreClient, Write
 from ..state_store.errors import CompareFailed, LeaseExpired, StoreUnavailable
+from ..state_store.rate_limits import Priority
 from ..state_store.replica import Replica
 from .cloud_client import Cloud, CloudUnavailable, InsufficientCapacity
 
@@ -117,7 +118,7 @@
                 revision = await self.state_store.commit(
                     {change.key: self.replica.version(change.key)},
                     [change],
-                    priority=rate_limits.ACCEPTANCES,
+                    priority=Priority.SUBMISSIONS,
                 )
             except (CompareFailed, LeaseExpired):
                 return  # another node was first
--- a/pitchtally/autoscaling/cloud_client.py
+++ b/pitchtally/autoscaling/cloud_client.py
@@ -5,7 +5,7 @@
 from ..config.policy import Policy
 from ..config.settings import Settings, host_port
 from ..http import Client, HttpError
-from ..state_store import rate_limits
+from ..state_store.rate_limits import Priority, TokenBucket
 
 
 class CloudUnavailable(Exception):
@@ -23,12 +23,12 @@
         self.address = host_port(settings.endpoints.cloud)
         self.timeout = policy.cloud_timeout
         rate = settings.deployment.cloud.rps * 0.8
-        self.bucket = rate_limits.TokenBucket(rate, rate)
+        self.bucket = TokenBucket(rate, rate)
         self.client = Client(keep=2)
 
     async def call(self, method: str, target: str, body: bytes = b"") -> bytes:
         """One request, once the shared limit allows it; the body of its answer."""
-        await self.bucket.take(rate_limits.PROGRESS)
+        await self.bucket.acquire(Priority.PROGRESS)
         try:
             response = await self.client.call(
                 self.address, method, target, body, timeout=self.timeout
@@ -37,7 +37,7 @@
             self.client.drop(self.address)
             raise CloudUnavailable(str(error)) from None
         if response.status == 429:
-            self.bucket.penalty()
+            self.bucket.penalize()
         if response.status == 503 and b"no capacity" in response.body:
             raise InsufficientCapacity
         if response.status != 200:
--- a/pitchtally/jobs/cleanup.py
+++ b/pitchtally/jobs/cleanup.py
@@ -8,9 +8,9 @@
 import trio
 
 from ..protocol.state_store_api import Precondition
-from ..state_store import rate_limits
 from ..state_store.client import Write
 from ..state_store.errors import StoreUnavailable
+from ..state_store.rate_limits import Priority
 from .index import JobIndex
 
 log = logging.getLogger("cleanup")
@@ -48,9 +48,7 @@
         expected_versions = {key: self.job_index.replica.version(key) for key in left_over}
         expected_versions[precondition.key] = precondition.version
         changes = [Write(key, None) for key in left_over]
-        return await self.job_index.commit(
-            expected_versions, changes, priority=rate_limits.PROGRESS
-        )
+        return await self.job_index.commit(expected_versions, changes, priority=Priority.PROGRESS)
 
     def left_over(self, most: int) -> list[str]:
         """Keys of jobs that are over, at most so many."""
--- a/pitchtally/jobs/index.py
+++ b/pitchtally/jobs/index.py
@@ -23,6 +23,7 @@
 from ..state_store import keys
 from ..state_store.client import StateStoreClient, Write
 from ..state_store.errors import CompareFailed, LeaseExpired
+from ..state_store.rate_limits import Priority
 from ..state_store.replica import Replica
 from .job_record import CANCELLED, OPEN, JobRecord, decode_record, decode_spec, encode
 from .task_bitmap import TaskBitmap
@@ -292,7 +293,7 @@
         return None
 
     async def commit(
-        self, conditions: dict[str, int], changes: list[Write], *, priority: int
+        self, conditions: dict[str, int], changes: list[Write], *, priority: Priority
     ) -> bool:
         """Commit and apply to the copy; False if a condition failed.
 
--- a/pitchtally/jobs/migration.py
+++ b/pitchtally/jobs/migration.py
@@ -12,9 +12,10 @@
 
 import trio
 
-from ..state_store import keys, rate_limits
+from ..state_store import keys
 from ..state_store.client import Write
 from ..state_store.errors import StoreUnavailable
+from ..state_store.rate_limits import Priority
 from .index import Job, JobIndex
 from .layout import JobLayout
 
@@ -37,11 +38,11 @@
             try:
                 for job in list(self.job_index.open.values()):
                     if self.layout.needs_conversion(job):
-                        await self.convert(job, rate_limits.PROGRESS)
+                        await self.convert(job, Priority.PROGRESS)
             except StoreUnavailable as error:
                 log.debug("not converted: %s", error)
 
-    async def convert(self, job: Job, priority: int) -> bool:
+    async def convert(self, job: Job, priority: Priority) -> bool:
         """Write a job in the present layout; False if it isn't ours to write, or has changed.
 
         Raises StoreDown.
--- a/pitchtally/jobs/progress_writer.py
+++ b/pitchtally/jobs/progress_writer.py
@@ -14,9 +14,10 @@
 import trio
 
 from ..observability.decision_log import Decision, DecisionListener, DecisionReason, ignore_decision
-from ..state_store import keys, rate_limits
+from ..state_store import keys
 from ..state_store.client import Write
 from ..state_store.errors import InvalidTransaction, StoreUnavailable
+from ..state_store.rate_limits import Priority
 from .index import Job, JobIndex
 from .job_record import DONE, JobRecord, encode
 from .layout import JobLayout
@@ -96,18 +97,18 @@
 
     async def _flush(self) -> None:
         over, urgent, later = self._due()
-        burst = self.state_store.writes.burst
-        first, most_first = rate_limits.COMPLETIONS, burst
+        burst = self.state_store.write_limit.burst
+        first, most_first = Priority.COMPLETIONS, burst
         if self.submissions_wait():
             # After an outage completions have piled up as well. They are late already, while
             # users whose submissions are refused give up before long: both get their share.
-            first, most_first = rate_limits.ACCEPTANCES, burst / 2
+            first, most_first = Priority.SUBMISSIONS, burst / 2
         await self._write_all(over, first, most_first)
-        await self._write_all(urgent, rate_limits.ACCEPTANCES, burst / 2)
+        await self._write_all(urgent, Priority.SUBMISSIONS, burst / 2)
         # Progress takes no more at once than leaves the next submission its tokens.
-        await self._write_all(later, rate_limits.PROGRESS, burst / 2)
+        await self._write_all(later, Priority.PROGRESS, burst / 2)
 
-    async def _write_all(self, jobs: list[Job], priority: int, burst: float) -> None:
+    async def _write_all(self, jobs: list[Job], priority: Priority, burst: float) -> None:
         """Write jobs in transactions of at most so many changes."""
         most = min(self.state_store.limits.txn_ops, burst)
         batch: list[Step] = []
@@ -148,7 +149,7 @@
         groups = [changes[i : i + most] for i in range(0, len(changes), most)]
         return [Step(job, group, last=group is groups[-1]) for group in groups]
 
-    async def _write(self, steps: list[Step], priority: int) -> None:
+    async def _write(self, steps: list[Step], priority: Priority) -> None:
         try:
             await self._commit(steps, priority)
         except InvalidTransaction as error:
@@ -160,7 +161,7 @@
             log.info("progress refused job=%s cause=%s", job.id, error)
             self._put_aside[job.id] = trio.current_time() + self.period
 
-    async def _commit(self, steps: list[Step], priority: int) -> None:
+    async def _commit(self, steps: list[Step], priority: Priority) -> None:
         conditions: dict[str, int] = {}
         changes: list[Write] = []
         kept: list[Step] = []
--- a/pitchtally/membership/failover.py
+++ b/pitchtally/membership/failover.py
@@ -8,10 +8,11 @@
 import trio
 
 from ..config.policy import Policy
-from ..state_store import keys, rate_limits
+from ..state_store import keys
 from ..state_store.client import StateStoreClient, Write
 from ..state_store.errors import CompareFailed, LeaseExpired, StoreUnavailable
 from ..state_store.identifiers import ShardId
+from ..state_store.rate_limits import Priority
 from ..state_store.replica import Replica
 from .leadership import ShardLeadership
 from .nodes import LiveNodes
@@ -103,6 +104,6 @@
         log.debug("acquiring shard=%d from=%s", shard, self._leadership.leader(shard))
         changes = [Write(key, value)]
         revision = await self._state_store.commit(
-            expected_versions, changes, priority=rate_limits.LEASES
+            expected_versions, changes, priority=Priority.LEASES
         )
         self._replica.apply_own_commit(changes, revision)
--- a/pitchtally/membership/format_negotiation.py
+++ b/pitchtally/membership/format_negotiation.py
@@ -10,10 +10,11 @@
 
 from ..formats import gate
 from ..formats.gate import FormatGate
-from ..state_store import keys, rate_limits
+from ..state_store import keys
 from ..state_store.client import StateStoreClient, Write
 from ..state_store.errors import CompareFailed, LeaseExpired, StoreUnavailable
 from ..state_store.identifiers import FencingToken
+from ..state_store.rate_limits import Priority
 from ..state_store.replica import Replica
 from .nodes import NodeRecord
 from .shards import CLUSTER_LEADER_SHARD
@@ -83,6 +84,6 @@
         expected_versions[keys.FORMAT] = self._replica.version(keys.FORMAT)
         changes = [Write(keys.FORMAT, self._gate.record())]
         revision = await self._state_store.commit(
-            expected_versions, changes, priority=rate_limits.LEASES
+            expected_versions, changes, priority=Priority.LEASES
         )
         self._replica.apply_own_commit(changes, revision)
--- a/pitchtally/membership/membership.py
+++ b/pitchtally/membership/membership.py
@@ -40,7 +40,7 @@
         self.incarnation = identity.incarnation
         self.replica = replica
         self._session_ttl = policy.session_ttl
-        self.live_nodes = LiveNodes(settings.nodes, replica, state_store.share_among)
+        self.live_nodes = LiveNodes(settings.nodes, replica, state_store.share_limits)
         self.leadership = ShardLeadership(identity, replica)
         self.failover = Failover(
             self.leadership,
--- a/pitchtally/membership/session.py
+++ b/pitchtally/membership/session.py
@@ -8,9 +8,10 @@
 import trio
 
 from ..formats.gate import FORMAT
-from ..state_store import keys, rate_limits
+from ..state_store import keys
 from ..state_store.client import StateStoreClient, Write
 from ..state_store.errors import CompareFailed, LeaseExpired, StoreUnavailable
+from ..state_store.rate_limits import Priority
 from ..state_store.replica import Replica
 from .nodes import LiveNodes, NodeIdentity, NodeRecord
 
@@ -70,9 +71,9 @@
     async def _keep(self) -> bool:
         """Renew the lease and write the record if it changed; False if it is to be tried soon."""
         if self._lease is None:
-            self._lease = await self._state_store.grant(self._ttl)
+            self._lease = await self._state_store.grant_lease(self._ttl)
         else:
-            await self._state_store.renew(self._lease)
+            await self._state_store.renew_lease(self._lease)
         if self._replica.revision < 0:
             # What stands in our place, if anything, is not known yet.
             return False
@@ -85,6 +86,6 @@
         key = keys.node(self._identity.name)
         changes = [Write(key, msgspec.json.encode(self.own_record()), lease)]
         revision = await self._state_store.commit(
-            {key: self._replica.version(key)}, changes, priority=rate_limits.LEASES
+            {key: self._replica.version(key)}, changes, priority=Priority.LEASES
         )
         self._replica.apply_own_commit(changes, revision)
--- a/pitchtally/protocol/state_store_api.py
+++ b/pitchtally/protocol/state_store_api.py
@@ -43,14 +43,14 @@
 
 
 class Revision(Struct):
-    """The store's revision, and conditions that failed."""
+    """The store's revision, and the keys whose preconditions failed."""
 
     revision: int = field(name="ledger")
     failed: list[str] = field(default_factory=list)
 
 
 class Precondition(Struct):
-    """The version that a key must have; 0: absent."""
+    """The version that a key must have for a transaction to be executed; 0: absent."""
 
     key: str = field(name="path")
     version: int = field(name="stamp")
@@ -71,10 +71,10 @@
 
 
 class Transaction(Struct):
-    """Conditions and changes, all or nothing."""
+    """Preconditions and writes; all are executed, or none is."""
 
-    conditions: list[Precondition] = field(name="if")
-    changes: list[Put | Delete] = field(name="writes")
+    preconditions: list[Precondition] = field(name="if")
+    writes: list[Put | Delete]
 
 
 class LeaseGrant(Struct):
@@ -84,6 +84,6 @@
 
 
 class LeaseRequest(Struct):
-    """A request for a lease."""
+    """A request for a lease that lives so long without a renewal."""
 
     ttl_ms: int = field(name="ttlMs")
--- a/pitchtally/scheduling/quotas.py
+++ b/pitchtally/scheduling/quotas.py
@@ -13,8 +13,9 @@
 from ..jobs.resources import Resources, count_fitting, fits, limited_request
 from ..membership.messages import ShardStatus
 from ..protocol import user_api
-from ..state_store import keys, rate_limits
+from ..state_store import keys
 from ..state_store.errors import StoreUnavailable
+from ..state_store.rate_limits import Priority
 from .allocations import ShardState
 from .capacity import RANK
 from .component import SchedulerComponent
@@ -319,7 +320,7 @@
         conditions = {keys.shard(shard): token, **versions}
         self.giving[(shard, team.name)] = give
         try:
-            await self.job_index.commit(conditions, [change], priority=rate_limits.ACCEPTANCES)
+            await self.job_index.commit(conditions, [change], priority=Priority.SUBMISSIONS)
         except StoreUnavailable as error:
             await self.scheduler.resolve_outcome(
                 error,
--- a/pitchtally/scheduling/scheduler.py
+++ b/pitchtally/scheduling/scheduler.py
@@ -29,9 +29,10 @@
 from ..membership.messages import ShardStatus
 from ..membership.shards import CLUSTER_LEADER_SHARD
 from ..protocol import cloud_api, user_api
-from ..state_store import keys, rate_limits
+from ..state_store import keys
 from ..state_store.client import Write
 from ..state_store.errors import InvalidTransaction, OutcomeUnknown, StoreUnavailable
+from ..state_store.rate_limits import Priority
 from ..state_store.replica import Replica
 from . import stretch
 from .allocations import ShardState
@@ -261,7 +262,7 @@
                 guard[keys.shard(shard)] = token
         # Moves are for the better, assignments for going at all.
         priority = (
-            rate_limits.PROGRESS if is_fully_assigned(job) and not more else rate_limits.ACCEPTANCES
+            Priority.PROGRESS if is_fully_assigned(job) and not more else Priority.SUBMISSIONS
         )
         value = self._record_with(job, ranges=ranges, **more)
         if self.layout.needs_conversion(job) or not self.layout.record_fits(value):
@@ -310,7 +311,7 @@
                 await self.job_index.commit(
                     {**versions, keys.shard(shard): token},
                     [Write(key, value())],
-                    priority=rate_limits.ACCEPTANCES,
+                    priority=Priority.SUBMISSIONS,
                 )
             except StoreUnavailable as again:
                 log.debug("settling %s: %s", key, again)
--- a/pitchtally/state_store/client.py
+++ b/pitchtally/state_store/client.py
@@ -1,15 +1,15 @@
-"""The state store: conditional commits, reads and leases.
+"""The client of the state store: compare-and-swap transactions, reads, watches and leases.
 
-A commit ends in one of four ways, and callers must tell them apart: committed,
-refused by a condition, not executed, or unknown. Unknown ones are read back
-before anything rests on them; a late one changes nothing, since every write is
-conditional.
+A transaction ends in one of four ways, and callers must tell them apart (see `errors`):
+committed, refused by a precondition, not executed, or unknown. An unknown one is read back
+before anything rests on it; if it is executed late it changes nothing, since every write has
+a precondition.
 """
 
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable, Sequence
+from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass
 from typing import TypeVar
 
@@ -17,9 +17,8 @@
 import trio
 
 from ..config.settings import StateLimits, host_port
-from ..http import Client, HttpError
+from ..http import Client, HttpError, Response
 from ..protocol import state_store_api
-from . import rate_limits
 from .errors import (
     CompareFailed,
     InvalidTransaction,
@@ -28,14 +27,22 @@
     OutcomeUnknown,
     StoreUnavailable,
 )
+from .rate_limits import Priority, TokenBucket
 
-log = logging.getLogger("store")
+log = logging.getLogger("state_store")
 
 T = TypeVar("T")
 
 # Stands for the time of something that has not happened yet; steady clock, seconds.
 LONG_AGO = -1e9
 
+# Of the limits, for all nodes together: their clocks and our own bursts never quite agree.
+_USED_SHARE = 0.9
+_CONNECTIONS = 8
+_PAGE_KEYS = 500
+_LOGGED_REPLY_BYTES = 100
+_COMMIT_PATH = "/commit"
+
 
 @dataclass(slots=True)
 class Write:
@@ -46,34 +53,49 @@
     lease: int | None = None
 
 
-_page = msgspec.json.Decoder(state_store_api.StoredPage)
-_events = msgspec.json.Decoder(state_store_api.Events)
-_revision = msgspec.json.Decoder(state_store_api.Revision)
-_lease = msgspec.json.Decoder(state_store_api.LeaseGrant)
-encode = msgspec.json.encode
+_page_decoder = msgspec.json.Decoder(state_store_api.StoredPage)
+_events_decoder = msgspec.json.Decoder(state_store_api.Events)
+_revision_decoder = msgspec.json.Decoder(state_store_api.Revision)
+_lease_decoder = msgspec.json.Decoder(state_store_api.LeaseGrant)
+_encode = msgspec.json.encode
+
+
+def _encode_transaction(expected_versions: Mapping[str, int], writes: Sequence[Write]) -> bytes:
+    operations: list[state_store_api.Put | state_store_api.Delete] = []
+    for write in writes:
+        if write.value is None:
+            operations.append(state_store_api.Delete(write.key))
+        else:
+            value = msgspec.Raw(write.value)
+            operations.append(state_store_api.Put(write.key, value, write.lease))
+    preconditions = [
+        state_store_api.Precondition(key, version) for key, version in expected_versions.items()
+    ]
+    return _encode(state_store_api.Transaction(preconditions, operations))
 
 
 class StateStoreClient:
     """One node's client of the state store."""
 
     def __init__(self, address: str, limits: StateLimits, nodes: int, timeout: float):
-        self.address = host_port(address)
-        self.timeout = timeout
-        # Nine tenths: other nodes' clocks and our own bursts never quite agree.
-        share = 0.9 / nodes
-        self.requests = rate_limits.TokenBucket(limits.rps * share, limits.rps * share)
-        self.writes = rate_limits.TokenBucket(limits.write_rps * share, limits.write_rps * share)
+        """`nodes` share the store's limits at first; `timeout`: seconds for a reply."""
         self.limits = limits
-        self.client = Client(keep=8)
-        self.answered_at = LONG_AGO
+        share = _USED_SHARE / nodes
+        self.request_limit = TokenBucket(limits.rps * share, limits.rps * share)
+        self.write_limit = TokenBucket(limits.write_rps * share, limits.write_rps * share)
+        # Since when requests have failed, as they were sent; None while the store replies.
         self.failing_since: float | None = None
-        self._told: set[str] = set()  # causes of unusable answers, each logged once
-
-    def share_among(self, nodes: int) -> None:
-        """The limits are for all nodes together: those that live share them."""
-        share = 0.9 / max(1, nodes)
-        self.requests.resize(self.limits.rps * share)
-        self.writes.resize(self.limits.write_rps * share)
+        self._address = host_port(address)
+        self._timeout = timeout
+        self._client = Client(keep=_CONNECTIONS)
+        self._replied_at = LONG_AGO  # when the newest request that was replied to was sent
+        self._logged_causes: set[str] = set()  # of unusable replies, each logged once
+
+    def share_limits(self, nodes: int) -> None:
+        """Share the limits, which are for all nodes together, with those that live."""
+        share = _USED_SHARE / max(1, nodes)
+        self.request_limit.resize(self.limits.rps * share)
+        self.write_limit.resize(self.limits.write_rps * share)
 
     async def _call(
         self,
@@ -81,143 +103,137 @@
         target: str,
         body: bytes = b"",
         *,
-        priority: int,
+        priority: Priority,
         timeout: float | None = None,
         on_sent: Callable[[], None] | None = None,
-    ) -> tuple[int, bytes]:
-        await self.requests.take(priority)
+    ) -> Response:
+        """Send a request once the limits allow it; raises `StoreUnavailable`."""
+        await self.request_limit.acquire(priority)
         if on_sent is not None:
             on_sent()
-        sent = trio.current_time()
+        sent_at = trio.current_time()
         try:
-            response = await self.client.call(
-                self.address, method, target, body, timeout=timeout or self.timeout
+            response = await self._client.call(
+                self._address, method, target, body, timeout=timeout or self._timeout
             )
         except HttpError as error:
-            self.client.drop(self.address)
-            self._failed(sent)
+            self._client.drop(self._address)
+            self._note_failure(sent_at)
             raise NoResponse(str(error)) from None
         if response.status == 429:
-            self.requests.penalty()
-            if method == "POST" and target == "/commit":
-                self.writes.penalty()
+            self.request_limit.penalize()
+            if method == "POST" and target == _COMMIT_PATH:
+                self.write_limit.penalize()
             raise StoreUnavailable("over its limit")
         if response.status >= 500:
-            self._failed(sent)
+            self._note_failure(sent_at)
             raise StoreUnavailable(f"status {response.status}")
         self.failing_since = None
-        self.answered_at = max(self.answered_at, sent)
-        return response.status, response.body
+        self._replied_at = max(self._replied_at, sent_at)
+        return response
 
-    def _failed(self, sent: float) -> None:
-        if self.failing_since is None and sent > self.answered_at:
-            self.failing_since = sent
+    def _note_failure(self, sent_at: float) -> None:
+        if self.failing_since is None and sent_at > self._replied_at:
+            self.failing_since = sent_at
 
-    async def page(self, prefix: str, after: str | None) -> state_store_api.StoredPage:
-        """A page of keys with a prefix, after a key."""
+    async def read_page(self, prefix: str, after: str | None) -> state_store_api.StoredPage:
+        """Read a page of the keys with a prefix, after a key; raises `StoreUnavailable`."""
         since = f"&since={after}" if after else ""
-        status, body = await self._call(
-            "GET", f"/store?starts={prefix}{since}&limit=500", priority=rate_limits.LEASES
+        response = await self._call(
+            "GET",
+            f"/store?starts={prefix}{since}&limit={_PAGE_KEYS}",
+            priority=Priority.LEASES,
         )
-        if status != 200:
-            raise StoreUnavailable(f"status {status}")
-        return self._decode(_page, body)
+        if response.status != 200:
+            raise StoreUnavailable(f"status {response.status}")
+        return self._decode(_page_decoder, response.body)
 
     async def commit(
         self,
-        conditions: dict[str, int],
-        changes: Sequence[Write],
+        expected_versions: Mapping[str, int],
+        writes: Sequence[Write],
         *,
-        priority: int,
+        priority: Priority,
         on_sent: Callable[[], None] | None = None,
     ) -> int:
-        """Commit and return the revision; raises Conflict, NoLease or StoreDown."""
-        puts: list[state_store_api.Put | state_store_api.Delete] = []
-        for change in changes:
-            if change.value is None:
-                puts.append(state_store_api.Delete(change.key))
-            else:
-                puts.append(
-                    state_store_api.Put(change.key, msgspec.Raw(change.value), change.lease)
-                )
-        body = encode(
-            state_store_api.Transaction(
-                [state_store_api.Precondition(k, v) for k, v in conditions.items()], puts
-            )
-        )
-        if changes:
-            await self.writes.take(priority, len(changes))
-        status, answer = await self._call(
-            "POST", "/commit", body, priority=priority, on_sent=on_sent
-        )
-        if status == 200:
-            return self._decode(_revision, answer).revision
-        if status == 409:
-            raise CompareFailed(self._decode(_revision, answer).failed)
-        if status == 400 and b"lease" in answer:
+        """Compare-and-swap: write all if every key has its expected version (0: absent).
+
+        Returns the revision of the commit. Raises `CompareFailed`, `LeaseExpired`, or
+        `StoreUnavailable` and its subclasses. `on_sent` is called as the request goes out.
+        """
+        body = _encode_transaction(expected_versions, writes)
+        if writes:
+            await self.write_limit.acquire(priority, len(writes))
+        response = await self._call("POST", _COMMIT_PATH, body, priority=priority, on_sent=on_sent)
+        if response.status == 200:
+            return self._decode(_revision_decoder, response.body).revision
+        if response.status == 409:
+            raise CompareFailed(self._decode(_revision_decoder, response.body).failed)
+        if response.status == 400 and b"lease" in response.body:
             raise LeaseExpired
-        if status == 400:
-            raise InvalidTransaction(f"status {status}: {answer[:100]!r}")
-        raise StoreUnavailable(f"status {status}: {answer[:100]!r}")
-
-    async def grant(self, ttl: float) -> int:
-        """A new lease."""
-        body = encode(state_store_api.LeaseRequest(int(ttl * 1000)))
-        status, answer = await self._call("POST", "/leases", body, priority=rate_limits.LEASES)
-        if status != 200:
-            raise StoreUnavailable(f"status {status}")
-        return self._decode(_lease, answer).lease
-
-    async def renew(self, lease: int) -> None:
-        """Renew a lease; NoLease if it has ended."""
-        status, _ = await self._call("POST", f"/leases/{lease}/extend", priority=rate_limits.LEASES)
-        if status == 404:
+        cause = f"status {response.status}: {response.body[:_LOGGED_REPLY_BYTES]!r}"
+        if response.status == 400:
+            raise InvalidTransaction(cause)
+        raise StoreUnavailable(cause)
+
+    async def grant_lease(self, ttl: float) -> int:
+        """A new lease that lives `ttl` seconds without a renewal; raises `StoreUnavailable`."""
+        body = _encode(state_store_api.LeaseRequest(int(ttl * 1000)))
+        response = await self._call("POST", "/leases", body, priority=Priority.LEASES)
+        if response.status != 200:
+            raise StoreUnavailable(f"status {response.status}")
+        return self._decode(_lease_decoder, response.body).lease
+
+    async def renew_lease(self, lease: int) -> None:
+        """Renew a lease; raises `LeaseExpired` or `StoreUnavailable`."""
+        response = await self._call("POST", f"/leases/{lease}/extend", priority=Priority.LEASES)
+        if response.status == 404:
             raise LeaseExpired
-        if status != 200:
-            raise StoreUnavailable(f"status {status}")
+        if response.status != 200:
+            raise StoreUnavailable(f"status {response.status}")
 
-    async def follow(
+    async def watch(
         self,
         prefix: str,
         after: int,
         wait: float,
         *,
-        priority: int = rate_limits.LEASES,
+        priority: Priority = Priority.LEASES,
         timeout: float | None = None,
         on_sent: Callable[[], None] | None = None,
     ) -> state_store_api.Events | None:
         """Changes after a revision; None if that is too old and keys must be read again.
 
-        Without a change the store answers after `wait` seconds; with 0 at once. `timeout`
-        is for the answer, those seconds apart. Raises StoreDown, also for an answer that
-        is older than its question.
+        Without a change the store replies after `wait` seconds; with 0 at once. `timeout`
+        is for the reply, in seconds besides `wait`. Raises `StoreUnavailable`, also for a
+        reply that is older than its request.
         """
-        status, body = await self._call(
+        response = await self._call(
             "GET",
             f"/follow?starts={prefix}&since={after}&waitMs={int(wait * 1000)}",
             priority=priority,
-            timeout=wait + (timeout or self.timeout),
+            timeout=wait + (timeout or self._timeout),
             on_sent=on_sent,
         )
-        if status == 410:
+        if response.status == 410:
             return None
-        if status != 200:
-            raise StoreUnavailable(f"status {status}")
-        events = self._decode(_events, body)
+        if response.status != 200:
+            raise StoreUnavailable(f"status {response.status}")
+        events = self._decode(_events_decoder, response.body)
         if events.revision < after:
-            # Whoever asked knew more already: this was the answer to another question.
-            self._tell_once("answer older than its question")
+            # The caller knew more already: this was the reply to another request.
+            self._log_once("older than its request")
             raise StoreUnavailable("answer older than its question")
         return events
 
-    def _tell_once(self, cause: str) -> None:
-        if cause not in self._told:
-            self._told.add(cause)
-            log.info("unusable answer cause=%s", cause)
+    def _log_once(self, cause: str) -> None:
+        if cause not in self._logged_causes:
+            self._logged_causes.add(cause)
+            log.info("unusable reply cause=%s", cause)
 
     def _decode(self, decoder: msgspec.json.Decoder[T], body: bytes) -> T:
         try:
             return decoder.decode(body)
         except msgspec.MsgspecError as error:
-            self._tell_once("rubbish")
+            self._log_once("not decodable")
             raise OutcomeUnknown(f"rubbish: {error}") from None
--- a/pitchtally/state_store/rate_limits.py
+++ b/pitchtally/state_store/rate_limits.py
@@ -1,43 +1,62 @@
-"""Token buckets with priorities for calls to the state store and the cloud.
+"""Token buckets with priorities, for calls to the state store and the cloud.
 
-The limits are for all nodes together, so each node fills its bucket at its
-share. Waiters are served by priority, then in order. A caller can also ask how
-long it would wait, and so refuse a user at once instead of holding the request.
+The limits are for all nodes together, so each node fills its bucket at its share. Callers are
+served by priority, then in order of arrival. A caller can also ask how long it would wait, and
+so refuse a user at once instead of holding the request.
 """
 
 from __future__ import annotations
 
 import heapq
 from collections.abc import Callable
+from enum import IntEnum
+from typing import NamedTuple
 
 import trio
 
-# Lower goes first.
-LEASES, COMPLETIONS, ACCEPTANCES, PROGRESS = range(4)
 
-# Progress leaves this share of a burst to what users wait for.
-_KEPT = 0.4
+class Priority(IntEnum):
+    """What a call is for; lower values are served first."""
 
-# Timers fire in steps of a few milliseconds, so finer waits gain nothing.
-_STEP = 0.004
+    LEASES = 0  # session leases, failover, and the watch
+    COMPLETIONS = 1  # what completes or cancels a job
+    SUBMISSIONS = 2  # what accepts a job
+    PROGRESS = 3  # what nobody waits for
+
+
+# Of a burst: what `PROGRESS` leaves to calls that users wait for.
+_PROGRESS_RESERVE = 0.4
+
+# Timers fire in steps of a few milliseconds, so finer waits gain nothing; seconds.
+_SHORTEST_SLEEP = 0.004
+
+
+class _Waiter(NamedTuple):
+    """A caller that waits for permits, in the order in which it is served."""
+
+    priority: Priority
+    arrival: int
+    permits: float
 
 
 class TokenBucket:
-    """A token bucket whose waiters are served by priority, then in order."""
+    """A token bucket whose callers are served by priority, then in order of arrival."""
 
     def __init__(self, rate: float, burst: float, now: Callable[[], float] = trio.current_time):
+        """`rate`: permits per second; `burst`: the most that can be saved up."""
         self.rate = rate
         self.burst = max(1.0, burst)
         self._now = now
-        self._level = self.burst
-        self._at = now()
-        self._queue: list[tuple[int, int, float]] = []
-        self._count = 0
+        self._available = self.burst
+        self._refilled_at = now()
+        self._waiters: list[_Waiter] = []
+        self._arrivals = 0
 
     def _refill(self) -> None:
         now = self._now()
-        self._level = min(self.burst, self._level + (now - self._at) * self.rate)
-        self._at = now
+        gained = (now - self._refilled_at) * self.rate
+        self._available = min(self.burst, self._available + gained)
+        self._refilled_at = now
 
     def resize(self, rate: float) -> None:
         """Change the rate, and the burst with it."""
@@ -45,36 +64,45 @@
         self.rate = rate
         self.burst = max(1.0, rate)
 
-    def wait_for(self, priority: int, amount: float = 1.0) -> float:
+    def wait_time(self, priority: Priority, permits: float = 1.0) -> float:
         """Seconds until a call of this priority could go, as things stand."""
         self._refill()
-        ahead = sum(size for rank, _, size in self._queue if rank <= priority)
-        return max(0.0, (ahead + amount - self._level) / self.rate)
+        ahead = sum(waiter.permits for waiter in self._waiters if waiter.priority <= priority)
+        return max(0.0, (ahead + permits - self._available) / self.rate)
 
-    def penalty(self, amount: float = 1.0) -> None:
-        """The other side says we are over its limit: it knows better, so go short."""
+    def penalize(self, permits: float = 1.0) -> None:
+        """Go short: the other side, which knows better, says that we are over its limit."""
         self._refill()
-        self._level = min(self._level, 0.0) - amount
+        self._available = min(self._available, 0.0) - permits
 
-    async def take(self, priority: int, amount: float = 1.0) -> None:
-        """Wait for tokens, and take them."""
-        self._count += 1
-        entry = (priority, self._count, amount)
-        heapq.heappush(self._queue, entry)
+    async def acquire(self, priority: Priority, permits: float = 1.0) -> None:
+        """Wait for permits, and use them."""
+        self._arrivals += 1
+        waiter = _Waiter(priority, self._arrivals, permits)
+        heapq.heappush(self._waiters, waiter)
         try:
-            while True:
-                self._refill()
-                # More than a burst at once is paid for afterwards: those that follow wait
-                # longer. Worked out anew each time: a bucket that was made smaller under a
-                # waiter would never hold what it waited for, and nobody else would go.
-                least = min(
-                    self.burst, amount + (self.burst * _KEPT if priority >= PROGRESS else 0.0)
-                )
-                if self._queue[0] is entry and self._level >= least:
-                    self._level -= amount
-                    return
-                ahead = sum(other[2] for other in self._queue if other < entry)
-                await trio.sleep(max(_STEP, (ahead + least - self._level) / self.rate))
+            while not self._try_acquire(waiter):
+                ahead = sum(other.permits for other in self._waiters if other < waiter)
+                missing = ahead + self._least_available(waiter) - self._available
+                await trio.sleep(max(_SHORTEST_SLEEP, missing / self.rate))
         finally:
-            self._queue.remove(entry)
-            heapq.heapify(self._queue)
+            self._waiters.remove(waiter)
+            heapq.heapify(self._waiters)
+
+    def _try_acquire(self, waiter: _Waiter) -> bool:
+        self._refill()
+        first = self._waiters[0] is waiter
+        if not first or self._available < self._least_available(waiter):
+            return False
+        self._available -= waiter.permits
+        return True
+
+    def _least_available(self, waiter: _Waiter) -> float:
+        """The permits that the bucket must hold before this caller may go.
+
+        More than a burst at once is paid for afterwards: those that follow wait longer. Worked
+        out anew each time: a bucket that was made smaller under a waiter would never hold
+        what it waited for, and nobody else would go.
+        """
+        reserve = self.burst * _PROGRESS_RESERVE if waiter.priority >= Priority.PROGRESS else 0.0
+        return min(self.burst, waiter.permits + reserve)
--- a/pitchtally/state_store/replica.py
+++ b/pitchtally/state_store/replica.py
@@ -1,8 +1,8 @@
-"""This controller's copy of its keys in the state store, kept up by a watch.
+"""This controller's replica of its keys in the state store, kept up to date by a watch.
 
-Besides the watch, any caller may bring the copy up to the store's present by a read of
-its own (`Replica.refresh`). Answers may come in any order, long after newer ones: what an
-answer holds is taken in by revision, never by when it came.
+Besides the watch, any caller may bring the replica up to the store's present by a read of its
+own (`Replica.refresh`). Replies may come in any order, long after newer ones: what a reply
+holds is taken in by revision, never by when it came.
 """
 
 from __future__ import annotations
@@ -14,111 +14,119 @@
 import trio
 
 from ..protocol import state_store_api
-from . import keys, rate_limits
+from . import keys
 from .client import LONG_AGO, StateStoreClient, Write
 from .errors import StoreUnavailable
+from .rate_limits import Priority
 
 log = logging.getLogger("replica")
 
-Listener = Callable[[str, bytes | None, int], None]
+# Called with the rest of a key after the prefix, its value (None: removed) and its version.
+ReplicaListener = Callable[[str, bytes | None, int], None]
+
+_NOT_LOADED = -1
+_LONGEST_PAUSE = 1.0  # seconds between two failed watches
 
 
 @dataclass(frozen=True, slots=True)
 class Refresh:
-    """A read of the store that the copy covers."""
+    """A read of the store that the replica covers."""
 
-    revision: int  # the store's, as it answered
+    revision: int  # the store's, as it replied
     asked_at: float  # steady clock, seconds
     answered_at: float
 
 
 class Replica:
-    """A copy of all our keys, kept up by one watch.
+    """A replica of all our keys, fed by one watch.
 
-    `seen` is the revision up to which the copy is whole. Own commits are applied
-    at once, ahead of the watch; a version number per key keeps the order right.
+    `revision` is the one up to which the replica is complete, -1 before the first load. Own
+    commits are applied at once, ahead of the watch; a version for each key keeps the order
+    right. `verified_at` is the newest time at which the store had nothing that the replica
+    lacks: what is read from the replica is at most as old as that.
     """
 
     def __init__(self, state_store: StateStoreClient, pause: float, wait: float):
-        self.state_store = state_store
-        self.pause = pause
-        self.wait = wait
-        self.revision = -1
-        self.versions: dict[str, int] = {}
-        self.listeners: list[tuple[str, Listener]] = []
-        self.verified_at = LONG_AGO  # a request sent at this time has confirmed the copy
-
-    def listen(self, prefix: str, listener: Listener) -> None:
+        """`pause`: seconds between two watches; `wait`: how long one waits for a change."""
+        self.revision = _NOT_LOADED
+        self.verified_at = LONG_AGO
+        self._state_store = state_store
+        self._pause = pause
+        self._wait = wait
+        self._versions: dict[str, int] = {}
+        self._listeners: list[tuple[str, ReplicaListener]] = []
+
+    def listen(self, prefix: str, listener: ReplicaListener) -> None:
         """Have a listener told of every change below a prefix."""
-        self.listeners.append((keys.ROOT + prefix, listener))
+        self._listeners.append((keys.ROOT + prefix, listener))
 
     def version(self, key: str) -> int:
-        """A key's version in the copy, 0 if absent."""
-        return self.versions.get(key, 0)
+        """A key's version in the replica, 0 if absent."""
+        return self._versions.get(key, 0)
 
     def _apply(self, key: str, value: bytes | None, version: int) -> None:
         if value is None:
-            if self.versions.pop(key, None) is None:
+            if self._versions.pop(key, None) is None:
                 return
         else:
-            if self.versions.get(key, 0) >= version:
+            if self._versions.get(key, 0) >= version:
                 return
-            self.versions[key] = version
-        for prefix, listener in self.listeners:
+            self._versions[key] = version
+        for prefix, listener in self._listeners:
             if key.startswith(prefix):
                 try:
                     listener(key[len(prefix) :], value, version)
                 except Exception:
-                    # A record that one slice cannot read must not stop the copy.
-                    log.exception("listener fault key=%s", key)
+                    # A record that one component cannot read must not stop the replica.
+                    log.exception("listener failed key=%s", key)
 
-    def apply_own_commit(self, changes: Sequence[Write], revision: int) -> None:
-        """Apply a commit of ours; one the watch has passed already is left alone."""
+    def apply_own_commit(self, writes: Sequence[Write], revision: int) -> None:
+        """Apply a commit of ours; one that the watch has passed already is left alone."""
         if revision <= self.revision:
             return
-        for change in changes:
-            if change.value is not None:
-                self._apply(change.key, change.value, revision)
+        for write in writes:
+            if write.value is not None:
+                self._apply(write.key, write.value, revision)
 
     def learn(self, key: str, value: bytes, version: int) -> None:
-        """A change that the store has committed, as a peer's copy shows it."""
+        """Apply a write that the store has committed, as a peer's replica shows it."""
         self._apply(key, value, version)
 
     async def refresh(
         self, timeout: float | None = None, on_sent: Callable[[], None] | None = None
     ) -> Refresh:
-        """Bring the copy up to the store's present by one read of its own.
+        """Bring the replica up to the store's present by one read of its own.
 
-        The read is apart from the watch, whose answer may be late. `timeout` is in seconds;
-        `on_sent` is called as the request goes out. Raises StoreDown.
+        The read is apart from the watch, whose reply may be late. `timeout` is in seconds;
+        `on_sent` is called as the request goes out. Raises `StoreUnavailable`.
         """
         if self.revision < 0:
             raise StoreUnavailable("nothing is loaded yet")
         asked_at = trio.current_time()
 
-        def sent() -> None:
+        def note_sent() -> None:
             nonlocal asked_at
             asked_at = trio.current_time()
             if on_sent is not None:
                 on_sent()
 
-        events = await self.state_store.follow(
+        events = await self._state_store.watch(
             keys.ROOT,
             self.revision,
             0.0,
-            priority=rate_limits.COMPLETIONS,
+            priority=Priority.COMPLETIONS,
             timeout=timeout,
-            on_sent=sent,
+            on_sent=note_sent,
         )
         if events is None:
             raise StoreUnavailable("the copy is too old to be refreshed")
-        self._take(events, asked_at)
+        self._apply_events(events, asked_at)
         return Refresh(events.revision, asked_at, trio.current_time())
 
-    def _take(self, events: state_store_api.Events, asked_at: float) -> None:
-        """Apply an answer to a question that was sent at `asked_at`.
+    def _apply_events(self, events: state_store_api.Events, asked_at: float) -> None:
+        """Apply a reply to a request that was sent at `asked_at`.
 
-        Several questions may be under way. A change that the copy covers already is left
+        Several requests may be under way. A change that the replica covers already is left
         out: a put that came late would bring a key back that was removed since.
         """
         for event in events.events:
@@ -127,21 +135,21 @@
             if event.put is not None:
                 self._apply(event.put, bytes(event.value), event.version)
             elif event.delete is not None:
-                if self.versions.get(event.delete, 0) <= event.version:
+                if self._versions.get(event.delete, 0) <= event.version:
                     self._apply(event.delete, None, event.version)
         self._advance(events.revision)
-        # An answer after a silent wait vouches for its end, not its start;
+        # A reply after a wait without changes vouches for its end, not its start;
         # only the sending time is certain.
         self.verified_at = max(self.verified_at, asked_at)
 
     async def load(self) -> None:
-        """Read everything; keys that vanished meanwhile are dropped."""
+        """Read every key; those that vanished meanwhile are dropped."""
         found: set[str] = set()
         after: str | None = None
         revision: int | None = None
         while True:
-            page = await self.state_store.page(keys.ROOT, after)
-            # The watch goes on from the first page: later changes are seen again.
+            page = await self._state_store.read_page(keys.ROOT, after)
+            # The watch continues from the first page: later changes are seen again.
             revision = page.revision if revision is None else revision
             for item in page.items:
                 found.add(item.key)
@@ -149,7 +157,12 @@
             if not page.more or not page.items:
                 break
             after = page.items[-1].key
-        for key in [k for k, v in self.versions.items() if k not in found and v <= revision]:
+        vanished = [
+            key
+            for key, version in self._versions.items()
+            if key not in found and version <= revision
+        ]
+        for key in vanished:
             self._apply(key, None, revision)
         self._advance(revision)
 
@@ -157,24 +170,24 @@
         self.revision = max(self.revision, revision)
 
     async def run(self) -> None:
-        """Follow for ever, reading everything anew whenever the thread is lost."""
-        delay = self.pause
+        """Watch for ever, reading every key again whenever the store has forgotten since when."""
+        pause = self._pause
         while True:
             try:
-                await self._follow()
-                delay = self.pause
+                await self._watch_or_load()
+                pause = self._pause
             except StoreUnavailable as error:
-                log.debug("watch: %s", error)
-                delay = min(delay * 2, 1.0)
-            await trio.sleep(delay)
+                log.debug("watch failed: %s", error)
+                pause = min(pause * 2, _LONGEST_PAUSE)
+            await trio.sleep(pause)
 
-    async def _follow(self) -> None:
+    async def _watch_or_load(self) -> None:
         asked_at = trio.current_time()
         if self.revision >= 0:
-            events = await self.state_store.follow(keys.ROOT, self.revision, self.wait)
+            events = await self._state_store.watch(keys.ROOT, self.revision, self._wait)
             if events is not None:
-                self._take(events, asked_at)
+                self._apply_events(events, asked_at)
                 return
-            log.info("watch too old, reading again")
+            log.info("watch too old, loading all keys")
         await self.load()
         self.verified_at = max(self.verified_at, asked_at)
--- a/tests/cluster/test_large_fleet.py
+++ b/tests/cluster/test_large_fleet.py
@@ -24,7 +24,7 @@
 from pitchtally.membership.messages import PeerHeartbeat
 from pitchtally.membership.shards import ShardLeader, ShardLease, shard_of
 from pitchtally.protocol import cloud_api, user_api
-from pitchtally.state_store import rate_limits
+from pitchtally.state_store.rate_limits import Priority
 from standins.network import HERE
 
 from ..harness.simulation import TIMES, Simulation, job, run, settings
@@ -474,7 +474,7 @@
         leader, written = _leader_of(0, 50), []
 
         async def commit(conditions: Any, changes: Any, *, priority: int) -> bool:
-            assert priority < rate_limits.ACCEPTANCES
+            assert priority < Priority.SUBMISSIONS
             assert all(len(c.value) <= 8192 for c in changes)
             written.extend(changes)
             return True
--- a/tests/state_store/test_size_limits.py
+++ b/tests/state_store/test_size_limits.py
@@ -22,8 +22,8 @@
 from pitchtally.membership import messages
 from pitchtally.membership.messages import Cancellation, MachineStatus, PeerHeartbeat, ShardStatus
 from pitchtally.protocol import agent_api, cloud_api, state_store_api, user_api
-from pitchtally.state_store import rate_limits
 from pitchtally.state_store.client import Write
+from pitchtally.state_store.rate_limits import Priority, TokenBucket
 
 from ..harness.simulation import job, settings
 
@@ -118,7 +118,7 @@
 def submission_batcher(controller: Controller) -> int:
     """The bytes of a transaction that takes as many submissions as go together."""
     found = SubmissionBatcher(controller.state_store, controller.replica)
-    controller.state_store.writes.resize(1000.0)
+    controller.state_store.write_limit.resize(1000.0)
     for number in range(1000):
         value = encode(JobRecord(OPEN, 800, _spec(800), 1.7e9, [TaskRange(0, 800, 1)]))
         key = f"pt/jobs/wk-{number:018d}"
@@ -217,14 +217,14 @@
     """Batches charged as one burst went over the limit for all nodes."""
 
     async def main() -> None:
-        bucket = rate_limits.TokenBucket(4.0, 4.0)
-        await bucket.take(rate_limits.ACCEPTANCES, 8)
+        bucket = TokenBucket(4.0, 4.0)
+        await bucket.acquire(Priority.SUBMISSIONS, 8)
         at = trio.current_time()
-        await bucket.take(rate_limits.ACCEPTANCES, 1)
+        await bucket.acquire(Priority.SUBMISSIONS, 1)
         assert trio.current_time() - at == pytest.approx(5 / 4, abs=0.02)
-        assert bucket.wait_for(rate_limits.ACCEPTANCES, 5) == pytest.approx(5 / 4, abs=0.02)
+        assert bucket.wait_time(Priority.SUBMISSIONS, 5) == pytest.approx(5 / 4, abs=0.02)
         bucket.resize(8.0)
-        assert bucket.wait_for(rate_limits.ACCEPTANCES, 5) == pytest.approx(5 / 8, abs=0.02)
+        assert bucket.wait_time(Priority.SUBMISSIONS, 5) == pytest.approx(5 / 8, abs=0.02)
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
@@ -234,14 +234,14 @@
     it waited for was more than its bucket held, and nothing was written any more."""
 
     async def main() -> None:
-        bucket = rate_limits.TokenBucket(12.0, 12.0)
-        await bucket.take(rate_limits.ACCEPTANCES, 12)
+        bucket = TokenBucket(12.0, 12.0)
+        await bucket.acquire(Priority.SUBMISSIONS, 12)
         at = trio.current_time()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(bucket.take, rate_limits.COMPLETIONS, 12)
+            nursery.start_soon(bucket.acquire, Priority.COMPLETIONS, 12)
             await trio.sleep(0.1)
             bucket.resize(4.0)
-            nursery.start_soon(bucket.take, rate_limits.ACCEPTANCES, 1)
+            nursery.start_soon(bucket.acquire, Priority.SUBMISSIONS, 1)
         assert trio.current_time() - at < 4
 
     async def limited() -> None:
