--- a/pitchtally/agents/manager.py
+++ b/pitchtally/agents/manager.py
@@ -16,9 +16,9 @@
 import msgspec
 import trio
 
-from ..config.agent_lease import lease_expiry
 from ..config.policy import Policy
 from ..config.settings import Settings
+from ..config.timing import lease_expired_at
 from ..http import Request, Response
 from ..jobs.index import JobIndex
 from ..membership.membership import Membership
@@ -548,7 +548,7 @@
                 if (
                     machine.confirmed
                     and held
-                    and owned > lease_expiry(machine.answered_at, self.times)
+                    and owned > lease_expired_at(machine.answered_at, self.times)
                 ):
                     log.info(
                         "lease over machine=%s tasks=%d", machine.name, len(machine.placements)
--- a/pitchtally/config/policy.py
+++ b/pitchtally/config/policy.py
@@ -17,8 +17,8 @@
 from pathlib import Path
 from typing import Any
 
-from .agent_lease import max_freshness_bound
 from .settings import Settings, SettingsError
+from .timing import max_freshness_bound
 
 # name: (default expression, lowest, highest, what it sets)
 FIGURES: dict[str, tuple[str, float, float, str]] = {
--- a/pitchtally/formats/gate.py
+++ b/pitchtally/formats/gate.py
@@ -1,10 +1,10 @@
 """The feature gate of stored formats: one durable record that is written once.
 
-Each controller tells in its own record, which hangs on its lease, the newest format that it
-reads (`membership.NodeRecord.reads`). Once every configured member has told that it reads the
-present one, the leader writes `pt/format`. The write is conditional on those records, so it
-fails if one of the members was replaced meanwhile. It is never taken back: from then on
-versions that read the old format only can't be run any more.
+Each controller tells in its own record, which is bound to its session lease, the newest format
+that it reads (`membership.nodes.NodeRecord.reads`). Once every configured member has told that it
+reads the present one, the cluster leader writes `pt/format`. The versions of those records are
+preconditions of the write, so it fails if one of the members was replaced meanwhile. It is never
+undone: from then on, versions that read only the old format cannot be run any more.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 from ..state_store.replica import Replica
 from . import format_1
 
-log = logging.getLogger("format")
+log = logging.getLogger("gate")
 
 # The format of 0.5.1, which tells nothing.
 FIRST_FORMAT = 1
-# Finished tasks by task number, long specs in pieces, shares by team: since 0.6.0.
+# Finished tasks by task number, long specs in chunks, quota shares by team: since 0.6.0.
 FORMAT = 2
 
 KEY = keys.FORMAT
@@ -50,14 +50,14 @@
 
 
 _decode = msgspec.json.Decoder(FormatRecord).decode
-encode = msgspec.json.encode
+_encode = msgspec.json.encode
 
 
 class FormatGate:
-    """Which format this controller may write, as its copy of the store shows."""
+    """Which format this controller may write, as its replica shows."""
 
     def __init__(self, replica: Replica, value_kb: float):
-        """`value_kb`: today's limit of a value, on which 0.5.1 rests its layouts."""
+        """`value_kb`: today's limit of a value in KiB, on which format 1 rests its layouts."""
         self.format = FIRST_FORMAT
         self.value_kb = value_kb
         self.legacy_chunk_tasks = format_1.chunk_tasks(value_kb)
@@ -79,7 +79,7 @@
 
     def record(self) -> bytes:
         """The record that opens the gate."""
-        return encode(FormatRecord(FORMAT, self.legacy_chunk_tasks))
+        return _encode(FormatRecord(FORMAT, self.legacy_chunk_tasks))
 
 
 def all_read(
@@ -89,12 +89,11 @@
 
     `answering` names the incarnation of each member that has answered of late. A record
     outlives its process for a moment: only one of the process that answers counts, so what
-    a predecessor read, or didn't, says nothing of its successor.
+    a predecessor read, or did not read, says nothing of its successor.
     """
-    for name in members:
-        record = records.get(name)
-        if record is None or record.reads < FORMAT:
-            return False
-        if answering.get(name) != record.incarnation:
-            return False
-    return True
+    return all(
+        (record := records.get(name)) is not None
+        and record.reads >= FORMAT
+        and answering.get(name) == record.incarnation
+        for name in members
+    )
--- a/pitchtally/formats/machine_layout.py
+++ b/pitchtally/formats/machine_layout.py
@@ -1,4 +1,4 @@
-"""Which chunk of a shard's machine record names a machine: `pt/fleet/<part>/<chunk>`.
+"""Which chunk of a shard's machine record names a machine: `pt/fleet/<shard>/<chunk>`.
 
 A chunk's number tells under which width it was written, so chunks of different widths never
 share a key: a reader joins all that there are, a writer moves names over to its own.
@@ -14,10 +14,10 @@
 
 
 def machines_per_chunk(value_bytes: int) -> int:
-    """Consecutive machines of a shard that one value names."""
+    """Consecutive machines of a shard that one value of at most so many bytes names."""
     return max(1, int(value_bytes * _VALUE_SHARE / _MACHINE_BYTES))
 
 
-def chunk_of(place: int, width: int) -> int:
-    """The chunk of the machine that is the `place`-th of its shard."""
-    return width * _WIDTH_FACTOR + place // width
+def chunk_of(position: int, width: int) -> int:
+    """The number of the chunk, `width` machines wide, of a shard's machine at this position."""
+    return width * _WIDTH_FACTOR + position // width
--- a/pitchtally/formats/text_chunks.py
+++ b/pitchtally/formats/text_chunks.py
@@ -1,7 +1,7 @@
-"""A text that one value can't hold, cut into pieces that are found by their content.
+"""A text that one value cannot hold, cut into chunks that are found by their content.
 
-A key names a digest of the whole text, so pieces of different texts never mix, and writing
-one again changes nothing: no condition is needed. The pieces are written first; what refers
+A key names a digest of the whole text, so chunks of different texts never mix, and writing
+one again changes nothing: no precondition is needed. The chunks are written first; what refers
 to them follows once all are there.
 """
 
@@ -16,41 +16,53 @@
 from ..state_store import keys
 
 _DIGEST_BYTES = 8
-# Of a value: JSON may escape a character to several bytes, which `cut` counts.
-PIECE_SHARE = 3 / 4
+# Of a value. JSON may escape a character to several bytes, which `cut` counts.
+CHUNK_SHARE = 3 / 4
+_QUOTES = 2
 
 
 class TextRef(NamedTuple):
     """What finds a text again; stored as an array."""
 
     digest: str
-    pieces: int
+    chunks: int
+
+
+class EncodedText(NamedTuple):
+    """A text as values of the state store."""
+
+    ref: TextRef
+    values: list[bytes]
 
 
 def key(job: str, ref: TextRef, number: int) -> str:
-    """The key of one piece of a job's text."""
+    """The key of one chunk of a job's text."""
     return keys.text_chunk(job, ref.digest, number)
 
 
-def cut(text: str, value_bytes: int) -> tuple[TextRef, list[bytes]]:
-    """A text as encoded pieces, each within the limit of a value, and what finds it again."""
-    most = max(1, int(value_bytes * PIECE_SHARE))
-    pieces: list[str] = []
+def cut(text: str, value_bytes: int) -> EncodedText:
+    """Cut a text into chunks, each of them encoded within the limit of a value."""
+    most = max(1, int(value_bytes * CHUNK_SHARE))
+    chunks: list[str] = []
     size = most
     for character in text:
-        width = len(msgspec.json.encode(character)) - 2  # without the quotes
+        width = len(msgspec.json.encode(character)) - _QUOTES
         if size + width > most:
-            pieces.append("")
+            chunks.append("")
             size = 0
-        pieces[-1] += character
+        chunks[-1] += character
         size += width
     digest = hashlib.blake2b(text.encode(), digest_size=_DIGEST_BYTES).hexdigest()
-    return TextRef(digest, len(pieces)), [msgspec.json.encode(piece) for piece in pieces]
+    values = [msgspec.json.encode(chunk) for chunk in chunks]
+    return EncodedText(TextRef(digest, len(chunks)), values)
 
 
-def join(ref: TextRef, pieces: Mapping[tuple[str, int], str]) -> str | None:
-    """The text again, None while pieces are missing."""
-    found = [pieces.get((ref.digest, number)) for number in range(ref.pieces)]
-    if any(piece is None for piece in found):
-        return None
-    return "".join(piece for piece in found if piece is not None)
+def join(ref: TextRef, chunks: Mapping[tuple[str, int], str]) -> str | None:
+    """The text whose chunks are given by digest and number; None while some are missing."""
+    found = []
+    for number in range(ref.chunks):
+        chunk = chunks.get((ref.digest, number))
+        if chunk is None:
+            return None
+        found.append(chunk)
+    return "".join(found)
--- a/pitchtally/jobs/layout.py
+++ b/pitchtally/jobs/layout.py
@@ -1,12 +1,13 @@
-"""What of a job goes into which key, under the limits of the state store.
+"""What of a job is stored in which key, under the limits of the state store.
 
 Pure: decides on writes, and leaves commits to others. While the format gate is closed all
-is laid out as 0.5.1 does it, whatever the announced limits: no other form can be read.
+is laid out in format 1, whatever the announced limits: 0.5.1 can read no other.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterator
+from typing import NamedTuple
 
 import msgspec
 
@@ -19,12 +20,19 @@
 from .job_record import JobRecord
 from .task_bitmap import TaskBitmap
 
-encode = msgspec.json.encode
+_encode = msgspec.json.encode
 
 # Of a value: what a spec may take in the record, beside ranges and finished tasks.
 SPEC_SHARE = 3 / 8
 
 
+class LaidOutJob(NamedTuple):
+    """A job as it is to be stored."""
+
+    first: list[Write]  # what the record refers to; has to be written before it
+    record: JobRecord
+
+
 class JobLayout:
     """The layout of jobs under the limits that hold for this controller."""
 
@@ -35,49 +43,43 @@
         self.chunk_tasks = finished_tasks.chunk_tasks(self.value_bytes)
 
     @property
-    def most_bytes(self) -> int:
+    def max_value_bytes(self) -> int:
         """The largest value that may be written now.
 
-        The old form has no way to hold less, so before the gate opens it is today's limit;
-        what the store refuses then is tried again once the gate is open.
+        Format 1 has no way to hold less, so before the gate opens it is today's limit; what the
+        store refuses then is tried again once the gate is open.
         """
         return self.value_bytes if self.gate.open else int(self.gate.value_kb * 1024)
 
     def record_fits(self, value: bytes) -> bool:
         """Whether an encoded record may be written."""
-        return len(value) <= self.most_bytes
+        return len(value) <= self.max_value_bytes
 
-    def lay_out_new(self, id: str, record: JobRecord) -> tuple[list[Write], JobRecord]:
-        """A new job: what has to be written before its record, and the record."""
+    def lay_out_new(self, id: str, record: JobRecord) -> LaidOutJob:
+        """The layout of a new job."""
         if not self.gate.open or record.spec is None:
-            return [], record
+            return LaidOutJob([], record)
         if not record.spec.is_service and record.tasks > self._most_inline():
             record = msgspec.structs.replace(record, chunk_tasks=self.chunk_tasks)
-        if len(encode(record.spec)) <= self.value_bytes * SPEC_SHARE:
-            return [], record
+        if len(_encode(record.spec)) <= self.value_bytes * SPEC_SHARE:
+            return LaidOutJob([], record)
         return self._move_spec_out(id, record)
 
     def _most_inline(self) -> int:
         # A record without `chunk_tasks` and with more tasks is one of 0.5.1, in chunks.
         return min(self.inline_tasks, self.gate.legacy_chunk_tasks)
 
-    @staticmethod
-    def piece_writes(
-        id: str, text: str, value_bytes: int
-    ) -> tuple[text_chunks.TextRef, list[Write]]:
-        """The writes that store a job's text, and what finds it again."""
-        ref, values = text_chunks.cut(text, value_bytes)
+    def _move_spec_out(self, id: str, record: JobRecord) -> LaidOutJob:
+        """The record without its spec, which goes into chunks of its own."""
+        ref, values = text_chunks.cut(_encode(record.spec).decode(), self.value_bytes)
         writes = [
-            Write(keys.text_chunk(id, ref.digest, n), value) for n, value in enumerate(values)
+            Write(keys.text_chunk(id, ref.digest, number), value)
+            for number, value in enumerate(values)
         ]
-        return ref, writes
-
-    def _move_spec_out(self, id: str, record: JobRecord) -> tuple[list[Write], JobRecord]:
-        ref, writes = self.piece_writes(id, encode(record.spec).decode(), self.value_bytes)
-        return writes, msgspec.structs.replace(record, spec=None, spec_text=ref)
+        return LaidOutJob(writes, msgspec.structs.replace(record, spec=None, spec_text=ref))
 
     def needs_conversion(self, job: Job) -> bool:
-        """Whether an open job stands in a layout that it can't be rewritten in."""
+        """Whether an open job is stored in a layout in which it cannot be rewritten."""
         if not self.gate.open or not job.open:
             return False
         if job.stored_bytes > self.value_bytes:
@@ -89,33 +91,33 @@
             return False
         return job.record.tasks > self._most_inline()
 
-    def convert(self, job: Job) -> tuple[list[Write], JobRecord]:
-        """A job brought into the present layout: what goes first, and its record."""
+    def convert(self, job: Job) -> LaidOutJob:
+        """A job brought into the present layout."""
         writes: list[Write] = []
         record = job.current_record()
         if self._needs_chunks(job):
             record = msgspec.structs.replace(record, finished="", chunk_tasks=self.chunk_tasks)
             writes += self._chunks(job.id, job.finished, self.chunk_tasks)
-        oversize = len(encode(record)) > self.value_bytes
+        oversize = len(_encode(record)) > self.value_bytes
         if oversize and record.spec is not None and record.spec_text is None:
-            pieces_first, record = self._move_spec_out(job.id, record)
-            writes += pieces_first
-        return writes, record
+            text_writes, record = self._move_spec_out(job.id, record)
+            writes += text_writes
+        return LaidOutJob(writes, record)
 
     @staticmethod
     def _chunks(id: str, bits: TaskBitmap, tasks: int) -> Iterator[Write]:
-        """Every key of a finished set that holds anything."""
+        """Every key of a bitmap of finished tasks that holds anything."""
         for first in range(0, bits.size, tasks):
-            size = tasks // format_1.BYTE_BITS
-            offset = first // format_1.BYTE_BITS
+            size = tasks // format_1.BITS_PER_BYTE
+            offset = first // format_1.BITS_PER_BYTE
             if any(bits.data[offset : offset + size]):
-                yield Write(keys.finished_tasks(id, first), encode(bits.text(offset, size)))
+                yield Write(keys.finished_tasks(id, first), _encode(bits.text(offset, size)))
 
     def encode_record(self, job: Job, record: JobRecord) -> bytes:
-        """A changed record of a job, without what stands in other keys."""
+        """A changed record of a job, without what is stored in other keys."""
         if record.spec_text is not None:
             record = msgspec.structs.replace(record, spec=None)
-        return encode(record)
+        return _encode(record)
 
     def progress(self, job: Job, joined: TaskBitmap) -> list[Write]:
         """The writes that make finished tasks durable, a record's last."""
@@ -126,12 +128,10 @@
         writes = []
         for number in sorted({task // tasks for task in job.local}):
             first = number * tasks
-            text = joined.text(first // format_1.BYTE_BITS, tasks // format_1.BYTE_BITS)
-            old = not job.record.chunk_tasks
-            key = (
-                keys.legacy_finished_tasks(job.id, number)
-                if old
-                else keys.finished_tasks(job.id, first)
-            )
-            writes.append(Write(key, encode(text)))
+            text = joined.text(first // format_1.BITS_PER_BYTE, tasks // format_1.BITS_PER_BYTE)
+            if job.record.chunk_tasks:
+                key = keys.finished_tasks(job.id, first)
+            else:
+                key = keys.legacy_finished_tasks(job.id, number)
+            writes.append(Write(key, _encode(text)))
         return writes
