--- a/pitchtally/membership/messages.py
+++ b/pitchtally/membership/messages.py
@@ -1,4 +1,4 @@
-"""Messages between our own processes: tagged tuples in MessagePack.
+"""Messages between controllers: tagged tuples in MessagePack.
 
 Fields go by their order, so a field may be renamed but not moved; a new one comes last and
 has a default, which keeps messages readable between neighbouring versions.
@@ -10,6 +10,7 @@
 from __future__ import annotations
 
 from enum import StrEnum
+from typing import NamedTuple
 
 import msgspec
 from msgspec import Struct
@@ -17,81 +18,89 @@
 from ..jobs.job_record import TaskRange
 from ..jobs.resources import NO_RESOURCES, Resources
 from ..protocol import user_api
+from ..state_store.identifiers import FencingToken, ShardId
 
 # The number of a call by a version that numbers nothing.
 UNNUMBERED = 0
 
 
 class MachineFlag(StrEnum):
-    """Why a machine takes no work; the values are those of earlier versions."""
+    """Why a machine is given no tasks; the values are those of earlier versions."""
 
     USABLE = ""
     NEW = "new"  # not recorded yet, or of a type not known yet
-    LOST = "lost"  # silent, its lease is over
-    UNHEARD = "unheard"  # recorded, not heard since its shard was taken over
-    UNRESPONSIVE = "deaf"  # it reports, but hears nothing of what it is told
-    NOTICE = "notice"  # the cloud is about to take it back
-    DRAINING = "drain"  # to be returned once it is empty
+    LOST = "lost"  # its lease has expired
+    UNHEARD = "unheard"  # recorded, no heartbeat since its shard was acquired
+    UNRESPONSIVE = "deaf"  # its heartbeats arrive, but our answers do not
+    NOTICE = "notice"  # a spot instance that the cloud is about to preempt
+    DRAINING = "drain"  # to be terminated once it is empty
     UNHEALTHY = "sick"  # tasks of several good jobs fail on it
 
 
 class MachineStatus(Struct, array_like=True):
-    """What peers and the leader need to know of one machine."""
+    """What peers and the cluster leader need to know of one machine."""
 
     name: str
     type: str
     zone: str
     spot: bool
     free: Resources
-    yielding: Resources  # held by work of the lowest rank
+    yielding: Resources  # used by tasks of the lowest rank
     tasks: int
-    idle_for: float
+    idle_for: float  # seconds
     flag: str  # a `MachineFlag`, or one of a later version
     slow: float = 1.0
-    over: Resources = NO_RESOURCES  # by teams beyond their guarantee
+    over: Resources = NO_RESOURCES  # used by teams over their guarantee
 
 
 class ShardStatus(Struct, array_like=True):
-    """What the leader of a shard tells of it."""
+    """What the leader of a shard tells its peers of it."""
 
     shard: int
     token: int
     reconciled: bool
-    queued: float  # machine-seconds not started
-    stretch: float  # lowest over its machines
+    queued: float  # machine-seconds of pending tasks
+    stretch: float  # the lowest of its machines
     machines: list[MachineStatus]
     matrix: list[tuple[str, list[list[list[int]]]]] = []
-    waiting: dict[str, int] = {}  # job -> tasks not started
-    reserved: list[str] = []  # jobs that a machine is kept free for
+    waiting: dict[str, int] = {}  # job -> pending tasks
+    reserved: list[str] = []  # jobs that machines are kept free for
     running: dict[str, int] = {}  # job -> tasks running
     kept: list[str] = []  # machines kept free
-    ready: list[str] = []  # gangs over several shards that have their room here
-    use: dict[str, tuple[float, float]] = {}  # team -> CPUs and GPUs in use here
+    ready: list[str] = []  # gangs over several shards whose share fits here
+    use: dict[str, tuple[float, float]] = {}  # team -> CPUs and GPUs in use in this shard
 
 
 class Cancellation(Struct, array_like=True, frozen=True):
-    """A committed cancellation: all that a copy of the store needs to show it."""
+    """A committed cancellation: all that a replica needs to show it."""
 
     job: str
     version: int  # of the job's record, as committed
     tasks: int
-    done: int
+    done: int  # tasks finished
+
+
+class ShardToken(NamedTuple):
+    """The newest fencing token that the sender knows of a shard; sent as an array."""
+
+    shard: ShardId
+    token: FencingToken
 
 
 class PeerHeartbeat(Struct, array_like=True, tag="heartbeat"):
-    """What a node knows, sent to each peer and given back as the answer."""
+    """What a node knows, sent to each peer and returned as the reply."""
 
     node: str
     incarnation: str
     number: int  # orders the heartbeats of one incarnation
-    revision: int  # the revision that our copy of the store covers
-    store_age: float
-    cancellations_age: float  # since when cancellations may be unknown to the sender
-    cancellations: list[Cancellation]  # that the receiver's copy can't show yet
+    revision: int  # the revision that the sender's replica covers
+    store_age: float  # of the sender's replica, seconds
+    cancellations_age: float  # seconds since the sender knew all cancellations
+    cancellations: list[Cancellation]  # that the receiver's replica cannot show yet
     shards: list[ShardStatus]
-    released: list[str]
-    drain: list[str]
-    tokens: list[tuple[int, int]] = []  # the newest fencing token known of each shard
+    released: list[str]  # machines that the cloud has confirmed as terminated
+    drain: list[str]  # machines to be drained
+    tokens: list[ShardToken] = []
     call: int = UNNUMBERED
 
 
@@ -103,7 +112,7 @@
 
 
 class Forward(Struct, array_like=True, tag="forward"):
-    """A user's request, from a node that can't reach the store to one that can."""
+    """A user's request, from a node that cannot reach the state store to one that can."""
 
     method: str
     path: str
@@ -112,7 +121,7 @@
 
 
 class Forwarded(Struct, array_like=True, tag="forwarded"):
-    """A peer's answer to a user's request."""
+    """A peer's response to a user's request."""
 
     status: int
     body: bytes
@@ -121,14 +130,14 @@
 
 
 class ScheduleRequest(Struct, array_like=True, tag="split"):
-    """A job that no part of its accepting controller keeps: the leader is to place it."""
+    """A job that no shard of the accepting controller keeps: the cluster leader is to place it."""
 
     spec: user_api.JobSpec
     call: int = UNNUMBERED
 
 
 class ScheduleReply(Struct, array_like=True, tag="split_answer"):
-    """Where the leader places the job; no ranges if it can't tell yet."""
+    """Where the cluster leader places the job; no ranges if it cannot tell yet."""
 
     ranges: list[TaskRange]
     zone: str | None = None
@@ -136,7 +145,7 @@
 
 
 class Ack(Struct, array_like=True, tag="ack"):
-    """The message was taken in."""
+    """The message was received."""
 
     call: int = UNNUMBERED
 
@@ -145,6 +154,4 @@
 
 
 encode = msgspec.msgpack.Encoder().encode
-
-
 decode = msgspec.msgpack.Decoder(Message).decode
--- a/pitchtally/membership/peers/heartbeats.py
+++ b/pitchtally/membership/peers/heartbeats.py
@@ -8,7 +8,7 @@
 from ..freshness import NEVER_READ, PeerReply
 from ..freshness_tracker import FreshnessTracker
 from ..leadership import ShardLeadership
-from ..messages import PeerHeartbeat
+from ..messages import PeerHeartbeat, ShardToken
 from ..nodes import LiveNodes
 from .listener import NoPeerListener, NoPeerUpdates, PeerListener, PeerUpdates
 from .peer import Peer, PeerGroup
@@ -42,7 +42,7 @@
             shards=[],
             released=[],
             drain=[],
-            tokens=[(shard, lease.token) for shard, lease in leaders.items()],
+            tokens=[ShardToken(shard, lease.token) for shard, lease in leaders.items()],
         )
         self.updates.add_updates(heartbeat, revision)
         return heartbeat
--- a/tests/cluster/test_large_fleet.py
+++ b/tests/cluster/test_large_fleet.py
@@ -21,7 +21,7 @@
 from pitchtally.jobs.index import Job
 from pitchtally.jobs.job_record import OPEN, JobRecord, TaskRange, encode
 from pitchtally.jobs.resources import dominant_share
-from pitchtally.membership.messages import PeerHeartbeat
+from pitchtally.membership.messages import PeerHeartbeat, ShardToken
 from pitchtally.membership.shards import ShardLeader, ShardLease, shard_of
 from pitchtally.protocol import cloud_api, user_api
 from pitchtally.state_store.rate_limits import Priority
@@ -562,13 +562,13 @@
         leader = _leader_of(1, 50)
         assert leader.membership.token(1) == 50
 
-        def told(number: int, tokens: list[tuple[int, int]]) -> None:
+        def told(number: int, tokens: list[ShardToken]) -> None:
             heartbeat = PeerHeartbeat("n1", "x", number, 0, 0.0, 0.0, [], [], [], [], tokens)
             leader.membership.receiver.receive(heartbeat, None)
 
-        told(1, [(1, 49), (2, 80)])
+        told(1, [ShardToken(1, 49), ShardToken(2, 80)])
         assert leader.membership.token(1) == 50
-        told(2, [(1, 60)])
+        told(2, [ShardToken(1, 60)])
         assert leader.membership.token(1) is None
         assert 1 not in leader.agents.shards
 
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -171,7 +171,7 @@
         [messages.ShardStatus(0, 5, True, 1.0, 1.0, [], use={"tight": (1.0, 0.0)})],
         ["i-000001"],
         [],
-        [(0, 5)],
+        [messages.ShardToken(0, 5)],
     )
     for message in (
         told,
@@ -217,7 +217,7 @@
         **RECORDS,
         **{write.key.removeprefix("pt/"): write.value or b"" for write in writes},
         "format": writer.gate.record(),
-        "nodes/n1": msgspec.json.encode(writer.membership._own_node()),
+        "nodes/n1": msgspec.json.encode(writer.membership.session.own_record()),
         "jobs/wk-000001": writer.layout.encode_record(job_, record),
     }
 
--- a/tests/harness/earlier_version.py
+++ b/tests/harness/earlier_version.py
@@ -47,7 +47,12 @@
     return Renamed(
         controller,
         job_index="job_store",
-        membership=Renamed(controller.members, leader="owner", cluster_leader_token="leading"),
+        membership=Renamed(
+            controller.members,
+            leader="owner",
+            cluster_leader_token="leading",
+            session=Renamed(controller.members, own_record="_own_node"),
+        ),
         agents="workers",
         scheduler=Renamed(controller.split, quotas="teams"),
         autoscaler=Renamed(controller.fleet, catalog="machine_types"),
