--- a/pitchtally/agents/heartbeats/endpoint.py
+++ b/pitchtally/agents/heartbeats/endpoint.py
@@ -9,7 +9,7 @@
 import trio
 
 from ...http import Request, Response
-from ...membership.membership import shard_of
+from ...membership.shards import shard_of
 from ...protocol import agent_api
 from ..commands.builder import CommandBuilder
 from ..led_shard import LedShard
--- a/pitchtally/agents/lease_expiry.py
+++ b/pitchtally/agents/lease_expiry.py
@@ -8,7 +8,7 @@
 import trio
 
 from ..config.settings import AgentTimes
-from ..membership.freshness import lease_over
+from ..config.timing import lease_expired_at
 from .commands.task_control import TaskControl
 from .led_shard import LedShard
 from .listener import Freshness, LossCause
@@ -77,7 +77,7 @@
         held = not machine.lost or machine.placements
         if not machine.confirmed or not held:
             return False
-        return leading_until > lease_over(machine.lease_renewed_at, self._times)
+        return leading_until > lease_expired_at(machine.lease_renewed_at, self._times)
 
     def _is_preempted(self, machine: Machine, now: float, silent_for: float) -> bool:
         """Announced by the provider, and silent since: that comes before the lease's end."""
--- a/pitchtally/agents/machine_index.py
+++ b/pitchtally/agents/machine_index.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Collection
 
-from ..membership.membership import shard_of
+from ..membership.shards import shard_of
 from ..protocol import cloud_api
 from .machine import Machine
 from .placements import Placements
--- a/pitchtally/agents/machine_records.py
+++ b/pitchtally/agents/machine_records.py
@@ -15,12 +15,13 @@
 import trio
 
 from ..config.settings import StateLimits
-from ..formats import legacy, machine_layout
+from ..formats import format_1, machine_layout
 from ..formats.gate import FormatGate
 from ..jobs.commits import JobCommits
-from ..state_store import keys, rate_limits
+from ..state_store import keys
 from ..state_store.client import Write
 from ..state_store.errors import InvalidTransaction, StoreUnavailable
+from ..state_store.rate_limits import Priority
 from .led_shard import LedShard
 from .machine_index import MachineIndex
 
@@ -84,7 +85,7 @@
         place = number // self._index.shard_count
         if self.gate.open or self._legacy_refused:
             return machine_layout.chunk_of(place, self.span)
-        return place // legacy.machines_per_chunk(self.gate.value_kb)
+        return place // format_1.machines_per_chunk(self.gate.value_kb)
 
     def of(self, shard: int) -> MachineRows:
         """Every recorded machine of a shard."""
@@ -156,7 +157,7 @@
         value = msgspec.json.encode(rows) if rows or not self.gate.open else None
         try:
             done = await self._commits.commit(
-                conditions, [Write(key, value)], priority=rate_limits.COMPLETIONS
+                conditions, [Write(key, value)], priority=Priority.COMPLETIONS
             )
         except InvalidTransaction as error:
             # Lower limits came before the gate opened. Earlier versions read any chunk, and
--- a/pitchtally/jobs/commits.py
+++ b/pitchtally/jobs/commits.py
@@ -8,6 +8,7 @@
 
 from ..state_store.client import StateStoreClient, Write
 from ..state_store.errors import CompareFailed, LeaseExpired
+from ..state_store.rate_limits import Priority
 from ..state_store.replica import Replica
 from .index import Job
 
@@ -45,8 +46,8 @@
 
     @property
     def write_burst(self) -> float:
-        """How many writes this node's rate limit lets through at once."""
-        return self.state_store.writes.burst
+        """How many writes this node's rate limit grants at once."""
+        return self.state_store.write_limit.burst
 
     def writable_shard(self, job: Job) -> WritableShard | None:
         """A shard with tasks of the job that this node leads; None if there is none."""
@@ -57,7 +58,7 @@
         return None
 
     async def commit(
-        self, conditions: dict[str, int], changes: list[Write], *, priority: int
+        self, conditions: dict[str, int], changes: list[Write], *, priority: Priority
     ) -> bool:
         """Commit, and apply the changes to the replica; False if a condition failed.
 
--- a/pitchtally/jobs/progress_writer.py
+++ b/pitchtally/jobs/progress_writer.py
@@ -13,15 +13,16 @@
 
 import trio
 
-from ..formats.job_layout import JobLayout
-from ..formats.migration import JobMigration
 from ..observability.decision_log import Decision, DecisionListener, DecisionReason
-from ..state_store import keys, rate_limits
+from ..state_store import keys
 from ..state_store.client import Write
 from ..state_store.errors import InvalidTransaction, StoreUnavailable
+from ..state_store.rate_limits import Priority
 from .commits import JobCommits
 from .index import Job, JobIndex
 from .job_record import DONE, JobRecord, encode
+from .layout import JobLayout
+from .migration import JobMigration
 from .task_bitmap import TaskBitmap
 
 log = logging.getLogger(__name__)
@@ -117,17 +118,17 @@
     async def _flush(self) -> None:
         due = self._due()
         burst = self.commits.write_burst
-        completion_priority, completion_burst = rate_limits.COMPLETIONS, burst
+        completion_priority, completion_burst = Priority.COMPLETIONS, burst
         if self._submissions_queued():
             # After an outage completions have piled up as well. They are late already, while
             # users whose submissions are refused give up before long: both get their share.
-            completion_priority, completion_burst = rate_limits.ACCEPTANCES, burst / 2
+            completion_priority, completion_burst = Priority.SUBMISSIONS, burst / 2
         await self._write_all(due.complete, completion_priority, completion_burst)
-        await self._write_all(due.urgent, rate_limits.ACCEPTANCES, burst / 2)
+        await self._write_all(due.urgent, Priority.SUBMISSIONS, burst / 2)
         # Progress takes no more at once than leaves the next submission its permits.
-        await self._write_all(due.routine, rate_limits.PROGRESS, burst / 2)
+        await self._write_all(due.routine, Priority.PROGRESS, burst / 2)
 
-    async def _write_all(self, jobs: list[Job], priority: int, burst: float) -> None:
+    async def _write_all(self, jobs: list[Job], priority: Priority, burst: float) -> None:
         """Write jobs in transactions of at most so many changes."""
         most = min(self.commits.max_writes, burst)
         batch: list[JobWrites] = []
@@ -157,7 +158,7 @@
             return []  # it ended while others were written
         if job.complete:
             final = JobRecord(DONE, job.record.tasks)
-            # Its other keys are removed later (`formats.cleanup`): they mean nothing now.
+            # Its other keys are removed later (`jobs.cleanup`): they mean nothing now.
             return [JobWrites(job, [Write(keys.job(job.id), encode(final))], last=True)]
         joined = TaskBitmap(job.record.tasks)
         joined.add_bytes(bytes(job.finished.data))
@@ -168,7 +169,7 @@
         groups = [changes[i : i + most] for i in range(0, len(changes), most)]
         return [JobWrites(job, group, last=group is groups[-1]) for group in groups]
 
-    async def _write(self, writes: list[JobWrites], priority: int) -> None:
+    async def _write(self, writes: list[JobWrites], priority: Priority) -> None:
         try:
             await self._commit(writes, priority)
         except InvalidTransaction as error:
@@ -180,7 +181,7 @@
             log.info("progress refused job=%s cause=%s", job.id, error)
             self._refused_until[job.id] = trio.current_time() + self.period
 
-    async def _commit(self, writes: list[JobWrites], priority: int) -> None:
+    async def _commit(self, writes: list[JobWrites], priority: Priority) -> None:
         conditions: dict[str, int] = {}
         changes: list[Write] = []
         kept: list[JobWrites] = []
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -15,13 +15,14 @@
 from pitchtally.config import policy
 from pitchtally.config.settings import NextStateLimits, StateLimits
 from pitchtally.controller import Controller
-from pitchtally.formats import finished_tasks, legacy, machine_layout, text_chunks
+from pitchtally.formats import finished_tasks, machine_layout, text_chunks
+from pitchtally.formats import format_1 as legacy
 from pitchtally.formats.gate import FIRST_FORMAT, FORMAT, KEY, all_read
 from pitchtally.jobs import job_record
 from pitchtally.jobs.job_record import OPEN, JobRecord, TaskRange
 from pitchtally.jobs.task_bitmap import TaskBitmap
 from pitchtally.membership import messages
-from pitchtally.membership.membership import NodeRecord
+from pitchtally.membership.nodes import NodeRecord
 from pitchtally.state_store.client import Write
 
 from ..harness.earlier_version import EarlierVersion, with_present_names
@@ -135,7 +136,7 @@
         assert not first
         written: dict[str, str | bytes] = {
             **RECORDS,
-            "nodes/n1": msgspec.json.encode(new.membership._own_node()),
+            "nodes/n1": msgspec.json.encode(new.membership.session.own_record()),
             "jobs/wk-000001": new.scheduler._record_with(job_),
             "jobs/wk-000004": job_record.encode(record),
             "shares": new.scheduler.quotas.shares.change(
@@ -170,7 +171,7 @@
         [messages.ShardStatus(0, 5, True, 1.0, 1.0, [], use={"tight": (1.0, 0.0)})],
         ["i-000001"],
         [],
-        [(0, 5)],
+        [messages.ShardToken(0, 5)],
     )
     for message in (
         told,
@@ -216,7 +217,7 @@
         **RECORDS,
         **{write.key.removeprefix("pt/"): write.value or b"" for write in writes},
         "format": writer.gate.record(),
-        "nodes/n1": msgspec.json.encode(writer.membership._own_node()),
+        "nodes/n1": msgspec.json.encode(writer.membership.session.own_record()),
         "jobs/wk-000001": writer.layout.encode_record(job_, record),
     }
 
