--- a/tests/agents/test_machine_records.py
+++ b/tests/agents/test_machine_records.py
@@ -25,7 +25,7 @@
 TYPE = cloud_api.MachineType("big", cpus=8.0, memory=32.0, zones=["a"])
 
 
-class StateStoreClient:
+class StoreStub:
     """Commits everything; before each answer it lets the test change the world."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch):
@@ -41,8 +41,8 @@
         return Response(200, b'{"ledger":60}')
 
 
-class Autoscaler:
-    """An leader of shard 0 whose machines' names fall into two chunks of its record."""
+class RecordsUnderTest:
+    """The leader of shard 0 whose machines' names fall into two chunks of its record."""
 
     def __init__(self) -> None:
         config = settings("n0")
@@ -55,13 +55,13 @@
         )
         controller.membership.leadership.announce(SHARD)
         self.agents = controller.agents
-        self.agents.failover.load(self.hold)
+        self.agents.failover.load(self.led_shard)
         span = controller.agents.records.span * controller.agents.index.shard_count
         self.first = self._add(0)
         self.second = self._add(span)
 
     @property
-    def hold(self) -> LedShard:
+    def led_shard(self) -> LedShard:
         return self.agents.shards[SHARD]
 
     def _add(self, number: int) -> Machine:
@@ -70,7 +70,7 @@
         return machine
 
     async def write(self) -> None:
-        await self.agents.records.write(self.hold)
+        await self.agents.records.write(self.led_shard)
 
     def chunk(self, machine: Machine) -> int:
         return self.agents.records.chunk_of(machine.name)
@@ -78,7 +78,7 @@
 
 def _play(monkeypatch: pytest.MonkeyPatch, body: Any) -> None:
     async def main() -> None:
-        await body(Autoscaler(), StateStoreClient(monkeypatch))
+        await body(RecordsUnderTest(), StoreStub(monkeypatch))
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
@@ -88,14 +88,14 @@
 ) -> None:
     """KeyError: rows were gathered once, and machines went while chunks before were written."""
 
-    async def body(fleet: Autoscaler, state_store: StateStoreClient) -> None:
-        await fleet.write()
-        assert fleet.chunk(fleet.first) != fleet.chunk(fleet.second)
-        fleet.first.address = "10.1.0.1:9001"  # its chunk is written anew
-        state_store.during_commit = lambda: fleet.agents.machine_terminated(fleet.second.name)
-        await fleet.write()
-        await fleet.write()
-        assert state_store.written[f"pt/fleet/0/{fleet.chunk(fleet.second)}"] == {}
+    async def body(leader: RecordsUnderTest, state_store: StoreStub) -> None:
+        await leader.write()
+        assert leader.chunk(leader.first) != leader.chunk(leader.second)
+        leader.first.address = "10.1.0.1:9001"  # its chunk is written anew
+        state_store.during_commit = lambda: leader.agents.machine_terminated(leader.second.name)
+        await leader.write()
+        await leader.write()
+        assert state_store.written[f"pt/fleet/0/{leader.chunk(leader.second)}"] == {}
 
     _play(monkeypatch, body)
 
@@ -103,11 +103,11 @@
 def test_row_of_a_released_machine_is_not_written(monkeypatch: pytest.MonkeyPatch) -> None:
     """A chunk that changes was written with what had been there before the wait."""
 
-    async def body(fleet: Autoscaler, state_store: StateStoreClient) -> None:
-        state_store.during_commit = lambda: fleet.agents.machine_terminated(fleet.second.name)
-        await fleet.write()
-        assert fleet.second.name not in state_store.written.get(
-            f"pt/fleet/0/{fleet.chunk(fleet.second)}", {}
+    async def body(leader: RecordsUnderTest, state_store: StoreStub) -> None:
+        state_store.during_commit = lambda: leader.agents.machine_terminated(leader.second.name)
+        await leader.write()
+        assert leader.second.name not in state_store.written.get(
+            f"pt/fleet/0/{leader.chunk(leader.second)}", {}
         )
 
     _play(monkeypatch, body)
@@ -116,13 +116,13 @@
 def test_shard_lost_while_its_record_is_written(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its machines are forgotten with it; the rest of the record is the next leader's affair."""
 
-    async def body(fleet: Autoscaler, state_store: StateStoreClient) -> None:
-        await fleet.write()
-        fleet.first.address = "10.1.0.1:9001"
-        second = f"pt/fleet/0/{fleet.chunk(fleet.second)}"
-        state_store.during_commit = lambda: fleet.agents.shard_lost(SHARD)
+    async def body(leader: RecordsUnderTest, state_store: StoreStub) -> None:
+        await leader.write()
+        leader.first.address = "10.1.0.1:9001"
+        second = f"pt/fleet/0/{leader.chunk(leader.second)}"
+        state_store.during_commit = lambda: leader.agents.shard_lost(SHARD)
         state_store.written.pop(second)
-        await fleet.write()
+        await leader.write()
         assert second not in state_store.written
 
     _play(monkeypatch, body)
@@ -133,12 +133,12 @@
 ) -> None:
     """A task may start only where a later leader finds the machine."""
 
-    async def body(fleet: Autoscaler, state_store: StateStoreClient) -> None:
-        assert not fleet.first.recorded
-        await fleet.write()
-        assert fleet.first.recorded and fleet.second.recorded
-        fleet.first.recorded = False
-        await fleet.write()  # the row stands already
-        assert fleet.first.recorded
+    async def body(leader: RecordsUnderTest, state_store: StoreStub) -> None:
+        assert not leader.first.recorded
+        await leader.write()
+        assert leader.first.recorded and leader.second.recorded
+        leader.first.recorded = False
+        await leader.write()  # the row stands already
+        assert leader.first.recorded
 
     _play(monkeypatch, body)
--- /dev/null
+++ b/tests/state_store/test_rate_limits.py
@@ -0,0 +1,46 @@
+"""The rate limit of calls to the state store."""
+
+from __future__ import annotations
+
+import pytest
+import trio
+import trio.testing
+
+from pitchtally.state_store.rate_limits import Priority, TokenBucket
+
+
+def test_bucket_serves_by_priority_within_its_rate() -> None:
+    served: list[tuple[float, int]] = []
+
+    async def main() -> None:
+        bucket = TokenBucket(10, 2)
+
+        async def one(priority: Priority) -> None:
+            await bucket.acquire(priority)
+            served.append((trio.current_time() - start, priority))
+
+        start = trio.current_time()
+        async with trio.open_nursery() as nursery:
+            for _ in range(6):
+                nursery.start_soon(one, Priority.PROGRESS)
+            await trio.sleep(0.05)
+            assert bucket.wait_time(Priority.LEASES) < bucket.wait_time(Priority.PROGRESS)
+            for _ in range(3):
+                nursery.start_soon(one, Priority.LEASES)
+
+    trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
+    assert [p for _, p in served[1:4]] == [Priority.LEASES] * 3
+    assert served[-1][0] == pytest.approx(0.78, abs=0.1)
+
+
+def test_progress_leaves_tokens_to_acceptances() -> None:
+    """Under a flood of submissions, progress writes once took the tokens they needed."""
+
+    async def main() -> None:
+        bucket = TokenBucket(1, 10)
+        with trio.move_on_after(0.5):
+            for _ in range(10):
+                await bucket.acquire(Priority.PROGRESS)
+        assert bucket.wait_time(Priority.SUBMISSIONS, 4) == 0
+
+    trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
