--- a/pitchtally/agents/manager.py
+++ b/pitchtally/agents/manager.py
@@ -78,26 +78,14 @@
         self.reachability = Reachability(self.index, self.records, client, membership, times)
         intake = self._compose_intake(job_index)
         builder = CommandBuilder(
-            self.shards,
-            job_index.jobs,
-            membership,
-            self._scheduler,
-            times.report_s,
-            on_decision,
+            self.shards, job_index.jobs, membership, self._scheduler, times.report_s, on_decision
         )
         self.endpoint = HeartbeatEndpoint(
             self.index, self.shards, membership, membership, intake, builder, times.lease_s
         )
-        self.command_sender = CommandSender(
-            self.index,
-            self.shards,
-            self._queue,
-            CommandCall(self.shards, membership, builder, intake, client),
-            self.failover.load,
-            times.report_s / PROBES_PER_HEARTBEAT,
-            client.max_calls,
-        )
-
+        call = CommandCall(self.shards, membership, builder, intake, client)
+        interval = times.report_s / PROBES_PER_HEARTBEAT
+        self.command_sender = self._compose_sender(call, interval, client.max_calls)
         self.serve = self.endpoint.serve
         self.of_shard = self.index.of_shard
         self.stop = self.control.stop
@@ -121,6 +109,11 @@
             self.reachability,
         )
 
+    def _compose_sender(self, call: CommandCall, interval: float, max_calls: int) -> CommandSender:
+        return CommandSender(
+            self.index, self.shards, self._queue, call, self.failover.load, interval, max_calls
+        )
+
     def connect(self, listener: AgentListener, starter: TaskStarter) -> None:
         """Have the scheduler told of shards and placements, and asked for what may start."""
         self._scheduler.listener = listener
--- a/pitchtally/jobs/index.py
+++ b/pitchtally/jobs/index.py
@@ -97,7 +97,7 @@
         return msgspec.structs.replace(self.record, finished=self.finished.text())
 
 
-# Told of a job and of its record before the change, None if the job is new here.
+# Notified of a job and of its record before the change, None if the job is new here.
 JobListener = Callable[[Job, "JobRecord | None"], None]
 
 
@@ -158,7 +158,7 @@
         replica.listen(keys.TEXT_PREFIX, self._on_text_chunk)
 
     def subscribe(self, listener: JobListener) -> None:
-        """Have a listener told of each change of a job, in the order of subscription."""
+        """Have a listener notified of each change of a job, in the order of subscription."""
         self._listeners.append(listener)
 
     def _on_record(self, id: str, value: bytes | None, version: int) -> None:
--- a/pitchtally/jobs/job_record.py
+++ b/pitchtally/jobs/job_record.py
@@ -1,4 +1,4 @@
-"""The record of a job, as the state store keeps it at `jobs/<id>`."""
+"""The record of a job, as the state store keeps it at `jobs/<id>`: JSON, defaults left out."""
 
 from __future__ import annotations
 
@@ -40,7 +40,8 @@
     finished: str = ""
     zone: str | None = None  # for one-zone jobs, fixed before the first start
     attempt: int = 0  # for gangs over several shards: the attempt all of them start
-    caps: list[tuple[int, str, int]] = msgspec.field(default_factory=list)  # see `scheduler`
+    # Shard, zone, and the most tasks there, for jobs that spread over zones.
+    caps: list[tuple[int, str, int]] = msgspec.field(default_factory=list)
     count: int = 0  # tasks done when a job was cancelled
     # Since format 2; an earlier version would drop both when it rewrites the record.
     chunk_tasks: int = 0  # finished tasks are in keys of that many, see `formats.finished_tasks`
@@ -53,13 +54,13 @@
 
 
 def merge(ranges: Iterable[tuple[int, int, int]]) -> list[TaskRange]:
-    """Sorted ranges with neighbours of the same shard joined."""
-    out: list[TaskRange] = []
+    """Ranges (first, end, shard), sorted, with neighbours of the same shard joined."""
+    merged: list[TaskRange] = []
     for first, end, shard in sorted(ranges):
         if first >= end:
             continue
-        if out and out[-1].shard == shard and out[-1].end == first:
-            out[-1] = TaskRange(out[-1].first, end, shard)
+        if merged and merged[-1].shard == shard and merged[-1].end == first:
+            merged[-1] = TaskRange(merged[-1].first, end, shard)
         else:
-            out.append(TaskRange(first, end, shard))
-    return out
+            merged.append(TaskRange(first, end, shard))
+    return merged
--- a/pitchtally/jobs/migration.py
+++ b/pitchtally/jobs/migration.py
@@ -1,6 +1,6 @@
-"""Jobs brought into the present layout, and keys of ended jobs removed.
+"""Jobs brought into the present layout.
 
-Both can end at any step and be taken up again by anyone. A conversion writes first what the
+A conversion can end at any step and be taken up again by any leader. It writes first what the
 new record refers to, then the record, on the condition that nobody has changed it since.
 Until that write, readers use the old layout; they join the new keys as well, which hold
 nothing that isn't true.
@@ -34,7 +34,7 @@
         self.pause = pause
 
     async def run(self) -> None:
-        """Convert what needs it, the jobs of shards that this node owns."""
+        """Convert what needs it, the jobs of shards that this node leads."""
         while True:
             await trio.sleep(self.pause)
             try:
@@ -52,20 +52,23 @@
         shard = self.commits.writable_shard(job)
         if shard is None and job.record.ranges:
             return False
-        guard = {keys.job(job.id): job.version}
+        expected_versions = {keys.job(job.id): job.version}
         if shard is not None:
-            guard[keys.shard(shard.shard)] = shard.token
+            expected_versions[keys.shard(shard.shard)] = shard.token
         first, record = self.layout.convert(job)
         # Versions as of now: a key that changes later holds more than what is written here.
         versions = {change.key: self.commits.replica.version(change.key) for change in first}
         most = self.commits.max_writes
         for start in range(0, len(first), most):
             group = first[start : start + most]
-            conditions = {**guard, **{change.key: versions[change.key] for change in group}}
+            conditions = {
+                **expected_versions,
+                **{change.key: versions[change.key] for change in group},
+            }
             if not await self.commits.commit(conditions, group, priority=priority):
                 return False
         change = Write(keys.job(job.id), self.layout.encode_record(job, record))
-        done = await self.commits.commit(guard, [change], priority=priority)
+        done = await self.commits.commit(expected_versions, [change], priority=priority)
         if done:
             log.info("job converted job=%s keys=%d", job.id, len(first))
         return done
--- a/pitchtally/jobs/task_bitmap.py
+++ b/pitchtally/jobs/task_bitmap.py
@@ -44,7 +44,7 @@
         """
         self.add_bytes(base64.b64decode(text), first // 8)
 
-    def text(self, first: int = 0, size: int | None = None) -> str:
-        """The set as base64, or `size` of its bytes from the byte `first` on."""
-        end = None if size is None else first + size
-        return base64.b64encode(bytes(self.data[first:end])).decode()
+    def text(self, first_byte: int = 0, size: int | None = None) -> str:
+        """The set as base64, or `size` of its bytes from `first_byte` on."""
+        end = None if size is None else first_byte + size
+        return base64.b64encode(bytes(self.data[first_byte:end])).decode()
