--- a/pitchtally/api/admission_queue.py
+++ b/pitchtally/api/admission_queue.py
@@ -1,50 +1,60 @@
-"""Submissions that were refused for the moment, in the order in which they first came.
+"""Backpressure on submissions: whom to refuse, when to come back, first come first served.
 
-Users come back after the time that they are told, but not for ever. Whoever happened to ask
-at the right moment was taken before, so that after an outage some gave up while newer ones
-were accepted. A node remembers who was refused, and lets nobody pass those who came earlier.
+Refused callers retry after the time that they are told, but not for ever. Were whoever happens to
+ask at the right moment admitted, some callers would give up after an outage while newer ones are
+accepted. So a controller remembers whom it refused, and admits nobody ahead of earlier callers.
 """
 
 from __future__ import annotations
 
 import bisect
+import logging
 import math
 from collections.abc import Callable
 from dataclasses import dataclass
 
 import trio
 
-# Seconds that a user may be late after the time told; then it has given up, or asks elsewhere.
+from ..state_store import rate_limits
+from ..state_store.client import StateStoreClient
+from .submission_batcher import SubmissionBatcher
+
+log = logging.getLogger("admission_queue")
+
+# Seconds that a caller may be late after the time told; then it gave up, or asks elsewhere.
 GRACE_S = 3.0
-# How long the first attempt is remembered: users move from node to node in between.
+# How long the first attempt is remembered: callers move from node to node in between.
 MEMORY_S = 60.0
-# The longest that a user is sent away for at once: an estimate further ahead is too rough.
-LONGEST_S = 3
+# The longest retry time told: an estimate further ahead is too rough.
+MAX_RETRY_S = 3
+# The share of a burst of write permits that is left to callers who are expected back.
+SPARE_BURST = 0.75
 
 
 @dataclass(slots=True)
 class _Entry:
-    since: float
+    since: float  # the first attempt
     expected_until: float
 
 
 class AdmissionQueue:
-    """Who was refused, since when, and until when each is expected back."""
+    """Which submissions were refused, since when, and until when each is expected back."""
 
     def __init__(self, is_accepted: Callable[[str], bool] = lambda id: False) -> None:
-        self._is_accepted = is_accepted  # by any node, as far as this one knows
+        """`is_accepted`: whether any node has accepted the job, as far as this one knows."""
+        self._is_accepted = is_accepted
         self._entries: dict[str, _Entry] = {}
         self._order: list[tuple[float, str]] = []  # (since, id), sorted
         self._swept_at = -math.inf
 
     @property
-    def waiting(self) -> bool:
-        """Whether anyone is expected back."""
+    def occupied(self) -> bool:
+        """Whether any caller is expected back."""
         self._sweep()
         return bool(self._order)
 
     def ahead_of(self, id: str) -> int:
-        """How many that came earlier are still expected."""
+        """How many earlier callers are still expected back."""
         self._sweep()
         entry = self._entries.get(id)
         if entry is None:
@@ -52,9 +62,9 @@
         return bisect.bisect_left(self._order, (entry.since, id))
 
     def refuse(self, id: str, wait: float) -> int:
-        """Remember a submission that is refused now; the seconds after which to come back."""
+        """Remember a submission that is refused now; the seconds after which to retry."""
         now = trio.current_time()
-        seconds = max(1, min(LONGEST_S, math.ceil(wait)))
+        seconds = max(1, min(MAX_RETRY_S, math.ceil(wait)))
         entry = self._entries.setdefault(id, _Entry(now, now))
         place = bisect.bisect_left(self._order, (entry.since, id))
         if self._order[place : place + 1] != [(entry.since, id)]:
@@ -63,13 +73,13 @@
         return seconds
 
     def leave(self, id: str) -> None:
-        """The submission is accepted, or will never be."""
+        """The submission is accepted, or never will be."""
         entry = self._entries.pop(id, None)
         if entry is not None and (entry.since, id) in self._order:
             self._order.remove((entry.since, id))
 
     def _sweep(self) -> None:
-        """Forget those who have not come back, or were taken elsewhere, now and then."""
+        """Drop callers that did not come back, or were accepted elsewhere, now and then."""
         now = trio.current_time()
         if now - self._swept_at < GRACE_S / 4:
             return
@@ -82,3 +92,41 @@
     def _is_expected(self, id: str, now: float) -> bool:
         entry = self._entries.get(id)
         return entry is not None and entry.expected_until >= now
+
+
+class AdmissionControl:
+    """Admits a submission only if it can be written soon, those ahead of it counted."""
+
+    def __init__(
+        self,
+        queue: AdmissionQueue,
+        state_store: StateStoreClient,
+        batcher: SubmissionBatcher,
+        live_nodes: Callable[[], int],
+        max_wait: float,
+    ):
+        """`max_wait`: the longest wait for a write permit, in seconds."""
+        self.queue = queue
+        self._state_store = state_store
+        self._batcher = batcher
+        self._live_nodes = live_nodes
+        self._max_wait = max_wait
+
+    def refuse(self, id: str) -> int | None:
+        """None if the submission is admitted, else the seconds after which to retry."""
+        wait = self._seconds_until_writable(id)
+        if wait <= self._max_wait:
+            return None
+        log.info("refused job=%s cause=rate_limit wait=%.1f", id, wait)
+        return self.queue.refuse(id, wait)
+
+    def _seconds_until_writable(self, id: str) -> float:
+        """Seconds until a submission could be written, those before it counted."""
+        writes = self._state_store.writes
+        queued = len(self._batcher.queued)
+        wait = self._state_store.requests.wait_for(rate_limits.ACCEPTANCES)
+        if not writes.wait_for(rate_limits.ACCEPTANCES, queued + writes.burst * SPARE_BURST):
+            return wait  # permits would go unused while earlier callers stay away
+        # Earlier callers may come back to any node: each node takes its share of them.
+        ahead = self.queue.ahead_of(id) / max(1, self._live_nodes())
+        return max(wait, writes.wait_for(rate_limits.ACCEPTANCES, 1 + queued + ahead))
--- /dev/null
+++ b/pitchtally/api/cancellation.py
@@ -0,0 +1,100 @@
+"""Cancellation of jobs: committed before it is answered."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+
+from ..http import Response
+from ..jobs import job_record
+from ..jobs.index import Job
+from ..jobs.job_record import JobRecord
+from ..membership.messages import Cancellation
+from ..observability.decision_log import Decision, DecisionListener, DecisionReason
+from ..state_store import keys, rate_limits
+from ..state_store.client import StateStoreClient, Write
+from ..state_store.errors import CompareFailed, LeaseExpired, StoreUnavailable
+from ..state_store.replica import Replica
+from .reachability import Reachability
+from .read_barrier import BarrierPassed, ReadBarrier
+from .responses import retry_later, unknown_job_response
+from .status import JobStatuses
+from .validation import is_job_id
+
+# Times that a cancellation is tried again because a shard leader's progress was written first.
+MAX_ATTEMPTS = 4
+
+
+class CancellationWriter:
+    """Commits cancellations, and has peers notified of them."""
+
+    def __init__(
+        self,
+        state_store: StateStoreClient,
+        replica: Replica,
+        on_decision: DecisionListener,
+        notify_peers: Callable[[Cancellation], None],
+    ):
+        """`notify_peers`: starts a broadcast without waiting for it; heartbeats repeat it."""
+        self._state_store = state_store
+        self._replica = replica
+        self._on_decision = on_decision
+        self._notify_peers = notify_peers
+
+    async def commit(self, job: Job) -> None:
+        """Write that a job is cancelled; raises what `StateStoreClient.commit` does."""
+        final = JobRecord(job_record.CANCELLED, job.record.tasks, count=job.finished.count)
+        change = Write(keys.job(job.id), job_record.encode(final))
+        revision = await self._state_store.commit(
+            {change.key: job.version}, [change], priority=rate_limits.COMPLETIONS
+        )
+        self._replica.apply_own_commit([change], revision)
+        self._on_decision(Decision.CANCELLED, job.id, DecisionReason(version=revision))
+        self._notify_peers(Cancellation(job.id, revision, final.tasks, final.count))
+
+
+class Cancellations:
+    """Answers requests to cancel a job."""
+
+    def __init__(
+        self,
+        jobs: Mapping[str, Job],
+        writer: CancellationWriter,
+        read_barrier: ReadBarrier,
+        reachability: Reachability,
+        statuses: JobStatuses,
+    ):
+        self._jobs = jobs
+        self._writer = writer
+        self._read_barrier = read_barrier
+        self._reachability = reachability
+        self._statuses = statuses
+
+    async def cancel(self, id: str) -> Response:
+        """Cancel a job; one that is over already is reported as it is."""
+        if not is_job_id(id):
+            return unknown_job_response()
+        for _ in range(MAX_ATTEMPTS):
+            job = self._jobs.get(id)
+            if job is not None and not job.open:
+                return self._statuses.found(job)
+            if self._reachability.is_isolated():
+                break
+            if job is None:
+                outcome = await self._read_barrier.wait()
+                if not isinstance(outcome, BarrierPassed):
+                    break
+                if id not in self._jobs:
+                    return self._statuses.unknown(id, outcome.read)
+                continue
+            try:
+                await self._writer.commit(job)
+                job = self._jobs[id]
+                if not job.open:
+                    return self._statuses.found(job)
+            except CompareFailed:
+                # A shard leader's progress was written first: read it and try again.
+                if not isinstance(await self._read_barrier.wait(), BarrierPassed):
+                    break
+            except (LeaseExpired, StoreUnavailable):
+                break
+        return retry_later("the cancellation can't be written now")
--- a/pitchtally/api/read_barrier.py
+++ b/pitchtally/api/read_barrier.py
@@ -1,13 +1,13 @@
-"""Confirmations: whether the copy covers all that was committed before a question was asked.
+"""The read barrier: linearizable reads of the replica.
 
-A question is confirmed by a read of the store that was sent after it. One read serves every
-question that waits as it is sent, and reads overlap: one that hangs holds up no later
-question, and the questions that it would have served are served by the next.
+A request passes the barrier once the replica covers a read of the state store that was
+dispatched after the request arrived. One read serves every request that waits as it is
+dispatched, and reads overlap: one that hangs delays no later request, and the requests that it
+would have served are served by the next.
 
-The outcome is kept in the question itself. Whoever gives a question up takes it along, so
-that an outcome which comes too late reaches nobody. Outcomes were kept in a table before,
-by the address of an object that was free again once its waiter had left: a later question
-got that address, and with it a confirmation that wasn't its own.
+The outcome is kept in the waiting request's own object, never in a table by identity: the
+address of an object is reused once its caller has left, and a later request must not receive an
+outcome that belongs to an earlier one.
 """
 
 from __future__ import annotations
@@ -23,127 +23,128 @@
 from ..state_store.errors import NoResponse, StoreUnavailable
 from ..state_store.replica import Refresh, Replica
 
-log = logging.getLogger("confirmations")
+log = logging.getLogger("read_barrier")
 
-# One read may begin for as many requests as this node's share allows in the same time: a
-# fifth of them at the most, with polls coming all the time. The rest is left to commits.
+# One read may start for as many requests as this node's share of the rate limit allows in the
+# same time: reads take a fifth of the requests at most, and the rest is left to commits.
 REQUESTS_PER_READ = 5.0
-# Reads under way at once; each takes a connection. With a tenth of the answers late by
-# seconds, some five hang at any time where requests are plenty.
-MOST_READS = 16
+# Reads under way at once; each takes a connection. While a tenth of the answers is late by
+# seconds, about five reads hang at any time if the rate limit is high.
+MAX_CONCURRENT_READS = 16
+# The key in `ReadBarrier.counts` of requests that passed.
+CONFIRMED = "confirmed"
 
 
-class Unanswered(StrEnum):
-    """Why a question is not confirmed."""
+class FailureCause(StrEnum):
+    """Why a request did not pass the barrier."""
 
     REFUSED = "refused"  # the read that served it was refused, or its answer can't be used
-    TIMED_OUT = "timed_out"  # no read that was sent after it was answered in time
+    TIMED_OUT = "timed_out"  # no read dispatched after the request was answered in time
 
 
 @dataclass(frozen=True, slots=True)
-class Confirmed:
-    """The copy covers a revision that was read after the question."""
+class BarrierPassed:
+    """The replica covers a revision that was read after the request arrived."""
 
     read: Refresh
 
 
 @dataclass(frozen=True, slots=True)
-class Unconfirmed:
-    """Nothing may be concluded from the copy."""
+class BarrierFailed:
+    """Nothing may be concluded from the replica."""
 
-    why: Unanswered
+    cause: FailureCause
     reason: str
 
 
-Outcome = Confirmed | Unconfirmed
+BarrierOutcome = BarrierPassed | BarrierFailed
 
 
 @dataclass(slots=True, eq=False)
-class Question:
-    """One caller's question; its outcome is put here and nowhere else."""
+class BarrierWaiter:
+    """One request that waits at the barrier; its outcome is stored here and nowhere else."""
 
-    asked_at: float  # steady clock, seconds
-    ended: trio.Event = field(default_factory=trio.Event)
-    outcome: Outcome | None = None
+    done: trio.Event = field(default_factory=trio.Event)
+    outcome: BarrierOutcome | None = None
 
-    def end(self, outcome: Outcome) -> None:
-        """Tell the caller."""
+    def resolve(self, outcome: BarrierOutcome) -> None:
+        """Set the outcome and wake the request."""
         self.outcome = outcome
-        self.ended.set()
+        self.done.set()
 
 
 class ReadBarrier:
-    """Asks the store on behalf of all callers who need to know that the copy is current."""
+    """Reads the state store on behalf of all requests that need a current replica."""
 
     def __init__(self, state_store: StateStoreClient, replica: Replica, timeout: float):
+        """`timeout`: seconds that a request waits at most."""
         self.state_store = state_store
         self.replica = replica
-        self.timeout = timeout  # seconds that a caller waits
-        self.counts: Counter[str] = Counter()  # "confirmed", and the values of `Unanswered`
-        self.last: Refresh | None = None  # the newest read that confirmed anything
-        self._waiting: dict[Question, None] = {}  # a set, in the order of asking
-        self._reads = 0  # under way
+        self.timeout = timeout
+        self.counts: Counter[str] = Counter()  # `CONFIRMED`, and the values of `FailureCause`
+        self.last_read: Refresh | None = None  # the newest one that succeeded
+        self._waiters: dict[BarrierWaiter, None] = {}  # an ordered set, first come first
+        self._reads_under_way = 0
         self._wake = trio.Event()
 
-    async def confirm(self) -> Outcome:
-        """Whether the copy covers a revision that was read after this call."""
-        question = Question(trio.current_time())
-        self._waiting[question] = None
+    async def wait(self) -> BarrierOutcome:
+        """Wait until the replica covers a read dispatched after this call, or the timeout."""
+        waiter = BarrierWaiter()
+        self._waiters[waiter] = None
         self._wake.set()
         try:
             with trio.move_on_after(self.timeout):
-                await question.ended.wait()
+                await waiter.done.wait()
         finally:
-            self._waiting.pop(question, None)
-        outcome = question.outcome or Unconfirmed(
-            Unanswered.TIMED_OUT, f"no answer in {self.timeout:g} s"
+            self._waiters.pop(waiter, None)
+        outcome = waiter.outcome or BarrierFailed(
+            FailureCause.TIMED_OUT, f"no answer in {self.timeout:g} s"
         )
-        self.counts["confirmed" if isinstance(outcome, Confirmed) else outcome.why] += 1
+        self.counts[CONFIRMED if isinstance(outcome, BarrierPassed) else outcome.cause] += 1
         return outcome
 
     async def run(self) -> None:
-        """Read for as long as anyone waits; the next read doesn't wait for the last."""
-        self._reads = 0
+        """Read for as long as any request waits; reads overlap up to a limit."""
+        self._reads_under_way = 0
         async with trio.open_nursery() as nursery:
             while True:
-                while not self._waiting or self._reads >= MOST_READS:
+                while not self._waiters or self._reads_under_way >= MAX_CONCURRENT_READS:
                     self._wake = trio.Event()
                     await self._wake.wait()
-                self._reads += 1
+                self._reads_under_way += 1
                 nursery.start_soon(self._read)
                 await trio.sleep(REQUESTS_PER_READ / self.state_store.requests.rate)
 
     async def _read(self) -> None:
-        """One read, for every question that waits as it is sent."""
-        served: list[Question] | None = None
+        """One read, for every request that waits as it is dispatched."""
+        served: list[BarrierWaiter] | None = None
 
-        def sent() -> None:
+        def dispatched() -> None:
             nonlocal served
-            served = list(self._waiting)
+            served = list(self._waiters)
 
-        outcome: Outcome
+        outcome: BarrierOutcome
         try:
-            read = await self.replica.refresh(self.timeout, sent)
-            outcome = Confirmed(read)
-            self.last = read
+            read = await self.replica.refresh(self.timeout, dispatched)
+            outcome = BarrierPassed(read)
+            self.last_read = read
             log.debug(
-                "read revision=%d asked=%.3f answered=%.3f questions=%d",
+                "read revision=%d asked=%.3f answered=%.3f requests=%d",
                 read.revision,
                 read.asked_at,
                 read.answered_at,
                 len(served or ()),
             )
         except StoreUnavailable as error:
-            silent = isinstance(error, NoResponse)
-            outcome = Unconfirmed(
-                Unanswered.TIMED_OUT if silent else Unanswered.REFUSED, str(error)
-            )
-            log.debug("read failed cause=%r questions=%d", str(error), len(served or ()))
+            timed_out = isinstance(error, NoResponse)
+            cause = FailureCause.TIMED_OUT if timed_out else FailureCause.REFUSED
+            outcome = BarrierFailed(cause, str(error))
+            log.debug("read failed cause=%r requests=%d", str(error), len(served or ()))
         finally:
-            self._reads -= 1
+            self._reads_under_way -= 1
             self._wake.set()
-        # One that was never sent has told all who wait that nothing can be asked now.
-        for question in list(self._waiting) if served is None else served:
-            if question in self._waiting:
-                del self._waiting[question]
-                question.end(outcome)
+        # A read that was never dispatched fails for all: no read is possible now.
+        for waiter in list(self._waiters) if served is None else served:
+            if waiter in self._waiters:
+                del self._waiters[waiter]
+                waiter.resolve(outcome)
--- a/pitchtally/api/submission_batcher.py
+++ b/pitchtally/api/submission_batcher.py
@@ -1,7 +1,10 @@
-"""Commits of submissions, which share transactions."""
+"""Group commit: submissions that wait while a transaction is under way share the next."""
 
 from __future__ import annotations
 
+from collections.abc import Sequence
+from dataclasses import dataclass, field
+
 import trio
 
 from ..state_store import rate_limits
@@ -9,114 +12,159 @@
 from ..state_store.errors import CompareFailed, LeaseExpired, StoreUnavailable
 from ..state_store.replica import Replica
 
+# Loops that commit, so that a transaction without an answer doesn't hold up all that follow.
+CONCURRENT_COMMITS = 3
+# Of the 64 KiB that a transaction may hold.
+MAX_BATCH_BYTES = 40 * 1024
+# What a submission adds to a transaction beside its value: its key and its preconditions.
+OVERHEAD_BYTES = 300
 
-class Pending:
-    """One submission on its way into the store."""
 
-    def __init__(self, key: str, change: Write, conditions: dict[str, int]):
-        self.key = key
-        self.change = change
-        self.conditions = conditions
-        self.over = trio.Event()
-        self.sent_at = 0.0  # when its commit had its tokens
-        self.revision: int | None = None
-        self.failed: list[str] = []
-        self.cause = ""
+@dataclass(frozen=True, slots=True)
+class Committed:
+    """The submission is in the state store."""
 
-    def end(self, revision: int | None, failed: list[str], cause: str = "") -> None:
-        """Tell the waiting request how its commit ended."""
-        self.revision, self.failed, self.cause = revision, failed, cause
-        self.over.set()
+    revision: int
 
 
-class SubmissionBatcher:
-    """Commits submissions; those that wait while a commit is under way share the next."""
+@dataclass(frozen=True, slots=True)
+class PreconditionsFailed:
+    """Nothing was written: these of its preconditions do not hold."""
+
+    keys: list[str]
+
+
+@dataclass(frozen=True, slots=True)
+class CommitFailed:
+    """The state store could not be used; the submission may have been written."""
+
+    cause: str
+
+
+CommitOutcome = Committed | PreconditionsFailed | CommitFailed
+
 
-    # Loops, so that one commit without an answer doesn't hold up all that follow.
-    LOOPS = 3
-    # Of the 64 KiB that a transaction may hold.
-    BYTES = 40 * 1024
+@dataclass(slots=True, eq=False)
+class PendingSubmission:
+    """One submission that waits for its commit."""
+
+    key: str  # of the job's record
+    change: Write
+    preconditions: dict[str, int]  # key -> version
+    done: trio.Event = field(default_factory=trio.Event)
+    dispatched_at: float = 0.0  # when its transaction passed the rate limits
+    outcome: CommitOutcome | None = None
+
+    def resolve(self, outcome: CommitOutcome) -> None:
+        """Set the outcome and wake the request."""
+        self.outcome = outcome
+        self.done.set()
+
+
+class SubmissionBatcher:
+    """Commits submissions in groups."""
 
     def __init__(self, state_store: StateStoreClient, replica: Replica):
         self.state_store = state_store
         self.replica = replica
-        self.waiting: list[Pending] = []
-        self.wake = trio.Event()
-
-    async def commit(self, pending: Pending) -> None:
-        """Queue a submission, and wait until its commit has ended."""
-        self.waiting.append(pending)
-        self.wake.set()
-        await pending.over.wait()
-
-    def _batch(self) -> list[Pending]:
-        batch: list[Pending] = []
-        conditions: dict[str, int] = {}
+        self.queued: list[PendingSubmission] = []
+        self._wake = trio.Event()
+
+    async def commit(self, submission: PendingSubmission) -> CommitOutcome:
+        """Queue a submission, and wait for the outcome of its transaction."""
+        self.queued.append(submission)
+        self._wake.set()
+        await submission.done.wait()
+        assert submission.outcome is not None
+        return submission.outcome
+
+    async def commit_unconditionally(self, changes: Sequence[Write]) -> None:
+        """Write what a record refers to, ahead of the record, in as many transactions as needed.
+
+        The keys are content-addressed: written again, or late, they hold the same. Raises what
+        `StateStoreClient.commit` does.
+        """
+        most = self.state_store.limits.txn_ops
+        for start in range(0, len(changes), most):
+            group = changes[start : start + most]
+            revision = await self.state_store.commit({}, group, priority=rate_limits.ACCEPTANCES)
+            self.replica.apply_own_commit(group, revision)
+
+    def take_batch(self) -> list[PendingSubmission]:
+        """Remove from the queue what goes into the next transaction."""
+        batch: list[PendingSubmission] = []
+        preconditions: dict[str, int] = {}
         size = 0
-        for pending in list(self.waiting):
-            size += len(pending.change.value or b"") + 300
+        for submission in list(self.queued):
+            size += len(submission.change.value or b"") + OVERHEAD_BYTES
             if len(batch) >= self.state_store.limits.txn_ops or (
-                batch and (size > self.BYTES or len(batch) >= self.state_store.writes.burst)
+                batch and (size > MAX_BATCH_BYTES or len(batch) >= self.state_store.writes.burst)
             ):
                 break
-            # A repeat of an id goes alone, so that its condition can fail. So does one that
-            # was planned under another token of a shard: the transaction would check only
-            # one of the two.
-            if all(other.key != pending.key for other in batch) and all(
-                conditions.get(key, version) == version
-                for key, version in pending.conditions.items()
+            # A repeated id goes alone, so that its precondition can fail. So does a submission
+            # that was planned under another fencing token of a shard: the transaction would
+            # check only one of the two.
+            if all(other.key != submission.key for other in batch) and all(
+                preconditions.get(key, version) == version
+                for key, version in submission.preconditions.items()
             ):
-                batch.append(pending)
-                conditions.update(pending.conditions)
-        self.waiting = [p for p in self.waiting if p not in batch]
+                batch.append(submission)
+                preconditions.update(submission.preconditions)
+        self.queued = [s for s in self.queued if s not in batch]
         return batch
 
     async def run(self) -> None:
-        """Commit what waits, in batches."""
+        """Commit what is queued, group by group."""
         while True:
-            while not self.waiting:
-                await self.wake.wait()
-                self.wake = trio.Event()
-            batch = self._batch()
+            while not self.queued:
+                await self._wake.wait()
+                self._wake = trio.Event()
+            batch = self.take_batch()
             try:
-                await self._write(batch)
+                await self._commit_batch(batch)
             finally:
-                for pending in batch:
-                    if not pending.over.is_set() and pending not in self.waiting:
-                        pending.end(None, [], "fault")
-
-    async def _write(self, batch: list[Pending]) -> None:
-        conditions: dict[str, int] = {}
-        for pending in batch:
-            conditions.update(pending.conditions)
-        try:
+                for submission in batch:
+                    if not submission.done.is_set() and submission not in self.queued:
+                        submission.resolve(CommitFailed("fault"))
 
-            def sent() -> None:
-                for pending in batch:
-                    pending.sent_at = trio.current_time()
+    async def _commit_batch(self, batch: list[PendingSubmission]) -> None:
+        preconditions: dict[str, int] = {}
+        for submission in batch:
+            preconditions.update(submission.preconditions)
 
+        def dispatched() -> None:
+            for submission in batch:
+                submission.dispatched_at = trio.current_time()
+
+        try:
             revision = await self.state_store.commit(
-                conditions,
-                [p.change for p in batch],
+                preconditions,
+                [s.change for s in batch],
                 priority=rate_limits.ACCEPTANCES,
-                on_sent=sent,
+                on_sent=dispatched,
             )
-        except CompareFailed as conflict:
-            failed = set(conflict.failed)
-            rest = []
-            for pending in batch:
-                mine = [k for k in pending.conditions if k in failed]
-                if mine or len(batch) == 1:
-                    pending.end(None, mine or conflict.failed)
-                else:
-                    rest.append(pending)
-            # Nothing of the batch was written: the others go again without it.
-            self.waiting[:0] = rest
-            self.wake.set()
+        except CompareFailed as error:
+            self._requeue_unaffected(batch, error)
         except (LeaseExpired, StoreUnavailable) as error:
-            for pending in batch:
-                pending.end(None, [], str(error) or "no lease")
+            for submission in batch:
+                submission.resolve(CommitFailed(str(error) or "no lease"))
         else:
-            self.replica.apply_own_commit([p.change for p in batch], revision)
-            for pending in batch:
-                pending.end(revision, [])
+            self.replica.apply_own_commit([s.change for s in batch], revision)
+            for submission in batch:
+                submission.resolve(Committed(revision))
+
+    def _requeue_unaffected(self, batch: list[PendingSubmission], error: CompareFailed) -> None:
+        """Fail the submissions whose preconditions failed; the others go first in the next batch.
+
+        Nothing of the batch was written.
+        """
+        failed = set(error.failed)
+        unaffected = []
+        for submission in batch:
+            own_failed = [key for key in submission.preconditions if key in failed]
+            if own_failed or len(batch) == 1:
+                submission.resolve(PreconditionsFailed(own_failed or error.failed))
+            else:
+                unaffected.append(submission)
+        self.queued[:0] = unaffected
+        self._wake.set()
--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -7,8 +7,15 @@
 import trio
 
 from .agents.manager import AgentManager
-from .api.routes import Api
-from .api.submission_batcher import SubmissionBatcher
+from .api.admission_queue import AdmissionControl, AdmissionQueue
+from .api.cancellation import Cancellations, CancellationWriter
+from .api.job_creation import JobCreator, SubmissionPlanner
+from .api.reachability import Reachability
+from .api.read_barrier import ReadBarrier
+from .api.routes import HEARTBEATS, Api
+from .api.status import JobStatuses
+from .api.submission import Submissions
+from .api.submission_batcher import CONCURRENT_COMMITS, SubmissionBatcher
 from .autoscaling.autoscaler import Autoscaler
 from .config.policy import Policy
 from .config.settings import Settings, host_port
@@ -34,7 +41,8 @@
 # Of the sockets that a controller may hold: for calls of our own, and for peers.
 OUTWARD = 0.12
 PEERS = 0.05
-REPORTS = "/v1/report"
+# Users wait 2 s for a poll: an answer later than that helps nobody.
+MAX_READ_BARRIER_S = 1.5
 
 
 class Controller:
@@ -85,25 +93,71 @@
             self.state_store,
             self.replica,
         )
-        self.api = Api(
-            settings,
-            policy,
-            self.membership,
-            self.state_store,
-            self.replica,
-            self.job_index,
-            self.agents,
-            self.scheduler,
-            self.layout,
-            lambda: self.autoscaler.types,
+        self.read_barrier = ReadBarrier(
+            self.state_store, self.replica, min(MAX_READ_BARRIER_S, policy.call_timeout * 1.5)
         )
-        self.progress.submissions_wait = lambda: self.api.line.waiting
+        self.submission_batcher = SubmissionBatcher(self.state_store, self.replica)
+        self.admission_queue = AdmissionQueue(self.job_index.jobs.__contains__)
+        self.progress.submissions_wait = lambda: self.admission_queue.occupied
         self.loops = Loops()
         self.decisions = DecisionLog(
-            self._evidence, self._counters, lambda: self.api.read_barrier.last
+            self._evidence, self._counters, lambda: self.read_barrier.last_read
         )
+        self._nursery: trio.Nursery | None = None  # while this controller runs
+        self.api = self._build_api()
         self._connect()
 
+    def _build_api(self) -> Api:
+        on_decision = self.decisions.on_decision
+        reachability = Reachability(self.state_store, self.membership, self.policy.session_ttl)
+        statuses = JobStatuses(
+            self.job_index.jobs,
+            self.replica,
+            self.read_barrier,
+            reachability,
+            self.scheduler.statuses.running,
+            on_decision,
+        )
+        admission = AdmissionControl(
+            self.admission_queue,
+            self.state_store,
+            self.submission_batcher,
+            lambda: len(self.membership.alive),
+            self.policy.admit_wait,
+        )
+        creator = JobCreator(
+            SubmissionPlanner(self.scheduler.decide, self.membership.request_schedule),
+            self.layout,
+            self.submission_batcher,
+            self.membership.token,
+            self.policy.admit_wait,
+        )
+        cancellation_writer = CancellationWriter(
+            self.state_store, self.replica, on_decision, self._broadcast_cancellation
+        )
+        return Api(
+            Submissions(
+                self.settings,
+                lambda: self.autoscaler.types,
+                reachability,
+                statuses,
+                admission,
+                creator,
+            ),
+            statuses,
+            Cancellations(
+                self.job_index.jobs, cancellation_writer, self.read_barrier, reachability, statuses
+            ),
+            reachability,
+            lambda: self.replica.revision >= 0 and bool(self.autoscaler.types),
+            self.agents.serve,
+            self.membership.forward,
+        )
+
+    def _broadcast_cancellation(self, cancellation: Cancellation) -> None:
+        if self._nursery is not None:
+            self._nursery.start_soon(self.membership.broadcast_cancellation, cancellation)
+
     def _connect(self) -> None:
         membership, agents, scheduler = self.membership, self.agents, self.scheduler
 
@@ -121,7 +175,6 @@
         membership.on_schedule_request = self._plan_as_cluster_leader
         membership.add_updates = self._add_updates
         agents.connect(scheduler.shards, scheduler.placer)
-        self.api.on_decision = self.decisions.on_decision
         agents.on_decision = self.decisions.on_decision
         self.progress.on_decision = self.decisions.on_decision
 
@@ -142,7 +195,7 @@
     def _counters(self) -> dict[str, int]:
         """Totals that other components count."""
         faults = {f"fault_{name}": count for name, count in self.loops.faults.items()}
-        return {**self.api.read_barrier.counts, **self.agents.answered, **faults}
+        return {**self.read_barrier.counts, **self.agents.answered, **faults}
 
     def _plan_as_cluster_leader(self, spec: user_api.JobSpec) -> ScheduleReply:
         plan = self.scheduler.decide_as_leader(spec)
@@ -172,7 +225,7 @@
             max_connections=int(connections * (1 - OUTWARD - PEERS)),
             idle=times.lease_s * 3,
             request_time=times.report_s * 2,
-            vital=frozenset({REPORTS}),
+            vital=frozenset({HEARTBEATS}),
         )
         peers = Server(
             self._serve_peer,
@@ -182,7 +235,7 @@
             max_body=1 << 22,
         )
         async with trio.open_nursery() as nursery:
-            self.api.nursery = nursery
+            self._nursery = nursery
             host, port = host_port(self.settings.public_addr)
             nursery.start_soon(self.loops.keep, "users", lambda: users.serve(host, port))
             peer_host, peer_port = host_port(self.settings.peer_bind)
@@ -206,9 +259,7 @@
 
     def _own_loops(self) -> list[tuple[str, Loop]]:
         """Every loop but those of the servers and of single peers, by name."""
-        submission_batcher = [
-            ("acceptances", self.api.submission_batcher.run)
-        ] * SubmissionBatcher.LOOPS
+        submission_batcher = [("acceptances", self.submission_batcher.run)] * CONCURRENT_COMMITS
         return [
             ("pauses", self.membership.run_pause_detector),
             ("replica", self.replica.run),
@@ -227,7 +278,7 @@
             ("fleet", self.autoscaler.run),
             ("types", self.autoscaler.catalog.run),
             ("silences", self.autoscaler.run_silences),
-            ("confirmations", self.api.read_barrier.run),
+            ("confirmations", self.read_barrier.run),
             ("drain", self._own_drain),
             ("decisions", lambda: self.decisions.run(self.policy.period)),
             *submission_batcher,
--- a/tests/api/test_read_barrier.py
+++ b/tests/api/test_read_barrier.py
@@ -1,4 +1,4 @@
-"""Confirmations: an answer rests on a revision that was read after its question, or isn't given."""
+"""The read barrier: a request passes only on a read dispatched after it arrived."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 import trio.testing
 
 from pitchtally.api.read_barrier import (
-    MOST_READS,
+    MAX_CONCURRENT_READS,
     REQUESTS_PER_READ,
-    Confirmed,
-    Outcome,
+    BarrierFailed,
+    BarrierOutcome,
+    BarrierPassed,
+    FailureCause,
     ReadBarrier,
-    Unanswered,
-    Unconfirmed,
 )
 from pitchtally.config.settings import StateLimits
 from pitchtally.http import HttpError, Response
@@ -29,7 +29,7 @@
 
 LIMITS = StateLimits(rps=500, write_rps=30, value_kb=8, txn_ops=8)
 CALL_TIMEOUT = 2.0
-WAIT = 1.5  # how long a question waits for its confirmation
+WAIT = 1.5  # seconds that a request waits at the barrier
 USUAL_DELAY = 0.005
 REQUESTS_PER_S = 500 * 0.9 / 3  # of this node
 INTERVAL = REQUESTS_PER_READ / REQUESTS_PER_S  # between the beginnings of two reads
@@ -70,7 +70,7 @@
 
 
 def play(monkeypatch: pytest.MonkeyPatch, body: Body) -> None:
-    """Run confirmations, for a copy at revision 10, on a mock clock."""
+    """Run a read barrier, for a replica at revision 10, on a mock clock."""
 
     async def main() -> None:
         service = StateService(monkeypatch)
@@ -87,34 +87,34 @@
 
 
 async def ask(read_barrier: ReadBarrier, count: int) -> int:
-    """How many of so many questions, asked at once, were confirmed."""
-    confirmed = 0
+    """How many of so many requests, sent at once, passed the barrier."""
+    passed = 0
 
     async def one() -> None:
-        nonlocal confirmed
-        if isinstance(await read_barrier.confirm(), Confirmed):
-            confirmed += 1
+        nonlocal passed
+        if isinstance(await read_barrier.wait(), BarrierPassed):
+            passed += 1
 
     async with trio.open_nursery() as nursery:
         for _ in range(count):
             nursery.start_soon(one)
-    return confirmed
+    return passed
 
 
-async def timed(read_barrier: ReadBarrier) -> tuple[Outcome, float]:
+async def timed(read_barrier: ReadBarrier) -> tuple[BarrierOutcome, float]:
     """An outcome, and the seconds until it came."""
     asked_at = trio.current_time()
-    outcome = await read_barrier.confirm()
+    outcome = await read_barrier.wait()
     return outcome, trio.current_time() - asked_at
 
 
-def test_outcome_of_a_question_given_up_confirms_no_later_one(
+def test_outcome_of_an_abandoned_request_passes_no_later_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A 404 for an accepted job: the outcome of an earlier question that had been given up.
+    """A 404 for an accepted job: the outcome of an earlier request that had been abandoned.
 
     Reads that ended after their waiters had left put down an outcome for each, by the address
-    of an object that was free again; whoever got that address next, and gave up, was confirmed.
+    of an object that was free again; whoever got that address next, and gave up, was passed.
     """
 
     async def body(read_barrier: ReadBarrier, service: StateService) -> None:
@@ -122,55 +122,55 @@
         assert await ask(read_barrier, 300) == 0
         await trio.sleep(1)  # the reads end: nobody waits any more
         service.delay = HANGS
-        confirmed = 0
+        passed = 0
         for _ in range(3):
-            confirmed += await ask(read_barrier, 300)
-        assert confirmed == 0, f"{confirmed} of 900 confirmed by a store that never answered"
-        assert read_barrier.counts == {Unanswered.TIMED_OUT: 1200}
+            passed += await ask(read_barrier, 300)
+        assert passed == 0, f"{passed} of 900 passed by a store that never answered"
+        assert read_barrier.counts == {FailureCause.TIMED_OUT: 1200}
 
     play(monkeypatch, body)
 
 
-def test_nothing_is_left_of_a_question_whose_caller_was_cancelled(
+def test_nothing_is_left_of_a_request_whose_caller_was_cancelled(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def body(read_barrier: ReadBarrier, service: StateService) -> None:
         service.delay = 0.5
         with trio.move_on_after(0.1):
-            await read_barrier.confirm()
+            await read_barrier.wait()
         await trio.sleep(1)
-        assert not read_barrier._waiting
+        assert not read_barrier._waiters
         assert not read_barrier.counts
 
     play(monkeypatch, body)
 
 
-@pytest.mark.parametrize("hanging", [1, MOST_READS - 1])
-def test_reads_that_hang_hold_up_no_question(hanging: int, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize("hanging", [1, MAX_CONCURRENT_READS - 1])
+def test_reads_that_hang_hold_up_no_request(hanging: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """803 answers of 503: one read at a time, each up to 2 s, for waiters of 1.5 s."""
 
     async def body(read_barrier: ReadBarrier, service: StateService) -> None:
         service.delays = [HANGS] * hanging
         outcome, seconds = await timed(read_barrier)
-        assert isinstance(outcome, Confirmed)
+        assert isinstance(outcome, BarrierPassed)
         assert seconds < hanging * INTERVAL + 0.05
         outcome, seconds = await timed(read_barrier)
-        assert isinstance(outcome, Confirmed)
+        assert isinstance(outcome, BarrierPassed)
         assert seconds < INTERVAL + 0.05
 
     play(monkeypatch, body)
 
 
-def test_most_questions_are_confirmed_while_a_tenth_of_answers_is_late(
+def test_requests_pass_while_a_tenth_of_answers_is_late(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def body(read_barrier: ReadBarrier, service: StateService) -> None:
         service.delays = ([2.5] + [USUAL_DELAY] * 9) * 100
-        confirmed = 0
+        passed = 0
         for _ in range(400):
             await trio.sleep(0.02)
-            confirmed += await ask(read_barrier, 1)
-        assert confirmed == 400
+            passed += await ask(read_barrier, 1)
+        assert passed == 400
 
     play(monkeypatch, body)
 
@@ -180,8 +180,8 @@
         service.delay = HANGS
         for _ in range(4):
             await ask(read_barrier, 100)
-        assert service.most_under_way == MOST_READS
-        assert service.reads <= MOST_READS * 5
+        assert service.most_under_way == MAX_CONCURRENT_READS
+        assert service.reads <= MAX_CONCURRENT_READS * 5
         # And they go on as soon as it answers.
         service.delay = USUAL_DELAY
         assert await ask(read_barrier, 100) == 100
@@ -189,7 +189,7 @@
     play(monkeypatch, body)
 
 
-def test_many_questions_take_a_fifth_of_the_requests(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_many_requests_take_a_fifth_of_the_rate_limit(monkeypatch: pytest.MonkeyPatch) -> None:
     async def body(read_barrier: ReadBarrier, service: StateService) -> None:
         end = trio.current_time() + 10
         while trio.current_time() < end:
@@ -199,17 +199,17 @@
     play(monkeypatch, body)
 
 
-def test_read_sent_before_the_question_does_not_confirm_it(
+def test_read_dispatched_before_the_request_does_not_pass_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def body(read_barrier: ReadBarrier, service: StateService) -> None:
         service.delays = [0.02]
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(read_barrier.confirm)
+            nursery.start_soon(read_barrier.wait)
             await trio.sleep(0.01)
             asked_at = trio.current_time()
-            outcome = await read_barrier.confirm()
-            assert isinstance(outcome, Confirmed)
+            outcome = await read_barrier.wait()
+            assert isinstance(outcome, BarrierPassed)
             assert outcome.read.asked_at >= asked_at
         assert service.reads == 2
 
@@ -222,28 +222,28 @@
         (503, 10, []),
         (429, 10, []),
         (410, 10, []),  # the copy is too old
-        (200, 9, []),  # the answer to an older question
+        (200, 9, []),  # the answer to an older read
         (200, 10, "rubbish"),
     ],
 )
-def test_answer_that_confirms_nothing_is_passed_on_at_once(
+def test_unusable_answer_fails_requests_at_once(
     status: int, ledger: int, log: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def body(read_barrier: ReadBarrier, service: StateService) -> None:
         service.status, service.ledger, service.log = status, ledger, log
         outcome, seconds = await timed(read_barrier)
-        assert isinstance(outcome, Unconfirmed)
-        assert outcome.why == Unanswered.REFUSED
+        assert isinstance(outcome, BarrierFailed)
+        assert outcome.cause == FailureCause.REFUSED
         assert seconds < 0.1
 
     play(monkeypatch, body)
 
 
-def test_copy_that_was_never_loaded_confirms_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_replica_that_was_never_loaded_passes_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     async def body(read_barrier: ReadBarrier, service: StateService) -> None:
         read_barrier.replica.revision = -1
         outcome, seconds = await timed(read_barrier)
-        assert isinstance(outcome, Unconfirmed)
+        assert isinstance(outcome, BarrierFailed)
         assert (service.reads, seconds) == (0, 0.0)
 
     play(monkeypatch, body)
--- a/tests/api/test_validation.py
+++ b/tests/api/test_validation.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from pitchtally.api.validation import Invalid, check_runnable, parse_job
+from pitchtally.api.validation import InvalidSubmission, check_runnable, parse_job
 from pitchtally.protocol import cloud_api
 
 from ..harness.simulation import job, settings
@@ -57,7 +57,7 @@
     ],
 )
 def test_malformed(text: bytes, field: str) -> None:
-    with pytest.raises(Invalid) as caught:
+    with pytest.raises(InvalidSubmission) as caught:
         parse_job(text)
     assert caught.value.status == 400
     assert str(caught.value).startswith(field + ":")
@@ -83,6 +83,6 @@
     if good:
         check_runnable(spec, settings("n0"), {"big": TYPE})
     else:
-        with pytest.raises(Invalid) as caught:
+        with pytest.raises(InvalidSubmission) as caught:
             check_runnable(spec, settings("n0"), {"big": TYPE})
         assert caught.value.status == 422
--- a/tests/cluster/test_regressions.py
+++ b/tests/cluster/test_regressions.py
@@ -10,7 +10,7 @@
 import trio
 import trio.testing
 
-from pitchtally.api.admission_queue import GRACE_S, LONGEST_S, AdmissionQueue
+from pitchtally.api.admission_queue import GRACE_S, MAX_RETRY_S, AdmissionQueue
 from pitchtally.config.settings import StateLimits
 from pitchtally.http import HttpError, Request, Response
 from standins.network import HERE
@@ -326,7 +326,7 @@
         assert line.refuse("a", 0.2) == 1
         await trio.sleep(0.5)
         assert line.refuse("b", 2.1) == 3
-        assert line.refuse("c", 90.0) == LONGEST_S
+        assert line.refuse("c", 90.0) == MAX_RETRY_S
         await trio.sleep(1.0)
         assert line.refuse("a", 1.5) == 2
         assert [line.ahead_of(id) for id in "abcd"] == [0, 1, 2, 3]
@@ -338,9 +338,9 @@
         assert [line.ahead_of(id) for id in "cd"] == [0, 1]  # a hasn't come back
         line.refuse("a", 1.0)  # but it keeps its place, for it was at another node
         assert [line.ahead_of(id) for id in "acd"] == [0, 1, 2]
-        await trio.sleep(LONGEST_S + GRACE_S)
+        await trio.sleep(MAX_RETRY_S + GRACE_S)
         assert line.ahead_of("d") == 0
-        assert not line.waiting
+        assert not line.occupied
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
--- a/tests/cluster/test_services.py
+++ b/tests/cluster/test_services.py
@@ -11,7 +11,7 @@
 import pytest
 import trio
 
-from pitchtally.api.validation import Invalid, check_runnable, parse_job
+from pitchtally.api.validation import InvalidSubmission, check_runnable, parse_job
 from pitchtally.config import policy
 from pitchtally.config.settings import Team
 from pitchtally.jobs.index import Job
@@ -103,7 +103,7 @@
     spec = parse_job(json.dumps(sent(service(1, **{"crew": "tight", **more}))).encode())
     try:
         check_runnable(spec, config, TYPES)
-    except Invalid as error:
+    except InvalidSubmission as error:
         assert error.status == status
     else:
         assert status is None
@@ -112,7 +112,7 @@
 @pytest.mark.parametrize("missing", ["ripenS", "rows", "spread", "crew"])
 def test_a_field_that_is_missing_is_told_as_for_any_job(missing: str) -> None:
     body = {k: v for k, v in sent(service(1)).items() if k != missing}
-    with pytest.raises(Invalid) as found:
+    with pytest.raises(InvalidSubmission) as found:
         parse_job(json.dumps(body).encode())
     assert found.value.status == 400
 
--- a/tests/harness/simulation.py
+++ b/tests/harness/simulation.py
@@ -12,7 +12,7 @@
 import trio.testing
 from trio._core import _run as trio_run
 
-from pitchtally.api import routes
+from pitchtally.api import job_creation
 from pitchtally.config import policy
 from pitchtally.config.settings import (
     AgentTimes,
@@ -303,7 +303,7 @@
         sim.network.install(monkeypatch)
         clock = types.SimpleNamespace(time=trio.current_time)
         monkeypatch.setattr(priorities, "time", clock)
-        monkeypatch.setattr(routes, "time", clock)
+        monkeypatch.setattr(job_creation, "time", clock)
         if production is not None:
             production.install(monkeypatch, sim.network, clock)
         async with trio.open_nursery() as nursery:
--- a/tests/membership/test_mismatched_replies.py
+++ b/tests/membership/test_mismatched_replies.py
@@ -10,7 +10,7 @@
 import trio
 import trio.testing
 
-from pitchtally.api.submission_batcher import Pending, SubmissionBatcher
+from pitchtally.api.submission_batcher import PendingSubmission, SubmissionBatcher
 from pitchtally.api.validation import parse_job
 from pitchtally.config import policy
 from pitchtally.controller import Controller
@@ -197,12 +197,12 @@
         submission_batcher = SubmissionBatcher(controller.state_store, controller.replica)
         for number, token in enumerate((5, 9, 5)):
             key = f"pt/jobs/wk-{number}"
-            submission_batcher.waiting.append(
-                Pending(key, Write(key, b"{}"), {key: 0, "pt/parts/1": token})
+            submission_batcher.queued.append(
+                PendingSubmission(key, Write(key, b"{}"), {key: 0, "pt/parts/1": token})
             )
         batches = []
-        while submission_batcher.waiting:
-            batches.append([pending.key[-1] for pending in submission_batcher._batch()])
+        while submission_batcher.queued:
+            batches.append([pending.key[-1] for pending in submission_batcher.take_batch()])
         assert batches == [["0", "2"], ["1"]]
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
@@ -227,17 +227,17 @@
             raise HttpError("refused")
 
         async def poll() -> Response:
-            return await controller.api.poll(spec.id)
+            return await controller.api.statuses.poll(spec.id)
 
         answer_calls(monkeypatch, answer)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(controller.api.read_barrier.run)
-            nursery.start_soon(controller.api.submission_batcher.run)
-            assert (await controller.api._accept(spec)).status == 503
+            nursery.start_soon(controller.read_barrier.run)
+            nursery.start_soon(controller.submission_batcher.run)
+            assert (await controller.api.submissions.accept(spec)).status == 503
             assert (await poll()).status == 404  # nothing else is known of it
             controller.replica.learn(f"pt/jobs/{spec.id}", b'{"of":"a later version"}', 11)
             assert (await poll()).status == 503
-            assert (await controller.api.cancel(spec.id)).status == 503
+            assert (await controller.api.cancellations.cancel(spec.id)).status == 503
             nursery.cancel_scope.cancel()
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
--- a/tests/state_store/test_size_limits.py
+++ b/tests/state_store/test_size_limits.py
@@ -10,7 +10,7 @@
 import trio
 import trio.testing
 
-from pitchtally.api.submission_batcher import Pending, SubmissionBatcher
+from pitchtally.api.submission_batcher import PendingSubmission, SubmissionBatcher
 from pitchtally.api.validation import parse_job
 from pitchtally.config import policy
 from pitchtally.config.settings import NextStateLimits, StateLimits
@@ -122,11 +122,13 @@
     for number in range(1000):
         value = encode(JobRecord(OPEN, 800, _spec(800), 1.7e9, [TaskRange(0, 800, 1)]))
         key = f"pt/jobs/wk-{number:018d}"
-        found.waiting.append(Pending(key, Write(key, value), {key: 0, "pt/parts/1": 10**12}))
-    batch = found._batch()
+        found.queued.append(
+            PendingSubmission(key, Write(key, value), {key: 0, "pt/parts/1": 10**12})
+        )
+    batch = found.take_batch()
     assert 0 < len(batch) <= controller.state_store.limits.txn_ops
     conditions = [
-        state_store_api.Precondition(k, v) for p in batch for k, v in p.conditions.items()
+        state_store_api.Precondition(k, v) for p in batch for k, v in p.preconditions.items()
     ]
     puts: list[state_store_api.Put | state_store_api.Delete] = [
         state_store_api.Put(p.key, msgspec.Raw(p.change.value or b"")) for p in batch
