--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -24,7 +24,7 @@
 from pitchtally.membership.membership import NodeRecord
 from pitchtally.state_store.client import Write
 
-from ..harness.earlier_version import Production, with_present_names
+from ..harness.earlier_version import EarlierVersion, with_present_names
 from ..harness.simulation import job, sent, settings
 
 STATE = StateLimits(
@@ -121,10 +121,10 @@
     _run(body)
 
 
-def test_what_is_written_while_the_gate_is_closed_is_read_in_production(
-    production: Production,
+def test_what_is_written_while_the_gate_is_closed_is_read_by_earlier_versions(
+    earlier: EarlierVersion,
 ) -> None:
-    """Each record goes through the new version's types, is encoded by it, and read by 0.5.1."""
+    """Each record goes through the new version's types, is encoded by it, and read by theirs."""
 
     def body() -> None:
         new = _controller()
@@ -146,7 +146,7 @@
             or b"",
         }
         assert new.agents.records.chunk_of("i-000360") == 360 // 3 // 10
-        old = production.controller(settings("n2", state=STATE), "")
+        old = earlier.controller(settings("n2", state=STATE), "")
         _learn(old, {key: written[key] for key in RECORDS})
         _learn(old, {key: written[key] for key in written if key not in RECORDS})
         _check_what_is_known(with_present_names(old))
@@ -156,8 +156,8 @@
     _run(body)
 
 
-def test_messages_are_read_in_both_directions(production: Production) -> None:
-    theirs = production.module("control.messages")
+def test_messages_are_read_in_both_directions(earlier: EarlierVersion) -> None:
+    theirs = earlier.module("control.messages")
     spec = parse_job(json.dumps(sent(job(1))).encode())
     told = messages.PeerHeartbeat(
         "n0",
@@ -187,7 +187,7 @@
 
 
 def test_the_version_in_production_moves_machines_before_it_empties_a_chunk(
-    production: Production,
+    production: EarlierVersion,
 ) -> None:
     """It reads chunks of any width, and its own come first in the order of its writes."""
 
@@ -204,6 +204,47 @@
     _run(body)
 
 
+def _write_in_present_format(writer: Any, task_ranges: list[Any]) -> dict[str, str | bytes]:
+    """What a controller of either version with an open gate makes of the records above."""
+    _learn(writer, RECORDS)
+    job_ = writer.job_index.jobs["wk-000001"]
+    before, record = writer.layout.convert(job_)
+    assert job_.record.ranges == task_ranges
+    writes = [*before, writer.scheduler.quotas.shares.change("tight", [(4.0, 0), (2.0, 0), (0, 0)])]
+    writes += writer.autoscaler.catalog.lay_out(list(writer.autoscaler.types.values()))
+    return {
+        **RECORDS,
+        **{write.key.removeprefix("pt/"): write.value or b"" for write in writes},
+        "format": writer.gate.record(),
+        "nodes/n1": msgspec.json.encode(writer.membership._own_node()),
+        "jobs/wk-000001": writer.layout.encode_record(job_, record),
+    }
+
+
+@pytest.mark.parametrize("new_writes", [True, False], ids=["new writes", "old writes"])
+def test_what_is_written_with_an_open_gate_is_read_in_both_directions(
+    new_writes: bool, version_0_6_0: EarlierVersion
+) -> None:
+    def body() -> None:
+        old = with_present_names(version_0_6_0.controller(settings("n1", state=STATE), ""))
+        new = _controller()
+        writer: Any = new if new_writes else old
+        reader: Any = old if new_writes else new
+        _learn(writer, {"format": writer.gate.record()})
+        assert writer.gate.open and not reader.gate.open
+        written = _write_in_present_format(writer, [(0, 4, 0), (4, 6, 1)])
+        assert written["jobs/wk-000001"] != RECORDS["jobs/wk-000001"]
+        _learn(reader, {key: written[key] for key in RECORDS})
+        _learn(reader, {key: written[key] for key in written if key not in RECORDS})
+        _check_what_is_known(reader)
+        assert reader.gate.open
+        assert reader.gate.legacy_chunk_tasks == LEGACY_CHUNK
+        told = reader.membership.alive["n1"]
+        assert (told.incarnation, told.reads) == (writer.membership.incarnation, FORMAT)
+
+    _run(body)
+
+
 # --- finished tasks ----------------------------------------------------------------------------
 
 
