--- a/pitchtally/api/routes.py
+++ b/pitchtally/api/router.py
@@ -17,7 +17,7 @@
 CANCEL = "/cancel"
 
 
-class Api:
+class Router:
     """Dispatches requests by path; `serve` those of the public address, `local` users' alone."""
 
     def __init__(
--- /dev/null
+++ b/pitchtally/api/service.py
@@ -0,0 +1,137 @@
+"""The components of the users' API, put together."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+from typing import Protocol
+
+from ..config.policy import Policy
+from ..config.settings import Settings
+from ..formats.job_layout import JobLayout
+from ..http import Handler, Request, Response
+from ..jobs.index import Job
+from ..membership.messages import Cancellation, ScheduleReply
+from ..observability.decision_log import DecisionListener
+from ..protocol import cloud_api, user_api
+from ..scheduling.capacity import Plan
+from ..state_store.client import StateStoreClient
+from ..state_store.replica import Replica
+from .admission_queue import AdmissionControl, AdmissionQueue
+from .cancellation import Cancellations, CancellationWriter
+from .job_creation import JobCreator, SubmissionPlanner
+from .reachability import PeerReachability, Reachability
+from .read_barrier import ReadBarrier
+from .router import Router
+from .status import JobStatuses
+from .submission import Submissions
+from .submission_batcher import SubmissionBatcher
+
+# Users wait 2 s for a poll: an answer later than that helps nobody.
+MAX_BARRIER_WAIT_S = 1.5
+# Calls to the state store that a request may wait for at the read barrier.
+BARRIER_WAIT_CALLS = 1.5
+
+
+class Peers(PeerReachability, Protocol):
+    """What the API asks of the other controllers, and of this one's leadership."""
+
+    @property
+    def alive(self) -> Mapping[str, object]:
+        """Nodes whose session lease is valid, by name."""
+
+    def token(self, shard: int) -> int | None:
+        """This node's fencing token of a shard, None if another node leads it."""
+
+    async def forward(self, request: Request) -> Response | None:
+        """Have a peer answer a user's request; None if no peer did."""
+
+    async def request_schedule(self, spec: user_api.JobSpec) -> ScheduleReply | None:
+        """Ask the cluster leader where a job goes; None if it doesn't reply at once."""
+
+
+@dataclass(frozen=True, slots=True)
+class ApiSchedulerView:
+    """What the API asks of the scheduler."""
+
+    plan: Callable[[user_api.JobSpec], Plan]  # a new job's shards, as far as known here
+    running_tasks: Callable[[str], int]  # of a job, on machines known here
+
+
+@dataclass(frozen=True, slots=True)
+class ApiListeners:
+    """Who is told of what the API does."""
+
+    on_decision: DecisionListener
+    on_cancelled: Callable[[Cancellation], None]  # starts a broadcast without waiting for it
+
+
+class Api:
+    """The API of one controller; the controller runs the loops of its components."""
+
+    def __init__(
+        self,
+        *,
+        settings: Settings,
+        policy: Policy,
+        state_store: StateStoreClient,
+        replica: Replica,
+        jobs: Mapping[str, Job],
+        layout: JobLayout,
+        peers: Peers,
+        scheduler: ApiSchedulerView,
+        machine_types: Callable[[], Mapping[str, cloud_api.MachineType]],
+        serve_agent: Handler,
+        listeners: ApiListeners,
+    ):
+        """Twelve parameters: all that the package takes from others, handed on one by one."""
+        reachability = Reachability(state_store, peers, policy.session_ttl)
+        self.read_barrier = ReadBarrier(
+            state_store, replica, min(MAX_BARRIER_WAIT_S, policy.call_timeout * BARRIER_WAIT_CALLS)
+        )
+        self.submission_batcher = SubmissionBatcher(state_store, replica)
+        self.admission_queue = AdmissionQueue(jobs.__contains__)
+        self.statuses = JobStatuses(
+            jobs,
+            replica,
+            self.read_barrier,
+            reachability,
+            scheduler.running_tasks,
+            listeners.on_decision,
+        )
+        self.submissions = Submissions(
+            settings,
+            machine_types,
+            reachability,
+            self.statuses,
+            AdmissionControl(
+                self.admission_queue,
+                state_store,
+                self.submission_batcher,
+                lambda: len(peers.alive),
+                policy.admit_wait,
+            ),
+            JobCreator(
+                SubmissionPlanner(scheduler.plan, peers.request_schedule),
+                layout,
+                self.submission_batcher,
+                peers.token,
+                policy.admit_wait,
+            ),
+        )
+        self.cancellations = Cancellations(
+            jobs,
+            CancellationWriter(state_store, replica, listeners.on_decision, listeners.on_cancelled),
+            self.read_barrier,
+            reachability,
+            self.statuses,
+        )
+        self.router = Router(
+            self.submissions,
+            self.statuses,
+            self.cancellations,
+            reachability,
+            lambda: replica.revision >= 0 and bool(machine_types()),
+            serve_agent,
+            peers.forward,
+        )
--- a/pitchtally/autoscaling/catalog.py
+++ b/pitchtally/autoscaling/catalog.py
@@ -1,146 +1,157 @@
-"""The machine types that the cloud offers: asked for, and kept in the state store."""
+"""The machine catalog: the machine types that the cloud offers, kept in the state store.
+
+Nodes follow the stored catalog, so that they know the types during an outage of the cloud too.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 
 import msgspec
 import trio
 
-from ..agents.manager import AgentManager
-from ..config.policy import Policy
+from ..agents.machines import Machine
 from ..formats.gate import FormatGate
-from ..membership.membership import Membership
 from ..protocol import cloud_api
 from ..state_store import keys, rate_limits
 from ..state_store.client import StateStoreClient, Write
 from ..state_store.errors import CompareFailed, LeaseExpired, StoreUnavailable
 from ..state_store.replica import Replica
-from .cloud_client import Cloud, CloudUnavailable, InsufficientCapacity
+from .cloud_client import CloudClient, CloudUnavailable, InsufficientCapacity
 
-# Of the price before: a move by less isn't worth a write, prices drift all the time.
+# Spot prices drift all the time: a change by a smaller share of the price isn't worth a write.
 PRICE_STEP = 0.1
-# Times `list_every` between two questions, once the types are known and before.
-ASK_EVERY, ASK_FIRST = 6.0, 0.5
+# Intervals of the machine list between two requests for the types: once they are known, before.
+REFRESH_INTERVALS, FIRST_INTERVALS = 6.0, 0.5
 
 _decode = msgspec.json.Decoder(list[cloud_api.MachineType]).decode
 _encode = msgspec.json.encode
 
 
-class MachineCatalog:
-    """Keeps the types in the store, so that nodes know them in a cloud outage too.
+class CatalogStore:
+    """The stored catalog.
 
-    One value holds all types; more than fit go into pages, `pt/types/<n>`, which an earlier
-    version would take for all there are: only once the format gate is open.
+    One value holds all types. More than fit go into pages, `pt/types/<n>`, of which an earlier
+    version would take one for all there are: so only once the format gate is open.
     """
 
+    def __init__(self, state_store: StateStoreClient, replica: Replica, gate: FormatGate):
+        self._state_store = state_store
+        self._replica = replica
+        self._gate = gate
+        self._pages: dict[str, list[cloud_api.MachineType]] = {}  # by key
+
+    def subscribe(self, listener: Callable[[list[cloud_api.MachineType]], None]) -> None:
+        """Have a listener called with all types whenever a stored page changes."""
+
+        def page_changed(rest: str, value: bytes | None, version: int) -> None:
+            key = keys.absolute(keys.MACHINE_TYPES_PREFIX, rest)
+            if value is None:
+                self._pages.pop(key, None)
+            else:
+                self._pages[key] = _decode(value)
+            found = [machine_type for page in self._pages.values() for machine_type in page]
+            if found:
+                listener(found)
+
+        self._replica.listen(keys.MACHINE_TYPES_PREFIX, page_changed)
+
+    async def save(self, machine_types: list[cloud_api.MachineType]) -> None:
+        """Store these types, unless another node writes first; raises `StoreUnavailable`."""
+        for change in self.lay_out(machine_types):
+            try:
+                revision = await self._state_store.commit(
+                    {change.key: self._replica.version(change.key)},
+                    [change],
+                    priority=rate_limits.ACCEPTANCES,
+                )
+            except (CompareFailed, LeaseExpired):
+                return
+            self._replica.apply_own_commit([change], revision)
+
+    def lay_out(self, machine_types: list[cloud_api.MachineType]) -> list[Write]:
+        """The writes that store these types; those that delete a page come last."""
+        max_bytes = int(self._state_store.limits.value_kb * 1024)
+        if not self._gate.open or len(_encode(machine_types)) <= max_bytes:
+            pages = {keys.MACHINE_TYPES: machine_types}
+        else:
+            pages = _paginate(machine_types, max_bytes)
+        writes = [Write(key, _encode(page)) for key, page in pages.items()]
+        return [*writes, *(Write(key, None) for key in self._pages if key not in pages)]
+
+
+def _paginate(
+    machine_types: list[cloud_api.MachineType], max_bytes: int
+) -> dict[str, list[cloud_api.MachineType]]:
+    pages: list[list[cloud_api.MachineType]] = [[]]
+    for machine_type in machine_types:
+        if pages[-1] and len(_encode([*pages[-1], machine_type])) > max_bytes:
+            pages.append([])
+        pages[-1].append(machine_type)
+    return {keys.machine_types_page(number): page for number, page in enumerate(pages)}
+
+
+class MachineCatalog:
+    """The machine types by name: `known` is empty until they have been read once."""
+
     def __init__(
         self,
-        policy: Policy,
-        membership: Membership,
-        agents: AgentManager,
-        state_store: StateStoreClient,
-        replica: Replica,
-        cloud: Cloud,
-        gate: FormatGate,
-        trouble: Callable[[str], None],
+        store: CatalogStore,
+        cloud: CloudClient,
+        machines: Mapping[str, Machine],
+        is_cluster_leader: Callable[[], bool],
+        list_interval: float,
     ):
-        self.policy = policy
-        self.membership = membership
-        self.agents = agents
-        self.state_store = state_store
-        self.replica = replica
-        self.cloud = cloud
-        self.gate = gate
-        self.trouble = trouble  # told why the cloud can't be asked
+        """`machines`: those of this node's shards, whose type is set as the catalog changes."""
+        self._store = store
+        self._cloud = cloud
+        self._errors = cloud.errors
+        self._machines = machines
+        self._is_cluster_leader = is_cluster_leader
+        self._list_interval = list_interval
         self.known: dict[str, cloud_api.MachineType] = {}
-        self._pages: dict[str, list[cloud_api.MachineType]] = {}  # by key
-        replica.listen(keys.MACHINE_TYPES_PREFIX, self._on_record)
+        store.subscribe(self._replace)
 
-    def _on_record(self, rest: str, value: bytes | None, version: int) -> None:
-        key = keys.absolute(keys.MACHINE_TYPES_PREFIX, rest)
-        if value is None:
-            self._pages.pop(key, None)
-        else:
-            self._pages[key] = _decode(value)
-        found = [machine_type for page in self._pages.values() for machine_type in page]
-        if found:
-            self._renew(found)
+    def types(self) -> dict[str, cloud_api.MachineType]:
+        """The machine types that the cloud offers, by name."""
+        return self.known
 
-    def _renew(self, found: list[cloud_api.MachineType]) -> None:
-        self.known = {machine_type.name: machine_type for machine_type in found}
-        for machine in self.agents.machines.values():
-            machine.machine_type = self.known.get(machine.type)
+    def lay_out(self, machine_types: list[cloud_api.MachineType]) -> list[Write]:
+        """The writes that store these types in place of the stored ones."""
+        return self._store.lay_out(machine_types)
 
     async def run(self) -> None:
-        """Ask the cloud, and write what has changed; the leader's task once types are known."""
+        """Ask the cloud and store changes: the cluster leader, any node while types are unknown."""
         while True:
-            if self.known and self.membership.cluster_leader_token is None:
-                await trio.sleep(self.policy.list_every)
+            if self.known and not self._is_cluster_leader():
+                await trio.sleep(self._list_interval)
                 continue
             try:
-                body = await self.cloud.call("GET", "/flavors")
-                found = msgspec.json.decode(body, type=cloud_api.MachineTypeList).types
-                if found and self._changed(found):
-                    await self._write(found)
-                    self._renew(found)
-            except (
-                CloudUnavailable,
-                InsufficientCapacity,
-                msgspec.MsgspecError,
-                StoreUnavailable,
-            ) as error:
-                self.trouble(str(error))
-            await trio.sleep(self.policy.list_every * (ASK_EVERY if self.known else ASK_FIRST))
-
-    def _changed(self, found: list[cloud_api.MachineType]) -> bool:
-        """Whether shapes have changed, or prices by more than a step."""
+                found = await self._cloud.machine_types()
+                if found and self._has_changed(found):
+                    await self._store.save(found)
+                    self._replace(found)
+            except InsufficientCapacity:
+                self._errors.recovered()  # an answer, though of no use
+            except (CloudUnavailable, StoreUnavailable) as error:
+                self._errors.failed(str(error))
+            intervals = REFRESH_INTERVALS if self.known else FIRST_INTERVALS
+            await trio.sleep(self._list_interval * intervals)
+
+    def _replace(self, found: list[cloud_api.MachineType]) -> None:
+        self.known = {machine_type.name: machine_type for machine_type in found}
+        for machine in self._machines.values():
+            machine.machine_type = self.known.get(machine.type)
+
+    def _has_changed(self, found: list[cloud_api.MachineType]) -> bool:
+        """Whether shapes have changed, or spot prices by more than a step."""
         if {machine_type.name for machine_type in found} != set(self.known):
             return True
-        return any(self._differs(new, self.known[new.name]) for new in found)
-
-    @staticmethod
-    def _differs(new: cloud_api.MachineType, old: cloud_api.MachineType) -> bool:
-        if (new.cpus, new.gpus, new.memory, new.zones) != (
-            old.cpus,
-            old.gpus,
-            old.memory,
-            old.zones,
-        ):
-            return True
-        step = PRICE_STEP * (old.spot_price or 1)
-        return abs((new.spot_price or 0) - (old.spot_price or 0)) > step
+        return any(_differs(new, self.known[new.name]) for new in found)
 
-    async def _write(self, found: list[cloud_api.MachineType]) -> None:
-        for change in self.lay_out(found):
-            try:
-                revision = await self.state_store.commit(
-                    {change.key: self.replica.version(change.key)},
-                    [change],
-                    priority=rate_limits.ACCEPTANCES,
-                )
-            except (CompareFailed, LeaseExpired):
-                return  # another node was first
-            self.replica.apply_own_commit([change], revision)
-
-    def lay_out(self, found: list[cloud_api.MachineType]) -> list[Write]:
-        """The writes that store these types, those that hold something first."""
-        most = int(self.state_store.limits.value_kb * 1024)
-        stays_in_one_shard = _encode(found)
-        if len(stays_in_one_shard) <= most or not self.gate.open:
-            pages = {keys.MACHINE_TYPES: found}
-        else:
-            pages = self._paged(found, most)
-        writes = [Write(key, _encode(page)) for key, page in pages.items()]
-        return [*writes, *(Write(key, None) for key in self._pages if key not in pages)]
 
-    @staticmethod
-    def _paged(
-        found: list[cloud_api.MachineType], most: int
-    ) -> dict[str, list[cloud_api.MachineType]]:
-        pages: list[list[cloud_api.MachineType]] = [[]]
-        for machine_type in found:
-            if pages[-1] and len(_encode([*pages[-1], machine_type])) > most:
-                pages.append([])
-            pages[-1].append(machine_type)
-        return {keys.machine_types_page(number): page for number, page in enumerate(pages)}
+def _differs(new: cloud_api.MachineType, old: cloud_api.MachineType) -> bool:
+    if (new.cpus, new.gpus, new.memory, new.zones) != (old.cpus, old.gpus, old.memory, old.zones):
+        return True
+    step = PRICE_STEP * (old.spot_price or 1)
+    return abs((new.spot_price or 0) - (old.spot_price or 0)) > step
--- a/pitchtally/autoscaling/cloud_client.py
+++ b/pitchtally/autoscaling/cloud_client.py
@@ -1,45 +1,117 @@
-"""The client of the cloud's interface, within the limit that all nodes share."""
+"""Client of the cloud provider's API, within the rate limit that all nodes share."""
 
 from __future__ import annotations
 
+import logging
+from collections.abc import Iterable
+from typing import TypeVar
+
+import msgspec
+
 from ..config.policy import Policy
 from ..config.settings import Settings, host_port
 from ..http import Client, HttpError
+from ..protocol import cloud_api
 from ..state_store import rate_limits
 
+log = logging.getLogger("cloud_client")
+
+# Of the rate limit, which the provider measures by a clock of its own.
+RATE_SHARE = 0.8
+
+_T = TypeVar("_T")
+_encode = msgspec.json.encode
+
 
 class CloudUnavailable(Exception):
-    """The cloud gave no usable answer."""
+    """The cloud gave no usable answer; a launch may have been carried out all the same."""
 
 
 class InsufficientCapacity(Exception):
     """The cloud has no machine of the group that was asked for."""
 
 
-class Cloud:
-    """The cloud's interface, under a bucket for all nodes together."""
+class CloudErrorLog:
+    """Logs errors of the cloud once for each cause, and the end of an outage."""
+
+    def __init__(self) -> None:
+        self._cause = ""
+
+    def failed(self, cause: str) -> None:
+        """A request failed; a cause that lasts is logged once."""
+        if cause != self._cause:
+            log.info("cloud error cause=%s", cause[:80])
+            self._cause = cause
+
+    def recovered(self) -> None:
+        """Requests succeed."""
+        if self._cause:
+            log.info("cloud recovered")
+            self._cause = ""
+
+
+class CloudClient:
+    """Typed calls; each raises `CloudUnavailable` if no usable answer comes."""
 
     def __init__(self, settings: Settings, policy: Policy):
-        self.address = host_port(settings.endpoints.cloud)
-        self.timeout = policy.cloud_timeout
-        rate = settings.deployment.cloud.rps * 0.8
-        self.bucket = rate_limits.TokenBucket(rate, rate)
-        self.client = Client(keep=2)
+        self.errors = CloudErrorLog()
+        self._address = host_port(settings.endpoints.cloud)
+        self._timeout = policy.cloud_timeout
+        rate = settings.deployment.cloud.rps * RATE_SHARE
+        self._requests = rate_limits.TokenBucket(rate, rate)
+        self._client = Client(keep=2)
+
+    async def machine_types(self) -> list[cloud_api.MachineType]:
+        """Every machine type on offer; may raise `InsufficientCapacity` too."""
+        body = await self._call("GET", "/flavors")
+        return _decode(body, cloud_api.MachineTypeList).types
+
+    async def machines(self) -> dict[str, cloud_api.ListedMachine]:
+        """Every machine that the cloud lists, by name."""
+        found: dict[str, cloud_api.ListedMachine] = {}
+        after = ""
+        while True:
+            since = f"since={after}&" if after else ""
+            body = await self._call("GET", f"/machines?{since}limit={cloud_api.LIST_PAGE}")
+            page = _decode(body, cloud_api.MachineList)
+            found.update((machine.name, machine) for machine in page.machines)
+            if not page.more or not page.machines:
+                return found
+            after = page.machines[-1].name
+
+    async def launch(self, request: cloud_api.LaunchRequest) -> list[str]:
+        """Launch machines; the names of those launched, perhaps fewer than asked for.
 
-    async def call(self, method: str, target: str, body: bytes = b"") -> bytes:
+        Idempotent by the request's name. Raises `InsufficientCapacity` if there are none.
+        """
+        body = await self._call("POST", "/machines", _encode(request))
+        return _decode(body, cloud_api.MachineNames).machines
+
+    async def terminate(self, names: Iterable[str]) -> None:
+        """Terminate machines; once this returns nothing runs on them."""
+        await self._call("POST", "/machines/release", _encode(cloud_api.MachineNames(list(names))))
+
+    async def _call(self, method: str, target: str, body: bytes = b"") -> bytes:
         """One request, once the shared limit allows it; the body of its answer."""
-        await self.bucket.take(rate_limits.PROGRESS)
+        await self._requests.take(rate_limits.PROGRESS)
         try:
-            response = await self.client.call(
-                self.address, method, target, body, timeout=self.timeout
+            response = await self._client.call(
+                self._address, method, target, body, timeout=self._timeout
             )
         except HttpError as error:
-            self.client.drop(self.address)
+            self._client.drop(self._address)
             raise CloudUnavailable(str(error)) from None
         if response.status == 429:
-            self.bucket.penalty()
+            self._requests.penalty()
         if response.status == 503 and b"no capacity" in response.body:
             raise InsufficientCapacity
         if response.status != 200:
             raise CloudUnavailable(f"status {response.status}")
         return response.body
+
+
+def _decode(body: bytes, kind: type[_T]) -> _T:
+    try:
+        return msgspec.json.decode(body, type=kind)
+    except msgspec.MsgspecError as error:
+        raise CloudUnavailable(str(error)) from None
--- /dev/null
+++ b/pitchtally/autoscaling/demand.py
@@ -0,0 +1,136 @@
+"""Demand: what pending and recent jobs ask of machines, as pure functions over views."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from ..agents.machines import MachineGroupKey
+from ..jobs.index import Job
+from ..jobs.resources import Resources, capacity_of, count_fitting, resource_request
+from ..membership.messages import ShardStatus
+from ..protocol import cloud_api, user_api
+from ..scheduling.capacity import allows_machine_type
+from .scheduler_view import SchedulerView
+
+
+class JobShape(NamedTuple):
+    """What jobs have in common that may use the same machines and take about as long."""
+
+    job_class: str
+    types: tuple[str, ...] | None
+    zone: str | None
+    spot: bool
+
+    @classmethod
+    def of(cls, spec: user_api.JobSpec) -> JobShape:
+        """The shape of a job."""
+        return cls(spec.job_class, spec.types, spec.zone, spec.spot)
+
+
+class _RequestShape(NamedTuple):
+    """What decides whether a job's pending tasks need a machine."""
+
+    resources: Resources
+    team: str
+    types: tuple[str, ...] | None
+    zone: str | None
+    spot: bool
+
+
+@dataclass(slots=True)
+class PendingDemand:
+    """The pending tasks of one shape in all shards."""
+
+    spec: user_api.JobSpec  # of one of the jobs
+    seconds: float = 0.0  # expected task-seconds
+    tasks: int = 0
+
+
+def pending_demands(
+    statuses: Iterable[ShardStatus], open_jobs: Mapping[str, Job], scheduler: SchedulerView
+) -> list[PendingDemand]:
+    """What is pending, assigned to a shard or not yet, by shape."""
+    pending: Counter[str] = Counter()
+    for status in statuses:
+        pending.update(status.waiting)
+    for job in open_jobs.values():
+        unassigned = job.record.tasks - sum(r.tasks for r in job.record.ranges)
+        if unassigned > 0:
+            pending[job.id] += unassigned
+    demands: dict[JobShape, PendingDemand] = {}
+    for id, count in pending.items():
+        found = open_jobs.get(id)
+        if found is None:
+            continue
+        spec = found.spec
+        demand = demands.setdefault(JobShape.of(spec), PendingDemand(spec))
+        demand.spec = spec
+        demand.seconds += count * scheduler.task_seconds(spec)
+        demand.tasks += count
+    return list(demands.values())
+
+
+def queued_specs(
+    statuses: Iterable[ShardStatus], open_jobs: Mapping[str, Job], scheduler: SchedulerView
+) -> list[user_api.JobSpec]:
+    """One job of each request that is pending in a shard and within its team's limit."""
+    found: dict[_RequestShape, user_api.JobSpec] = {}
+    for status in statuses:
+        for id in status.waiting:
+            job = open_jobs.get(id)
+            if job is not None:
+                spec = job.spec
+                shape = _RequestShape(
+                    resource_request(spec), spec.team, spec.types, spec.zone, spec.spot
+                )
+                found.setdefault(shape, spec)
+    return [spec for spec in found.values() if scheduler.tasks_within_limit(spec)]
+
+
+def tasks_per_machine(
+    spec: user_api.JobSpec,
+    group: MachineGroupKey,
+    types: Mapping[str, cloud_api.MachineType],
+) -> int:
+    """Tasks of a job that fit an empty machine of a group; 0 if the job doesn't allow it."""
+    machine_type = types.get(group.type)
+    if machine_type is None or not allows_machine_type(spec, machine_type, group.zone, group.spot):
+        return 0
+    return count_fitting(resource_request(spec), capacity_of(machine_type))
+
+
+class _Sample(NamedTuple):
+    at: float
+    tasks: int
+
+
+class RecentPeaks:
+    """How many tasks of each shape ran or were startable at once, within a window."""
+
+    def __init__(self, window: float):
+        """`window`: seconds for which a sample counts."""
+        self._window = window
+        self._samples: dict[JobShape, list[_Sample]] = {}
+
+    def sample(self, now: float, open_jobs: Iterable[Job], scheduler: SchedulerView) -> None:
+        """Record the present demand, and drop what is older than the window."""
+        counts: Counter[JobShape] = Counter()
+        for job in open_jobs:
+            spec = job.spec
+            left = spec.tasks - job.finished.count
+            startable = 1 + scheduler.tasks_within_limit(spec) + scheduler.running_tasks(job.id)
+            counts[JobShape.of(spec)] += min(left, startable)
+        for shape, tasks in counts.items():
+            self._samples.setdefault(shape, []).append(_Sample(now, tasks))
+        for shape in list(self._samples):
+            recent = [s for s in self._samples[shape] if now - s.at < self._window]
+            self._samples[shape] = recent
+            if not recent:
+                del self._samples[shape]
+
+    def peak(self, shape: JobShape) -> int:
+        """The largest sample; 1 for a shape without samples."""
+        return max((sample.tasks for sample in self._samples.get(shape, ())), default=1)
--- /dev/null
+++ b/pitchtally/autoscaling/inventory.py
@@ -0,0 +1,59 @@
+"""The machines that the cloud lists."""
+
+from __future__ import annotations
+
+import math
+
+import trio
+
+from ..protocol import cloud_api
+from .cloud_client import CloudClient
+
+# Times the list's lag for which a machine must be missing before it counts as gone.
+ABSENCE_LAGS = 2
+
+
+class MachineInventory:
+    """The machine list as read so far, with machines that only recent reads lack."""
+
+    def __init__(self, cloud: CloudClient, list_interval: float, list_lag: float):
+        """`list_interval`, `list_lag`: seconds between reads, and a list may be behind."""
+        self._cloud = cloud
+        self._list_interval = list_interval
+        self._list_lag = list_lag
+        self.machines: dict[str, cloud_api.ListedMachine] = {}
+        self._absent_since: dict[str, float] = {}
+        self._has_read = False
+        self._read_at = -math.inf
+
+    def reset(self) -> None:
+        """Start over: the next refresh reads the list."""
+        self._has_read = False
+        self.machines.clear()
+
+    async def refresh(self) -> None:
+        """Read the list if it is due; raises `CloudUnavailable`."""
+        now = trio.current_time()
+        if self._has_read and now - self._read_at < self._list_interval:
+            return
+        found = await self._cloud.machines()
+        self._read_at = now
+        self._has_read = True
+        for name in self.machines:
+            if name not in found:
+                self._absent_since.setdefault(name, now)
+        for name, machine in found.items():
+            self._absent_since.pop(name, None)
+            self.machines[name] = machine
+        self._drop_absent(now)
+
+    def remove(self, name: str) -> None:
+        """A machine is terminated."""
+        self.machines.pop(name, None)
+
+    def _drop_absent(self, now: float) -> None:
+        # A list can be older than the one before: only long absence counts.
+        for name, since in list(self._absent_since.items()):
+            if now - since > self._list_lag * ABSENCE_LAGS:
+                self.machines.pop(name, None)
+                del self._absent_since[name]
--- /dev/null
+++ b/pitchtally/autoscaling/machine_health.py
@@ -0,0 +1,197 @@
+"""Machines that must be terminated: failed, never up, unreachable, preempted, quarantined."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+
+import trio
+
+from ..agents.machines import MachineGroupKey
+from ..membership.membership import shard_of
+from ..membership.messages import MachineFlag, MachineStatus
+from ..protocol import cloud_api
+from .config import AutoscalerConfig
+from .inventory import MachineInventory
+from .scale_out import BootingMachine
+from .scheduler_view import SchedulerView
+from .terminations import TerminationCause, Terminations
+
+# Flags of machines that can't be reached, or don't receive what they are told.
+UNREACHABLE_FLAGS = frozenset({MachineFlag.LOST, MachineFlag.UNHEARD, MachineFlag.UNRESPONSIVE})
+# Seconds that a machine boots whose type isn't known.
+DEFAULT_BOOT_S = 30.0
+# Times its usual boot that a machine may take.
+MAX_BOOTS = 4
+# Heartbeat timeouts for which a machine may be listed as running without any heartbeat.
+NEVER_HEARD_TIMEOUTS = 2
+
+
+@dataclass(slots=True)
+class _Timeout:
+    since: float
+    confirmed_at: float
+
+
+class HeartbeatTimeouts:
+    """For how long machines have been unreachable, measured on every node.
+
+    A new cluster leader would otherwise start over, and with it the shard that waits for a dead
+    machine, though all nodes have seen it unreachable for long.
+    """
+
+    def __init__(
+        self,
+        config: AutoscalerConfig,
+        scheduler: SchedulerView,
+        resumed_at: Callable[[], float],
+    ):
+        """`resumed_at`: when this process last continued after a pause."""
+        self._config = config
+        self._scheduler = scheduler
+        self._resumed_at = resumed_at
+        self._timeouts: dict[str, _Timeout] = {}
+        self._observed_at = -math.inf
+
+    def unreachable_for(self, name: str, now: float) -> float | None:
+        """Seconds for which a machine has been unreachable, None if it isn't."""
+        timeout = self._timeouts.get(name)
+        return None if timeout is None else now - timeout.since
+
+    async def run(self) -> None:
+        """Observe again and again."""
+        while True:
+            await trio.sleep(self._config.heartbeat_interval)
+            self._observe()
+
+    def _observe(self) -> None:
+        now = trio.current_time()
+        if self._resumed_at() > self._observed_at:
+            self._timeouts.clear()  # this process was paused and received nothing
+        self._observed_at = now
+        for name, status in self._scheduler.machine_statuses().items():
+            if status.flag not in UNREACHABLE_FLAGS:
+                self._timeouts.pop(name, None)
+            elif self._is_fresh(name, now):
+                self._timeouts.setdefault(name, _Timeout(now, now)).confirmed_at = now
+        # What nobody has confirmed for long may have ended unseen.
+        max_age = self._config.agent_lease / 2
+        for name in [n for n, t in self._timeouts.items() if now - t.confirmed_at > max_age]:
+            del self._timeouts[name]
+
+    def _is_fresh(self, machine: str, now: float) -> bool:
+        """Whether this node leads the machine's shard, or has heard its leader of late."""
+        shard = shard_of(machine, self._config.shard_count)
+        if self._scheduler.leads_shard(shard):
+            return True
+        received_at = self._scheduler.status_received_at(shard)
+        return received_at is not None and now - received_at < self._config.session_ttl
+
+
+class MachineHealth:
+    """Finds machines to terminate; run by the cluster leader."""
+
+    def __init__(
+        self,
+        config: AutoscalerConfig,
+        scheduler: SchedulerView,
+        machine_types: Callable[[], Mapping[str, cloud_api.MachineType]],
+        inventory: MachineInventory,
+        booting: dict[str, BootingMachine],
+        timeouts: HeartbeatTimeouts,
+        terminations: Terminations,
+    ):
+        """One argument for each view of the machines that is compared, hence eight.
+
+        `booting`: shared with scale out; machines that came up, or never will, are removed.
+        """
+        self._config = config
+        self._scheduler = scheduler
+        self._machine_types = machine_types
+        self._inventory = inventory
+        self._booting = booting
+        self._timeouts = timeouts
+        self._terminations = terminations
+        self._unheard_since: dict[str, float] = {}  # listed as up, reported by no shard leader
+
+    def reset(self) -> None:
+        """Forget what an earlier leadership observed."""
+        self._unheard_since.clear()
+
+    def check(self, statuses: Mapping[str, MachineStatus], now: float) -> None:
+        """Request the termination of each machine that has to go."""
+        self._check_booting(statuses, now)
+        for name, machine in list(self._inventory.machines.items()):
+            if not self._terminations.is_terminated(name):
+                self._check_listed(name, machine, statuses, now)
+        for name, status in statuses.items():
+            if not self._terminations.is_terminated(name):
+                self._check_reported(name, status, now)
+
+    def _check_booting(self, statuses: Mapping[str, MachineStatus], now: float) -> None:
+        for name, machine in list(self._booting.items()):
+            if name in statuses:
+                del self._booting[name]
+            elif now - machine.since > self._boot_timeout(machine.group.type):
+                del self._booting[name]
+                self._terminations.request(name, TerminationCause.BOOT_TIMEOUT)
+
+    def _check_listed(
+        self,
+        name: str,
+        machine: cloud_api.ListedMachine,
+        statuses: Mapping[str, MachineStatus],
+        now: float,
+    ) -> None:
+        if machine.state == cloud_api.FAILED:
+            self._terminations.request(name, TerminationCause.FAILED)
+        elif machine.state == cloud_api.BOOTING and name not in statuses:
+            if machine.age > self._boot_timeout(machine.type):
+                self._terminations.request(name, TerminationCause.BOOT_TIMEOUT)
+            elif name not in self._booting:
+                group = MachineGroupKey(machine.type, machine.zone, machine.spot)
+                self._booting[name] = BootingMachine(group, now - machine.age)
+        elif name in statuses or not self._is_shard_reconciled(name):
+            # Right after a failover a shard leader has yet to hear from its machines.
+            self._unheard_since.pop(name, None)
+        elif machine.age > self._boot_seconds(machine.type) * MAX_BOOTS:
+            since = self._unheard_since.setdefault(name, now)
+            if now - since > self._config.heartbeat_timeout * NEVER_HEARD_TIMEOUTS:
+                self._terminations.request(name, TerminationCause.NO_HEARTBEAT)
+
+    def _check_reported(self, name: str, status: MachineStatus, now: float) -> None:
+        if status.flag in UNREACHABLE_FLAGS:
+            unreachable_for = self._timeouts.unreachable_for(name, now)
+            if unreachable_for is not None and unreachable_for > self._max_unreachable(status):
+                self._terminations.request(name, TerminationCause.HEARTBEAT_TIMEOUT)
+        if status.flag == MachineFlag.NOTICE and status.tasks == 0:
+            self._terminations.request(name, TerminationCause.PREEMPTED)
+        if status.flag == MachineFlag.UNHEALTHY and status.tasks == 0:
+            self._terminations.request(name, TerminationCause.QUARANTINED)
+
+    def _max_unreachable(self, status: MachineStatus) -> float:
+        """Seconds after which an unreachable machine is terminated.
+
+        Suspect: a failover waits for it. Unresponsive: its heartbeats arrive, but its lease
+        expires all the same. Lost: its lease has expired, its tasks start elsewhere, and other
+        machines are launched in its place. It may only hang, or its zone be partitioned; if it
+        has died the list says so soon. Terminated at once, dozens of machines that were about
+        to continue would have to boot again.
+        """
+        timeout = self._config.heartbeat_timeout
+        return timeout if status.flag == MachineFlag.LOST else timeout / 2
+
+    def _is_shard_reconciled(self, machine: str) -> bool:
+        """Whether the leader of the machine's shard knows all its machines by now."""
+        shard = shard_of(machine, self._config.shard_count)
+        status = self._scheduler.shard_statuses().get(shard)
+        return status is not None and status.reconciled
+
+    def _boot_timeout(self, machine_type: str) -> float:
+        """Seconds after which a machine that is still not up never will be."""
+        return self._boot_seconds(machine_type) * MAX_BOOTS + self._config.list_lag
+
+    def _boot_seconds(self, machine_type: str) -> float:
+        known = self._machine_types().get(machine_type)
+        return known.boot if known else DEFAULT_BOOT_S
--- a/pitchtally/autoscaling/scale_out.py
+++ b/pitchtally/autoscaling/scale_out.py
@@ -1,206 +1,208 @@
-"""Hires: which machines waiting work calls for, and the requests that rent them.
+"""Scale out: launches of machines for pending tasks.
 
-Names of hires come from the leader's token and a counter, so that no node ever uses one
-twice; a hire without an answer is repeated under its name.
+Launch requests are named after the cluster leader's fencing token and a counter, so that no two
+nodes ever use one name; a request without an answer is repeated under its name.
 """
 
 from __future__ import annotations
 
 import logging
-from collections.abc import Iterable
+from collections.abc import Callable, Collection, Iterable, Mapping
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
+from typing import NamedTuple
 
-import msgspec
 import trio
 
 from ..agents.machines import MachineGroupKey
-from ..jobs.resources import capacity_of, count_fitting, resource_request
+from ..jobs.index import Job
+from ..jobs.resources import count_fitting, resource_request
 from ..membership.messages import MachineFlag, MachineStatus
 from ..protocol import cloud_api, user_api
-from ..scheduling.capacity import allows_machine_type
-from .cloud_client import InsufficientCapacity
+from .cloud_client import CloudClient, InsufficientCapacity
+from .demand import PendingDemand, pending_demands, tasks_per_machine
+from .scheduler_view import SchedulerView
 
-if TYPE_CHECKING:
-    from .autoscaler import Autoscaler
+log = logging.getLogger("scale_out")
 
-log = logging.getLogger("hiring")
+LAUNCHES_PER_ROUND = 6
+# Seconds for which a group is left alone that had no machine, or not as many as asked for.
+FIRST_BACKOFF_S, MAX_BACKOFF_S, PARTIAL_BACKOFF_S = 5.0, 60.0, 20.0
 
-encode = msgspec.json.encode
 
-HIRE_MOST = 50  # the protocol's most machines in one hire
-HIRES_AT_ONCE = 6  # requests in one turn of the leader's loop
-# Seconds for which a group that had no machine, or not all of them, is left alone.
-FIRST_PAUSE, LONGEST_PAUSE, SHORT_PAUSE = 5.0, 60.0, 20.0
+@dataclass(frozen=True, slots=True)
+class BootingMachine:
+    """A machine that was launched and has sent no heartbeat yet."""
 
+    group: MachineGroupKey
+    since: float  # steady clock, seconds
 
-@dataclass(slots=True)
-class Booting:
-    """A machine that was rented and has not been heard yet."""
 
-    group: MachineGroupKey
-    since: float
+class _Backoff(NamedTuple):
+    """A group that the cloud refused."""
+
+    until: float
+    seconds: float
 
 
-@dataclass(slots=True)
-class Demand:
-    """Waiting tasks of one shape, all shards together."""
+class _LaunchOption(NamedTuple):
+    """Machines of a group for one job, the best option first in order."""
 
-    spec: user_api.JobSpec
-    seconds: float = 0.0  # task-seconds
-    tasks: int = 0
+    price_per_task: float
+    boot: float
+    group: MachineGroupKey
+    tasks_per_machine: int
 
 
-class ScaleOut:
-    """The leader's requests for machines."""
+@dataclass(frozen=True, slots=True)
+class MissingMachines:
+    """Machines to launch."""
+
+    group: MachineGroupKey
+    count: int
 
-    def __init__(self, autoscaler: Autoscaler) -> None:
-        self.autoscaler = autoscaler
-        self.scheduler = autoscaler.scheduler
-        self.refused: dict[MachineGroupKey, tuple[float, float]] = {}  # group -> (until, pause)
-        self.pending: cloud_api.LaunchRequest | None = None  # a hire without an answer
-        self.counter = 0
 
-    async def hire(self, token: int) -> None:
-        """Rent what waiting work calls for, as long as this node surely leads."""
+class ScaleOut:
+    """Launches what pending tasks need, the cheapest machines for a task first."""
+
+    def __init__(
+        self,
+        cloud: CloudClient,
+        machine_types: Callable[[], Mapping[str, cloud_api.MachineType]],
+        open_jobs: Mapping[str, Job],
+        scheduler: SchedulerView,
+        booting: dict[str, BootingMachine],
+        patience: float,
+    ):
+        """`booting`: shared with the health checks; launched machines are added.
+
+        `patience`: the share of a job's slack within which present machines must finish its
+        queue, else more are launched.
+        """
+        self._cloud = cloud
+        self._machine_types = machine_types
+        self._open_jobs = open_jobs
+        self._scheduler = scheduler
+        self._booting = booting
+        self._patience = patience
+        self._backoffs: dict[MachineGroupKey, _Backoff] = {}
+        self._unanswered: cloud_api.LaunchRequest | None = None
+        self._counter = 0
+
+    def reset(self) -> None:
+        """Drop the request of an earlier leadership."""
+        self._unanswered = None
+
+    async def run_round(self, token: int, is_verified: Callable[[], bool]) -> None:
+        """Launch what is missing, while leadership is verified; raises `CloudUnavailable`."""
         now = trio.current_time()
-        for _ in range(HIRES_AT_ONCE):
-            if self.autoscaler.membership.verified_cluster_leader() != token:
+        for _ in range(LAUNCHES_PER_ROUND):
+            if not is_verified():
                 return
-            if self.pending is None:
-                found = self._next(now)
-                if found is None:
+            if self._unanswered is None:
+                missing = self._next_launch(now)
+                if missing is None:
                     return
-                group, count = found
-                self.counter += 1
-                self.pending = cloud_api.LaunchRequest(
-                    f"h-{token}-{self.counter}", group.type, group.zone, group.spot, count
+                self._counter += 1
+                self._unanswered = cloud_api.LaunchRequest(
+                    f"h-{token}-{self._counter}", *missing.group, missing.count
                 )
-            await self._send(self.pending, now)
+            await self._launch(self._unanswered, now)
 
-    async def _send(self, hire: cloud_api.LaunchRequest, now: float) -> None:
-        group = MachineGroupKey(hire.type, hire.zone, hire.spot)
+    async def _launch(self, request: cloud_api.LaunchRequest, now: float) -> None:
+        group = MachineGroupKey(request.type, request.zone, request.spot)
         try:
-            body = await self.autoscaler.cloud.call("POST", "/machines", encode(hire))
+            names = await self._cloud.launch(request)
         except InsufficientCapacity:
-            self.pending = None
-            pause = min(self.refused.get(group, (0.0, FIRST_PAUSE))[1] * 2, LONGEST_PAUSE)
-            self.refused[group] = (now + pause, pause)
-            log.info("hire refused type=%s zone=%s spot=%s", *group)
+            self._unanswered = None
+            before = self._backoffs.get(group)
+            seconds = min((before.seconds if before else FIRST_BACKOFF_S) * 2, MAX_BACKOFF_S)
+            self._backoffs[group] = _Backoff(now + seconds, seconds)
+            log.info("launch refused type=%s zone=%s spot=%s", *group)
             return
-        names = msgspec.json.decode(body, type=cloud_api.MachineNames).machines
-        self.pending = None
-        if len(names) < hire.count:
-            self.refused[group] = (now + SHORT_PAUSE, SHORT_PAUSE)
+        self._unanswered = None
+        if len(names) < request.count:
+            self._backoffs[group] = _Backoff(now + PARTIAL_BACKOFF_S, PARTIAL_BACKOFF_S)
         else:
-            self.refused.pop(group, None)
-        log.info("hired type=%s zone=%s spot=%s count=%d", *group, len(names))
+            self._backoffs.pop(group, None)
+        log.info("launched type=%s zone=%s spot=%s count=%d", *group, len(names))
         for name in names:
-            self.autoscaler.booting[name] = Booting(group, now)
+            self._booting[name] = BootingMachine(group, now)
+
+    def _next_launch(self, now: float) -> MissingMachines | None:
+        """The next launch that pending tasks call for, cheapest per task first."""
+        groups = [g for g in self._groups() if self._is_available(g, now)]
+        if not groups:
+            return None
+        machines = self._scheduler.machine_statuses().values()
+        shards = self._scheduler.shard_statuses().values()
+        for demand in pending_demands(shards, self._open_jobs, self._scheduler):
+            cheapest = self._cheapest(demand.spec, groups)
+            if cheapest is None:
+                continue
+            missing = self._missing_tasks(demand, machines)
+            if missing > 0:
+                count = int(missing / cheapest.tasks_per_machine + 0.999)
+                return MissingMachines(cheapest.group, max(1, min(count, cloud_api.MAX_LAUNCH)))
+        return None
 
     def _groups(self) -> Iterable[MachineGroupKey]:
-        for machine_type in self.autoscaler.types.values():
+        for machine_type in self._machine_types().values():
             for zone in machine_type.zones:
                 yield MachineGroupKey(machine_type.name, zone, False)
                 if machine_type.spot_price is not None:
                     yield MachineGroupKey(machine_type.name, zone, True)
 
-    def _next(self, now: float) -> tuple[MachineGroupKey, int] | None:
-        """The next hire that waiting work calls for, cheapest per task first."""
-        open_groups = [g for g in self._groups() if self.refused.get(g, (0.0, 0.0))[0] <= now]
-        if not open_groups:
-            return None
-        statuses = self.autoscaler.statuses()
-        for demand in self._demands():
-            cheapest = self._cheapest(demand.spec, open_groups)
-            if cheapest is None:
-                continue
-            group, fit = cheapest
-            short = self._short(demand, statuses)
-            if short > 0:
-                return group, max(1, min(int(short / fit + 0.999), HIRE_MOST))
-        return None
-
-    def _demands(self) -> Iterable[Demand]:
-        """What waits, assigned to a shard or not yet, by shape."""
-        waiting: dict[str, int] = {}
-        for shard in self.scheduler.statuses.newest.values():
-            for id, count in shard.waiting.items():
-                waiting[id] = waiting.get(id, 0) + count
-        for job in self.autoscaler.job_index.open.values():
-            unassigned = job.record.tasks - sum(r.tasks for r in job.record.ranges)
-            if unassigned > 0:
-                waiting[job.id] = waiting.get(job.id, 0) + unassigned
-        shapes: dict[tuple[object, ...], Demand] = {}
-        for id, count in waiting.items():
-            found = self.autoscaler.job_index.open.get(id)
-            if found is None:
-                continue
-            spec = found.spec
-            shape = (spec.job_class, spec.types, spec.zone, spec.spot)
-            demand = shapes.get(shape) or Demand(spec)
-            demand.spec = spec
-            demand.seconds += count * self.scheduler.estimates.task(spec)
-            demand.tasks += count
-            shapes[shape] = demand
-        return shapes.values()
+    def _is_available(self, group: MachineGroupKey, now: float) -> bool:
+        backoff = self._backoffs.get(group)
+        return backoff is None or backoff.until <= now
 
     def _cheapest(
-        self, spec: user_api.JobSpec, groups: list[MachineGroupKey]
-    ) -> tuple[MachineGroupKey, int] | None:
-        """The group whose machines cost least per task, and how many tasks one holds."""
+        self, spec: user_api.JobSpec, groups: Iterable[MachineGroupKey]
+    ) -> _LaunchOption | None:
+        """The group whose machines cost least per task."""
+        types = self._machine_types()
         options = []
         for group in groups:
-            machine_type = self.autoscaler.types[group.type]
-            if not allows_machine_type(spec, machine_type, group.zone, group.spot):
-                continue
-            fit = count_fitting(resource_request(spec), capacity_of(machine_type))
-            price = (
-                machine_type.spot_price if group.spot else machine_type.price
-            ) or machine_type.price
-            options.append((price / fit, machine_type.boot, group, fit))
-        if not options:
-            return None
-        _, _, group, fit = min(options)
-        return group, fit
-
-    def _short(self, demand: Demand, statuses: dict[str, MachineStatus]) -> float:
-        """Tasks' worth of machines that are missing for the demand to be met in time."""
+            fitting = tasks_per_machine(spec, group, types)
+            if fitting:
+                machine_type = types[group.type]
+                price = price_of(machine_type, spot=group.spot)
+                options.append(_LaunchOption(price / fitting, machine_type.boot, group, fitting))
+        return min(options, default=None)
+
+    def _missing_tasks(self, demand: PendingDemand, machines: Collection[MachineStatus]) -> float:
+        """How many tasks lack a machine if the demand is to be met in time."""
         spec = demand.spec
+        types = self._machine_types()
         resources = resource_request(spec)
-        slots = free = 0
-        for status in statuses.values():
-            slots_here = self._slots(spec, MachineGroupKey(status.type, status.zone, status.spot))
-            if status.flag in (MachineFlag.USABLE, MachineFlag.NEW):
+        slots = free = yielding = 0
+        for machine in machines:
+            group = MachineGroupKey(machine.type, machine.zone, machine.spot)
+            slots_here = tasks_per_machine(spec, group, types)
+            if machine.flag in (MachineFlag.USABLE, MachineFlag.NEW):
                 slots += slots_here
-            if status.flag == MachineFlag.USABLE and slots_here:
-                free += count_fitting(resources, status.free)
-        coming = sum(
-            self._slots(spec, booting.group) for booting in self.autoscaler.booting.values()
+            if machine.flag == MachineFlag.USABLE and slots_here:
+                free += count_fitting(resources, machine.free)
+                if spec.is_service:
+                    yielding += count_fitting(resources, machine.yielding)
+        booting = sum(
+            tasks_per_machine(spec, machine.group, types) for machine in self._booting.values()
         )
-        slots += coming
-        allowed = self.scheduler.quotas.limit_left(spec) - free - coming
+        slots += booting
+        allowed = self._scheduler.tasks_within_limit(spec) - free - booting
         if spec.is_service:
-            # It never makes room for what waits behind it: only free machines help.
-            yielding = sum(
-                count_fitting(resources, status.yielding)
-                for status in statuses.values()
-                if status.flag == MachineFlag.USABLE
-                and self._slots(spec, MachineGroupKey(status.type, status.zone, status.spot))
-            )
-            return min(demand.tasks - free - yielding - coming, allowed)
-        # Work that the present machines finish before a new one is up needs none.
-        patience = self.autoscaler.policy.hire_patience * self.scheduler.priorities.slack(spec)
+            # A service never frees its machines for what is queued behind it.
+            return min(demand.tasks - free - yielding - booting, allowed)
+        # Tasks that the present machines finish before a new one has booted need none.
+        patience = self._patience * self._scheduler.slack(spec)
         if slots and demand.seconds / slots <= patience:
             return 0.0
-        # More machines than the team's limit can fill would only cost.
+        # More machines than the team's limit can use would only cost.
         return min(demand.seconds / patience - slots, demand.tasks, allowed)
 
-    def _slots(self, spec: user_api.JobSpec, group: MachineGroupKey) -> int:
-        """Tasks of the job that an empty machine of the group holds, if the job allows it."""
-        machine_type = self.autoscaler.types.get(group.type)
-        if machine_type is None or not allows_machine_type(
-            spec, machine_type, group.zone, group.spot
-        ):
-            return 0
-        return count_fitting(resource_request(spec), capacity_of(machine_type))
+
+def price_of(machine_type: cloud_api.MachineType, *, spot: bool) -> float:
+    """The price of a machine; on demand if there is no spot price."""
+    if spot:
+        return machine_type.spot_price or machine_type.price
+    return machine_type.price
--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -7,16 +7,14 @@
 import trio
 
 from .agents.manager import AgentManager
-from .api.admission_queue import AdmissionControl, AdmissionQueue
-from .api.cancellation import Cancellations, CancellationWriter
-from .api.job_creation import JobCreator, SubmissionPlanner
-from .api.reachability import Reachability
-from .api.read_barrier import ReadBarrier
-from .api.routes import HEARTBEATS, Api
-from .api.status import JobStatuses
-from .api.submission import Submissions
-from .api.submission_batcher import CONCURRENT_COMMITS, SubmissionBatcher
+from .api.router import HEARTBEATS
+from .api.service import Api, ApiListeners, ApiSchedulerView
+from .api.submission_batcher import CONCURRENT_COMMITS
 from .autoscaling.autoscaler import Autoscaler
+from .autoscaling.catalog import CatalogStore, MachineCatalog
+from .autoscaling.cloud_client import CloudClient
+from .autoscaling.config import AutoscalerConfig
+from .autoscaling.scheduler_view import SchedulerView
 from .config.policy import Policy
 from .config.settings import Settings, host_port
 from .formats.gate import FormatGate
@@ -41,8 +39,6 @@
 # Of the sockets that a controller may hold: for calls of our own, and for peers.
 OUTWARD = 0.12
 PEERS = 0.05
-# Users wait 2 s for a poll: an answer later than that helps nobody.
-MAX_READ_BARRIER_S = 1.5
 
 
 class Controller:
@@ -83,75 +79,62 @@
             self.migration,
             lambda: self.autoscaler.types,
         )
-        self.autoscaler = Autoscaler(
-            settings,
-            policy,
-            self.membership,
-            self.job_index,
-            self.agents,
-            self.scheduler,
-            self.state_store,
-            self.replica,
-        )
-        self.read_barrier = ReadBarrier(
-            self.state_store, self.replica, min(MAX_READ_BARRIER_S, policy.call_timeout * 1.5)
-        )
-        self.submission_batcher = SubmissionBatcher(self.state_store, self.replica)
-        self.admission_queue = AdmissionQueue(self.job_index.jobs.__contains__)
-        self.progress.submissions_wait = lambda: self.admission_queue.occupied
+        self.autoscaler = self._build_autoscaler()
         self.loops = Loops()
         self.decisions = DecisionLog(
-            self._evidence, self._counters, lambda: self.read_barrier.last_read
+            self._evidence, self._counters, lambda: self.api.read_barrier.last_read
         )
         self._nursery: trio.Nursery | None = None  # while this controller runs
         self.api = self._build_api()
+        self.progress.submissions_wait = lambda: self.api.admission_queue.occupied
         self._connect()
 
-    def _build_api(self) -> Api:
-        on_decision = self.decisions.on_decision
-        reachability = Reachability(self.state_store, self.membership, self.policy.session_ttl)
-        statuses = JobStatuses(
-            self.job_index.jobs,
-            self.replica,
-            self.read_barrier,
-            reachability,
-            self.scheduler.statuses.running,
-            on_decision,
-        )
-        admission = AdmissionControl(
-            self.admission_queue,
-            self.state_store,
-            self.submission_batcher,
-            lambda: len(self.membership.alive),
-            self.policy.admit_wait,
+    def _build_autoscaler(self) -> Autoscaler:
+        cloud = CloudClient(self.settings, self.policy)
+        catalog = MachineCatalog(
+            CatalogStore(self.state_store, self.replica, self.gate),
+            cloud,
+            self.agents.machines,
+            lambda: self.membership.cluster_leader_token is not None,
+            self.policy.list_every,
         )
-        creator = JobCreator(
-            SubmissionPlanner(self.scheduler.decide, self.membership.request_schedule),
-            self.layout,
-            self.submission_batcher,
-            self.membership.token,
-            self.policy.admit_wait,
+        scheduler = self.scheduler
+        view = SchedulerView(
+            shard_statuses=lambda: scheduler.statuses.newest,
+            status_received_at=scheduler.statuses.received_at.get,
+            leads_shard=lambda shard: shard in scheduler.shards.work,
+            running_tasks=scheduler.statuses.running,
+            tasks_within_limit=scheduler.quotas.limit_left,
+            slack=scheduler.priorities.slack,
+            task_seconds=scheduler.estimates.task,
+            recent_specs=lambda: scheduler.shards.recent.values(),
         )
-        cancellation_writer = CancellationWriter(
-            self.state_store, self.replica, on_decision, self._broadcast_cancellation
+        return Autoscaler(
+            AutoscalerConfig.of(self.settings, self.policy),
+            cloud,
+            catalog,
+            self.membership,
+            self.agents,
+            self.job_index.open,
+            view,
+            self.replica,
         )
+
+    def _build_api(self) -> Api:
         return Api(
-            Submissions(
-                self.settings,
-                lambda: self.autoscaler.types,
-                reachability,
-                statuses,
-                admission,
-                creator,
-            ),
-            statuses,
-            Cancellations(
-                self.job_index.jobs, cancellation_writer, self.read_barrier, reachability, statuses
+            settings=self.settings,
+            policy=self.policy,
+            state_store=self.state_store,
+            replica=self.replica,
+            jobs=self.job_index.jobs,
+            layout=self.layout,
+            peers=self.membership,
+            scheduler=ApiSchedulerView(
+                plan=self.scheduler.decide, running_tasks=self.scheduler.statuses.running
             ),
-            reachability,
-            lambda: self.replica.revision >= 0 and bool(self.autoscaler.types),
-            self.agents.serve,
-            self.membership.forward,
+            machine_types=self.autoscaler.catalog.types,
+            serve_agent=self.agents.serve,
+            listeners=ApiListeners(self.decisions.on_decision, self._broadcast_cancellation),
         )
 
     def _broadcast_cancellation(self, cancellation: Cancellation) -> None:
@@ -171,7 +154,7 @@
             c.job, c.version, c.tasks, c.done
         )
         membership.on_heartbeat = self._take_peer_heartbeat
-        membership.on_forward = self.api.local
+        membership.on_forward = self.api.router.local
         membership.on_schedule_request = self._plan_as_cluster_leader
         membership.add_updates = self._add_updates
         agents.connect(scheduler.shards, scheduler.placer)
@@ -195,7 +178,7 @@
     def _counters(self) -> dict[str, int]:
         """Totals that other components count."""
         faults = {f"fault_{name}": count for name, count in self.loops.faults.items()}
-        return {**self.read_barrier.counts, **self.agents.answered, **faults}
+        return {**self.api.read_barrier.counts, **self.agents.answered, **faults}
 
     def _plan_as_cluster_leader(self, spec: user_api.JobSpec) -> ScheduleReply:
         plan = self.scheduler.decide_as_leader(spec)
@@ -211,7 +194,7 @@
             Cancellation(*row) for row in self.job_index.cancelled_after(seen)
         ]
         heartbeat.shards = self.scheduler.statuses.own()
-        heartbeat.released = self.autoscaler.released_names()
+        heartbeat.released = self.autoscaler.terminated_names()
         heartbeat.drain = self.autoscaler.drain_names()
 
     async def run(self) -> None:
@@ -221,7 +204,7 @@
         # take (`OUTWARD`, by the slices) and peers need is set aside, the rest is theirs.
         connections = self.settings.deployment.machine_limits.max_connections
         users = Server(
-            self.api.serve,
+            self.api.router.serve,
             max_connections=int(connections * (1 - OUTWARD - PEERS)),
             idle=times.lease_s * 3,
             request_time=times.report_s * 2,
@@ -259,7 +242,7 @@
 
     def _own_loops(self) -> list[tuple[str, Loop]]:
         """Every loop but those of the servers and of single peers, by name."""
-        submission_batcher = [("acceptances", self.submission_batcher.run)] * CONCURRENT_COMMITS
+        submission_batcher = [("acceptances", self.api.submission_batcher.run)] * CONCURRENT_COMMITS
         return [
             ("pauses", self.membership.run_pause_detector),
             ("replica", self.replica.run),
@@ -277,8 +260,8 @@
             ("splitting", self.scheduler.run_global_scheduling),
             ("fleet", self.autoscaler.run),
             ("types", self.autoscaler.catalog.run),
-            ("silences", self.autoscaler.run_silences),
-            ("confirmations", self.read_barrier.run),
+            ("silences", self.autoscaler.run_heartbeat_timeouts),
+            ("confirmations", self.api.read_barrier.run),
             ("drain", self._own_drain),
             ("decisions", lambda: self.decisions.run(self.policy.period)),
             *submission_batcher,
@@ -287,7 +270,7 @@
     async def _own_drain(self) -> None:
         while True:
             await trio.sleep(self.policy.heartbeat_interval)
-            self.autoscaler.own_drain()
+            self.autoscaler.apply_own_drains()
 
     async def _serve_peer(self, request: Request) -> Response:
         return await self.membership.serve(request)
--- a/tests/cluster/test_slow_state_store.py
+++ b/tests/cluster/test_slow_state_store.py
@@ -75,7 +75,7 @@
         sim.check()
         # And most questions are answered all the same.
         for controller in sim.controllers.values():
-            counts = controller.read_barrier.counts
+            counts = controller.api.read_barrier.counts
             assert counts["confirmed"] > 0.98 * sum(counts.values())
 
     run(monkeypatch, day, seed)
--- a/tests/membership/test_mismatched_replies.py
+++ b/tests/membership/test_mismatched_replies.py
@@ -231,8 +231,8 @@
 
         answer_calls(monkeypatch, answer)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(controller.read_barrier.run)
-            nursery.start_soon(controller.submission_batcher.run)
+            nursery.start_soon(controller.api.read_barrier.run)
+            nursery.start_soon(controller.api.submission_batcher.run)
             assert (await controller.api.submissions.accept(spec)).status == 503
             assert (await poll()).status == 404  # nothing else is known of it
             controller.replica.learn(f"pt/jobs/{spec.id}", b'{"of":"a later version"}', 11)
