--- /dev/null
+++ b/pitchtally/api/routes.py
@@ -0,0 +1,198 @@
+"""The API of a controller: its components put together, and requests dispatched by path."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+from typing import Protocol
+
+from ..config.policy import Policy
+from ..config.settings import Settings
+from ..formats.job_layout import JobLayout
+from ..http import Handler, Request, Response
+from ..jobs.index import Job
+from ..membership.messages import Cancellation, ScheduleReply
+from ..observability.decision_log import DecisionListener
+from ..protocol import cloud_api, user_api
+from ..scheduling.capacity import Plan
+from ..state_store.client import StateStoreClient
+from ..state_store.replica import Replica
+from .admission_queue import AdmissionControl, AdmissionQueue
+from .cancellation import Cancellations, CancellationWriter
+from .job_creation import JobCreator, SubmissionPlanner
+from .reachability import PeerReachability, Reachability
+from .read_barrier import ReadBarrier
+from .responses import error_response
+from .status import JobStatuses
+from .submission import Submissions
+from .submission_batcher import SubmissionBatcher
+
+HEARTBEATS = "/v1/report"
+READY = "/ready"
+JOBS = "/api/jobs"
+CANCEL = "/cancel"
+
+# Users wait 2 s for a poll: an answer later than that helps nobody.
+MAX_BARRIER_WAIT_S = 1.5
+# Calls to the state store that a request may wait for at the read barrier.
+BARRIER_WAIT_CALLS = 1.5
+
+
+class Peers(PeerReachability, Protocol):
+    """What the API asks of the other controllers, and of this one's leadership."""
+
+    @property
+    def alive(self) -> Mapping[str, object]:
+        """Nodes whose session lease is valid, by name."""
+
+    def token(self, shard: int) -> int | None:
+        """This node's fencing token of a shard, None if another node leads it."""
+
+    async def forward(self, request: Request) -> Response | None:
+        """Have a peer answer a user's request; None if no peer did."""
+
+    async def request_schedule(self, spec: user_api.JobSpec) -> ScheduleReply | None:
+        """Ask the cluster leader where a job goes; None if it doesn't reply at once."""
+
+
+@dataclass(frozen=True, slots=True)
+class ApiSchedulerView:
+    """What the API asks of the scheduler."""
+
+    plan: Callable[[user_api.JobSpec], Plan]  # a new job's shards, as far as known here
+    running_tasks: Callable[[str], int]  # of a job, on machines known here
+
+
+@dataclass(frozen=True, slots=True)
+class ApiListeners:
+    """Who is told of what the API does."""
+
+    on_decision: DecisionListener
+    on_cancelled: Callable[[Cancellation], None]  # starts a broadcast without waiting for it
+
+
+class Api:
+    """The API of one controller; the controller runs the loops of its components.
+
+    `serve` answers all requests of the public address, `local` those of users alone.
+    """
+
+    def __init__(
+        self,
+        *,
+        settings: Settings,
+        policy: Policy,
+        state_store: StateStoreClient,
+        replica: Replica,
+        jobs: Mapping[str, Job],
+        layout: JobLayout,
+        peers: Peers,
+        scheduler: ApiSchedulerView,
+        machine_types: Callable[[], Mapping[str, cloud_api.MachineType]],
+        serve_agent: Handler,
+        listeners: ApiListeners,
+    ):
+        """Twelve parameters: all that the package takes from others.
+
+        It only hands them on, each to the components that use it, hence its length too.
+        """
+        self._replica = replica
+        self._peers = peers
+        self._machine_types = machine_types
+        self._serve_agent = serve_agent
+        self._reachability = reachability = Reachability(state_store, peers, policy.session_ttl)
+        self.read_barrier = ReadBarrier(
+            state_store, replica, min(MAX_BARRIER_WAIT_S, policy.call_timeout * BARRIER_WAIT_CALLS)
+        )
+        self.submission_batcher = SubmissionBatcher(state_store, replica)
+        self.admission_queue = AdmissionQueue(jobs.__contains__)
+        self.statuses = JobStatuses(
+            jobs,
+            replica,
+            self.read_barrier,
+            reachability,
+            scheduler.running_tasks,
+            listeners.on_decision,
+        )
+        admission = AdmissionControl(
+            self.admission_queue,
+            state_store,
+            self.submission_batcher,
+            lambda: len(peers.alive),
+            policy.admit_wait,
+        )
+        creator = JobCreator(
+            SubmissionPlanner(scheduler.plan, peers.request_schedule),
+            layout,
+            self.submission_batcher,
+            peers.token,
+            policy.admit_wait,
+        )
+        self.submissions = Submissions(
+            settings, machine_types, reachability, self.statuses, admission, creator
+        )
+        writer = CancellationWriter(
+            state_store, replica, listeners.on_decision, listeners.on_cancelled
+        )
+        self.cancellations = Cancellations(
+            jobs, writer, self.read_barrier, reachability, self.statuses
+        )
+
+    async def serve(self, request: Request) -> Response:
+        """Route a request that came over the public address."""
+        path = request.path
+        if path == HEARTBEATS:
+            if request.method != "POST":
+                return _method_not_allowed("POST")
+            return await self._serve_agent(request)
+        if path == READY:
+            return Response(200 if self._is_ready() else 503, b"{}")
+        if (
+            path.startswith(JOBS)
+            and self._reachability.store_lost_here_only()
+            and not self._is_final(path)
+        ):
+            response = await self._peers.forward(request)
+            if response is not None:
+                return response
+        return await self.local(request)
+
+    async def local(self, request: Request) -> Response:
+        """Answer a user's request on this node, also one that a peer forwarded."""
+        path = request.path
+        if path == JOBS:
+            if request.method != "POST":
+                return _method_not_allowed("POST")
+            return await self.submissions.submit(request.body)
+        if not path.startswith(JOBS + "/"):
+            return error_response(404, "path", "unknown")
+        name = path.removeprefix(JOBS + "/")
+        if name.endswith(CANCEL):
+            if request.method != "POST":
+                return _method_not_allowed("POST")
+            return await self.cancellations.cancel(name.removesuffix(CANCEL))
+        if request.method != "GET":
+            return _method_not_allowed("GET")
+        return await self.statuses.poll(name)
+
+    def _is_ready(self) -> bool:
+        """Whether the load balancer should send users to this node.
+
+        If all nodes have lost the state store, final states, agent heartbeats and refusals still
+        work here. A node that alone lost it leaves users to those that can do more.
+        """
+        return (
+            self._replica.revision >= 0
+            and bool(self._machine_types())
+            and not self._reachability.store_lost_here_only()
+            and not self._reachability.is_isolated()
+        )
+
+    def _is_final(self, path: str) -> bool:
+        """Whether the job that a path names is over, which the replica shows for certain."""
+        job = self.statuses.cached(path.removeprefix(JOBS + "/").removesuffix(CANCEL))
+        return job is not None and not job.open
+
+
+def _method_not_allowed(allowed: str) -> Response:
+    return error_response(405, "method", f"use {allowed}")
--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -7,8 +7,7 @@
 import trio
 
 from .agents.manager import AgentManager
-from .api.router import HEARTBEATS
-from .api.service import Api, ApiListeners, ApiSchedulerView
+from .api.routes import HEARTBEATS, Api, ApiListeners, ApiSchedulerView
 from .api.submission_batcher import CONCURRENT_COMMITS
 from .autoscaling.autoscaler import Autoscaler
 from .autoscaling.catalog import CatalogStore, MachineCatalog
@@ -154,7 +153,7 @@
             c.job, c.version, c.tasks, c.done
         )
         membership.on_heartbeat = self._take_peer_heartbeat
-        membership.on_forward = self.api.router.local
+        membership.on_forward = self.api.local
         membership.on_schedule_request = self._plan_as_cluster_leader
         membership.add_updates = self._add_updates
         agents.connect(scheduler.shards, scheduler.placer)
@@ -204,7 +203,7 @@
         # take (`OUTWARD`, by the slices) and peers need is set aside, the rest is theirs.
         connections = self.settings.deployment.machine_limits.max_connections
         users = Server(
-            self.api.router.serve,
+            self.api.serve,
             max_connections=int(connections * (1 - OUTWARD - PEERS)),
             idle=times.lease_s * 3,
             request_time=times.report_s * 2,
