--- a/pitchtally/agents/machine_records.py
+++ b/pitchtally/agents/machine_records.py
@@ -13,10 +13,11 @@
 import msgspec
 import trio
 
-from ..formats import legacy, machine_layout
-from ..state_store import keys, rate_limits
+from ..formats import format_1, machine_layout
+from ..state_store import keys
 from ..state_store.client import Write
 from ..state_store.errors import InvalidTransaction, StoreUnavailable
+from ..state_store.rate_limits import Priority
 from .machines import LedShard
 
 if TYPE_CHECKING:
@@ -63,7 +64,7 @@
         place = number // self.agents.count
         if self.gate.open or self._refused:
             return machine_layout.chunk_of(place, self.span)
-        return place // legacy.machines_per_chunk(self.gate.value_kb)
+        return place // format_1.machines_per_chunk(self.gate.value_kb)
 
     def of(self, shard: int) -> dict[str, MachineRow]:
         """Every recorded machine of a shard."""
@@ -128,7 +129,7 @@
         value = encode(rows) if rows or not self.gate.open else None
         try:
             done = await self.agents.job_index.commit(
-                conditions, [Write(key, value)], priority=rate_limits.COMPLETIONS
+                conditions, [Write(key, value)], priority=Priority.COMPLETIONS
             )
         except InvalidTransaction as error:
             # Lower limits came before the gate opened. Earlier versions read any chunk, and
--- a/pitchtally/api/admission_queue.py
+++ b/pitchtally/api/admission_queue.py
@@ -15,8 +15,8 @@
 
 import trio
 
-from ..state_store import rate_limits
 from ..state_store.client import StateStoreClient
+from ..state_store.rate_limits import Priority
 from .submission_batcher import SubmissionBatcher
 
 log = logging.getLogger("admission_queue")
@@ -122,11 +122,11 @@
 
     def _seconds_until_writable(self, id: str) -> float:
         """Seconds until a submission could be written, those before it counted."""
-        writes = self._state_store.writes
+        writes = self._state_store.write_limit
         queued = len(self._batcher.queued)
-        wait = self._state_store.requests.wait_for(rate_limits.ACCEPTANCES)
-        if not writes.wait_for(rate_limits.ACCEPTANCES, queued + writes.burst * SPARE_BURST):
+        wait = self._state_store.request_limit.wait_time(Priority.SUBMISSIONS)
+        if not writes.wait_time(Priority.SUBMISSIONS, queued + writes.burst * SPARE_BURST):
             return wait  # permits would go unused while earlier callers stay away
         # Earlier callers may come back to any node: each node takes its share of them.
         ahead = self.queue.ahead_of(id) / max(1, self._live_nodes())
-        return max(wait, writes.wait_for(rate_limits.ACCEPTANCES, 1 + queued + ahead))
+        return max(wait, writes.wait_time(Priority.SUBMISSIONS, 1 + queued + ahead))
--- a/pitchtally/api/cancellation.py
+++ b/pitchtally/api/cancellation.py
@@ -10,9 +10,10 @@
 from ..jobs.job_record import JobRecord
 from ..membership.messages import Cancellation
 from ..observability.decision_log import Decision, DecisionListener, DecisionReason
-from ..state_store import keys, rate_limits
+from ..state_store import keys
 from ..state_store.client import StateStoreClient, Write
 from ..state_store.errors import CompareFailed, LeaseExpired, StoreUnavailable
+from ..state_store.rate_limits import Priority
 from ..state_store.replica import Replica
 from .reachability import Reachability
 from .read_barrier import BarrierPassed, ReadBarrier
@@ -45,7 +46,7 @@
         final = JobRecord(job_record.CANCELLED, job.record.tasks, count=job.finished.count)
         change = Write(keys.job(job.id), job_record.encode(final))
         revision = await self._state_store.commit(
-            {change.key: job.version}, [change], priority=rate_limits.COMPLETIONS
+            {change.key: job.version}, [change], priority=Priority.COMPLETIONS
         )
         self._replica.apply_own_commit([change], revision)
         self._on_decision(Decision.CANCELLED, job.id, DecisionReason(version=revision))
--- a/pitchtally/api/job_creation.py
+++ b/pitchtally/api/job_creation.py
@@ -9,9 +9,9 @@
 
 import trio
 
-from ..formats.job_layout import JobLayout
 from ..jobs import job_record
 from ..jobs.job_record import JobRecord
+from ..jobs.layout import JobLayout
 from ..membership.messages import ScheduleReply
 from ..protocol import user_api
 from ..scheduling.capacity import Plan
--- a/pitchtally/api/read_barrier.py
+++ b/pitchtally/api/read_barrier.py
@@ -113,7 +113,7 @@
                     await self._wake.wait()
                 self._reads_under_way += 1
                 nursery.start_soon(self._read)
-                await trio.sleep(REQUESTS_PER_READ / self.state_store.requests.rate)
+                await trio.sleep(REQUESTS_PER_READ / self.state_store.request_limit.rate)
 
     async def _read(self) -> None:
         """One read, for every request that waits as it is dispatched."""
--- a/pitchtally/api/routes.py
+++ b/pitchtally/api/routes.py
@@ -8,9 +8,9 @@
 
 from ..config.policy import Policy
 from ..config.settings import Settings
-from ..formats.job_layout import JobLayout
 from ..http import Handler, Request, Response
 from ..jobs.index import Job
+from ..jobs.layout import JobLayout
 from ..membership.messages import Cancellation, ScheduleReply
 from ..observability.decision_log import DecisionListener
 from ..protocol import cloud_api, user_api
--- a/pitchtally/api/submission_batcher.py
+++ b/pitchtally/api/submission_batcher.py
@@ -7,9 +7,9 @@
 
 import trio
 
-from ..state_store import rate_limits
 from ..state_store.client import StateStoreClient, Write
 from ..state_store.errors import CompareFailed, LeaseExpired, StoreUnavailable
+from ..state_store.rate_limits import Priority
 from ..state_store.replica import Replica
 
 # Loops that commit, so that a transaction without an answer doesn't hold up all that follow.
@@ -87,7 +87,7 @@
         most = self.state_store.limits.txn_ops
         for start in range(0, len(changes), most):
             group = changes[start : start + most]
-            revision = await self.state_store.commit({}, group, priority=rate_limits.ACCEPTANCES)
+            revision = await self.state_store.commit({}, group, priority=Priority.SUBMISSIONS)
             self.replica.apply_own_commit(group, revision)
 
     def take_batch(self) -> list[PendingSubmission]:
@@ -98,7 +98,8 @@
         for submission in list(self.queued):
             size += len(submission.change.value or b"") + OVERHEAD_BYTES
             if len(batch) >= self.state_store.limits.txn_ops or (
-                batch and (size > MAX_BATCH_BYTES or len(batch) >= self.state_store.writes.burst)
+                batch
+                and (size > MAX_BATCH_BYTES or len(batch) >= self.state_store.write_limit.burst)
             ):
                 break
             # A repeated id goes alone, so that its precondition can fail. So does a submission
@@ -140,7 +141,7 @@
             revision = await self.state_store.commit(
                 preconditions,
                 [s.change for s in batch],
-                priority=rate_limits.ACCEPTANCES,
+                priority=Priority.SUBMISSIONS,
                 on_sent=dispatched,
             )
         except CompareFailed as error:
--- a/pitchtally/autoscaling/autoscaler.py
+++ b/pitchtally/autoscaling/autoscaler.py
@@ -11,8 +11,8 @@
 
 from ..agents.machines import Machine
 from ..jobs.index import Job
-from ..membership.membership import CLUSTER_LEADER_SHARD
 from ..membership.messages import PeerHeartbeat
+from ..membership.shards import CLUSTER_LEADER_SHARD
 from ..protocol import cloud_api
 from ..state_store.replica import Replica
 from .catalog import MachineCatalog
--- a/pitchtally/autoscaling/catalog.py
+++ b/pitchtally/autoscaling/catalog.py
@@ -13,9 +13,10 @@
 from ..agents.machines import Machine
 from ..formats.gate import FormatGate
 from ..protocol import cloud_api
-from ..state_store import keys, rate_limits
+from ..state_store import keys
 from ..state_store.client import StateStoreClient, Write
 from ..state_store.errors import CompareFailed, LeaseExpired, StoreUnavailable
+from ..state_store.rate_limits import Priority
 from ..state_store.replica import Replica
 from .cloud_client import CloudClient, CloudUnavailable, InsufficientCapacity
 
@@ -63,7 +64,7 @@
                 revision = await self._state_store.commit(
                     {change.key: self._replica.version(change.key)},
                     [change],
-                    priority=rate_limits.ACCEPTANCES,
+                    priority=Priority.SUBMISSIONS,
                 )
             except (CompareFailed, LeaseExpired):
                 return
--- a/pitchtally/autoscaling/cloud_client.py
+++ b/pitchtally/autoscaling/cloud_client.py
@@ -12,7 +12,7 @@
 from ..config.settings import Settings, host_port
 from ..http import Client, HttpError
 from ..protocol import cloud_api
-from ..state_store import rate_limits
+from ..state_store.rate_limits import Priority, TokenBucket
 
 log = logging.getLogger("cloud_client")
 
@@ -58,7 +58,7 @@
         self._address = host_port(settings.endpoints.cloud)
         self._timeout = policy.cloud_timeout
         rate = settings.deployment.cloud.rps * RATE_SHARE
-        self._requests = rate_limits.TokenBucket(rate, rate)
+        self._requests = TokenBucket(rate, rate)
         self._client = Client(keep=2)
 
     async def machine_types(self) -> list[cloud_api.MachineType]:
@@ -93,7 +93,7 @@
 
     async def _call(self, method: str, target: str, body: bytes = b"") -> bytes:
         """One request, once the shared limit allows it; the body of its answer."""
-        await self._requests.take(rate_limits.PROGRESS)
+        await self._requests.acquire(Priority.PROGRESS)
         try:
             response = await self._client.call(
                 self._address, method, target, body, timeout=self._timeout
@@ -102,7 +102,7 @@
             self._client.drop(self._address)
             raise CloudUnavailable(str(error)) from None
         if response.status == 429:
-            self._requests.penalty()
+            self._requests.penalize()
         if response.status == 503 and b"no capacity" in response.body:
             raise InsufficientCapacity
         if response.status != 200:
--- a/pitchtally/autoscaling/machine_health.py
+++ b/pitchtally/autoscaling/machine_health.py
@@ -9,8 +9,8 @@
 import trio
 
 from ..agents.machines import MachineGroupKey
-from ..membership.membership import shard_of
 from ..membership.messages import MachineFlag, MachineStatus
+from ..membership.shards import shard_of
 from ..protocol import cloud_api
 from .config import AutoscalerConfig
 from .inventory import MachineInventory
--- a/tests/formats/test_golden.py
+++ b/tests/formats/test_golden.py
@@ -26,13 +26,13 @@
 from pitchtally.config.policy import RENAMED as POLICY_EARLIER_NAMES
 from pitchtally.config.settings import NextStateLimits, StateLimits
 from pitchtally.controller import Controller
-from pitchtally.formats import finished_tasks, legacy, machine_layout, text_chunks
+from pitchtally.formats import finished_tasks, machine_layout, text_chunks
+from pitchtally.formats import format_1 as legacy
 from pitchtally.formats.gate import FORMAT, FormatRecord
 from pitchtally.formats.gate import KEY as GATE_KEY
 from pitchtally.jobs.job_record import CANCELLED, DONE, OPEN, TaskRange
 from pitchtally.jobs.job_record import JobRecord as JobRecord
 from pitchtally.jobs.task_bitmap import TaskBitmap
-from pitchtally.membership.membership import NodeRecord, ShardLeader
 from pitchtally.membership.messages import (
     Ack,
     Cancelled,
@@ -45,6 +45,8 @@
 )
 from pitchtally.membership.messages import decode as decode_message
 from pitchtally.membership.messages import encode as encode_message
+from pitchtally.membership.nodes import NodeRecord
+from pitchtally.membership.shards import ShardLeader
 from pitchtally.protocol import agent_api, cloud_api, state_store_api, user_api
 from pitchtally.protocol.agent_api import (
     ACKNOWLEDGE,
