--- a/pitchtally/api/job_creation.py
+++ b/pitchtally/api/job_creation.py
@@ -18,6 +18,7 @@
 from ..state_store import keys
 from ..state_store.client import Write
 from ..state_store.errors import CompareFailed, LeaseExpired, StoreUnavailable
+from ..state_store.identifiers import FencingToken, ShardId
 from .responses import STORE_UNAVAILABLE
 from .submission_batcher import (
     Committed,
@@ -84,7 +85,7 @@
         planner: SubmissionPlanner,
         layout: JobLayout,
         batcher: SubmissionBatcher,
-        shard_token: Callable[[int], int | None],
+        shard_token: Callable[[ShardId], FencingToken | None],
         slow_after: float,
     ):
         """`shard_token`: this node's fencing token of a shard, None if another node leads it.
--- a/pitchtally/api/routes.py
+++ b/pitchtally/api/routes.py
@@ -16,6 +16,7 @@
 from ..protocol import cloud_api, user_api
 from ..scheduling.capacity import Plan
 from ..state_store.client import StateStoreClient
+from ..state_store.identifiers import FencingToken, ShardId
 from ..state_store.replica import Replica
 from .admission_queue import AdmissionControl, AdmissionQueue
 from .cancellation import Cancellations, CancellationWriter
@@ -45,7 +46,7 @@
     def alive(self) -> Mapping[str, object]:
         """Nodes whose session lease is valid, by name."""
 
-    def token(self, shard: int) -> int | None:
+    def token(self, shard: ShardId) -> FencingToken | None:
         """This node's fencing token of a shard, None if another node leads it."""
 
     async def forward(self, request: Request) -> Response | None:
--- a/pitchtally/autoscaling/autoscaler.py
+++ b/pitchtally/autoscaling/autoscaler.py
@@ -14,6 +14,7 @@
 from ..membership.messages import PeerHeartbeat
 from ..membership.shards import CLUSTER_LEADER_SHARD
 from ..protocol import cloud_api
+from ..state_store.identifiers import FencingToken, ShardId
 from ..state_store.replica import Replica
 from .catalog import MachineCatalog
 from .cloud_client import CloudClient, CloudUnavailable, InsufficientCapacity
@@ -37,13 +38,13 @@
     """What autoscaling asks of the membership."""
 
     @property
-    def cluster_leader_token(self) -> int | None:
+    def cluster_leader_token(self) -> FencingToken | None:
         """This node's fencing token as cluster leader, None if it isn't."""
 
-    def verified_cluster_leader(self) -> int | None:
+    def verified_cluster_leader(self) -> FencingToken | None:
         """The same, but None too unless it was verified within one session TTL."""
 
-    def leader(self, shard: int) -> str | None:
+    def leader(self, shard: ShardId) -> str | None:
         """The node that leads a shard, as far as the replica shows."""
 
     def resumed_at(self) -> float:
@@ -64,7 +65,7 @@
 class _Leadership:
     """The leadership that the loop's state belongs to."""
 
-    token: int
+    token: FencingToken
     since: float
 
 
@@ -137,7 +138,7 @@
                 pass
             await trio.sleep(pause)
 
-    def _continues(self, token: int) -> bool:
+    def _continues(self, token: FencingToken) -> bool:
         """Whether this is the leadership of the last round, without a pause of the process."""
         return (
             self._leadership is not None
@@ -145,7 +146,7 @@
             and self._leadership.since >= self._membership.resumed_at()
         )
 
-    def _start(self, token: int) -> None:
+    def _start(self, token: FencingToken) -> None:
         """Begin without state: launches of an earlier leader are known once the list is read."""
         self._leadership = _Leadership(token, trio.current_time())
         self._inventory.reset()
@@ -155,7 +156,7 @@
         self._scale_in.reset()
         log.info("cluster leader token=%d", token)
 
-    async def _run_round(self, token: int) -> None:
+    async def _run_round(self, token: FencingToken) -> None:
         await self._inventory.refresh()
         now = trio.current_time()
         statuses = self._scheduler.machine_statuses()
--- a/pitchtally/autoscaling/scale_out.py
+++ b/pitchtally/autoscaling/scale_out.py
@@ -18,6 +18,7 @@
 from ..jobs.resources import count_fitting, resource_request
 from ..membership.messages import MachineFlag, MachineStatus
 from ..protocol import cloud_api, user_api
+from ..state_store.identifiers import FencingToken
 from .cloud_client import CloudClient, InsufficientCapacity
 from .demand import PendingDemand, pending_demands, tasks_per_machine
 from .scheduler_view import SchedulerView
@@ -92,7 +93,7 @@
         """Drop the request of an earlier leadership."""
         self._unanswered = None
 
-    async def run_round(self, token: int, is_verified: Callable[[], bool]) -> None:
+    async def run_round(self, token: FencingToken, is_verified: Callable[[], bool]) -> None:
         """Launch what is missing, while leadership is verified; raises `CloudUnavailable`."""
         now = trio.current_time()
         for _ in range(LAUNCHES_PER_ROUND):
--- a/pitchtally/autoscaling/scheduler_view.py
+++ b/pitchtally/autoscaling/scheduler_view.py
@@ -7,15 +7,16 @@
 
 from ..membership.messages import MachineStatus, ShardStatus
 from ..protocol import user_api
+from ..state_store.identifiers import ShardId
 
 
 @dataclass(frozen=True, slots=True)
 class SchedulerView:
     """Read-only access to the scheduler, one function for each question."""
 
-    shard_statuses: Callable[[], Mapping[int, ShardStatus]]  # newest status of every shard
-    status_received_at: Callable[[int], float | None]  # by shard; None: never by a peer
-    leads_shard: Callable[[int], bool]  # whether this node leads it
+    shard_statuses: Callable[[], Mapping[ShardId, ShardStatus]]  # newest status of every shard
+    status_received_at: Callable[[ShardId], float | None]  # by shard; None: never by a peer
+    leads_shard: Callable[[ShardId], bool]  # whether this node leads it
     running_tasks: Callable[[str], int]  # of a job, on machines known here
     tasks_within_limit: Callable[[user_api.JobSpec], int]  # that the team's limit still allows
     slack: Callable[[user_api.JobSpec], float]  # seconds that a job may wait
