--- a/pitchtally/autoscaling/autoscaler.py
+++ b/pitchtally/autoscaling/autoscaler.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from ..agents.machines import Machine
+from ..agents.machine import Machine
 from ..jobs.index import Job
 from ..membership.messages import PeerHeartbeat
 from ..membership.shards import CLUSTER_LEADER_SHARD
@@ -55,7 +55,7 @@
     """What autoscaling asks of the machines of this node's shards."""
 
     machines: dict[str, Machine]
-    released: dict[str, float]  # machines known to be terminated
+    terminated: set[str]  # machines known to be terminated
 
     def machine_terminated(self, name: str) -> None:
         """Nothing runs on the machine any more."""
@@ -193,7 +193,7 @@
     def take_heartbeat(self, heartbeat: PeerHeartbeat) -> None:
         """Apply what a peer says of this node's machines."""
         for name in heartbeat.released:
-            if name not in self._agents.released or name in self._agents.machines:
+            if name not in self._agents.terminated or name in self._agents.machines:
                 self._agents.machine_terminated(name)
         if heartbeat.node == self._membership.leader(CLUSTER_LEADER_SHARD):
             apply_drains(heartbeat.drain, self._agents.machines.values())
--- a/pitchtally/autoscaling/catalog.py
+++ b/pitchtally/autoscaling/catalog.py
@@ -10,7 +10,7 @@
 import msgspec
 import trio
 
-from ..agents.machines import Machine
+from ..agents.machine import Machine
 from ..formats.gate import FormatGate
 from ..protocol import cloud_api
 from ..state_store import keys
--- a/pitchtally/autoscaling/demand.py
+++ b/pitchtally/autoscaling/demand.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from ..agents.machines import MachineGroupKey
+from ..agents.machine import MachineGroupKey
 from ..jobs.index import Job
 from ..jobs.resources import Resources, capacity_of, count_fitting, resource_request
 from ..membership.messages import ShardStatus
--- a/pitchtally/autoscaling/machine_health.py
+++ b/pitchtally/autoscaling/machine_health.py
@@ -8,7 +8,7 @@
 
 import trio
 
-from ..agents.machines import MachineGroupKey
+from ..agents.machine import MachineGroupKey
 from ..membership.messages import MachineFlag, MachineStatus
 from ..membership.shards import shard_of
 from ..protocol import cloud_api
--- a/pitchtally/autoscaling/scale_in.py
+++ b/pitchtally/autoscaling/scale_in.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Collection, Iterable, Mapping
 from typing import NamedTuple
 
-from ..agents.machines import Machine, MachineGroupKey
+from ..agents.machine import Machine, MachineGroupKey
 from ..jobs.index import Job
 from ..membership.messages import MachineFlag, MachineStatus
 from ..protocol import cloud_api, user_api
@@ -134,4 +134,4 @@
     """Drain the machines of this node's shards that the cluster leader names, and no others."""
     draining = set(names)
     for machine in machines:
-        machine.drain = machine.name in draining
+        machine.draining = machine.name in draining
--- a/pitchtally/autoscaling/scale_out.py
+++ b/pitchtally/autoscaling/scale_out.py
@@ -13,7 +13,7 @@
 
 import trio
 
-from ..agents.machines import MachineGroupKey
+from ..agents.machine import MachineGroupKey
 from ..jobs.index import Job
 from ..jobs.resources import count_fitting, resource_request
 from ..membership.messages import MachineFlag, MachineStatus
--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -19,6 +19,7 @@
 from .formats.gate import FormatGate
 from .http import Request, Response, Server
 from .jobs.cleanup import Cleanup
+from .jobs.commits import JobCommits
 from .jobs.index import JobIndex
 from .jobs.layout import JobLayout
 from .jobs.migration import JobMigration
@@ -53,12 +54,12 @@
 
     def shard_acquired(self, shard: ShardId, token: FencingToken) -> None:
         """The agents' side first: the scheduler asks it for the shard's machines."""
-        self._agents.acquired(shard, token)
+        self._agents.shard_acquired(shard, token)
         self._scheduler.shards.shard_acquired(shard)
 
     def shard_lost(self, shard: ShardId) -> None:
         """The agents' side tells the scheduler."""
-        self._agents.release_shard(shard)
+        self._agents.shard_lost(shard)
 
 
 class _PeerMessages:
@@ -121,24 +122,42 @@
             self.gate,
             policy.heartbeat_interval,
         )
-        self.job_index = JobIndex(self.state_store, self.replica, self.gate, self.membership.token)
+        self.job_index = JobIndex(self.replica, self.gate)
+        self.commits = JobCommits(self.state_store, self.replica, self.membership.token)
         self.layout = JobLayout(self.gate, limits.state_to_keep)
-        self.migration = JobMigration(self.job_index, self.layout, policy.heartbeat_interval)
-        self.cleanup = Cleanup(self.job_index, self._leader_precondition, policy.period)
-        self.progress = ProgressWriter(self.job_index, self.layout, self.migration, policy.period)
+        self.migration = JobMigration(
+            self.job_index, self.commits, self.layout, policy.heartbeat_interval
+        )
+        self.cleanup = Cleanup(
+            self.job_index, self.commits, self._leader_precondition, policy.period
+        )
+        self.decisions = DecisionLog(
+            self._evidence, self._counters, lambda: self.api.read_barrier.last_read
+        )
+        self.progress = ProgressWriter(
+            self.job_index,
+            self.commits,
+            self.layout,
+            self.migration,
+            policy.period,
+            lambda: self.api.admission_queue.occupied,
+            self.decisions.on_decision,
+        )
         self.agents = AgentManager(
             settings,
             policy,
             self.membership,
             self.job_index,
-            self.replica,
+            self.commits,
             lambda: self.autoscaler.types,
+            self.decisions.on_decision,
         )
         self.scheduler = Scheduler(
             settings,
             policy,
             self.membership,
             self.job_index,
+            self.commits,
             self.agents,
             self.replica,
             self.migration,
@@ -146,12 +165,8 @@
         )
         self.autoscaler = self._build_autoscaler()
         self.loops = Loops()
-        self.decisions = DecisionLog(
-            self._evidence, self._counters, lambda: self.api.read_barrier.last_read
-        )
         self._nursery: trio.Nursery | None = None  # while this controller runs
         self.api = self._build_api()
-        self.progress.submissions_wait = lambda: self.api.admission_queue.occupied
         self._connect()
 
     def _build_autoscaler(self) -> Autoscaler:
@@ -213,8 +228,6 @@
             _ShardLeaderships(agents, scheduler), peer_messages, peer_messages, peer_messages
         )
         agents.connect(scheduler.shards, scheduler.placer)
-        agents.on_decision = self.decisions.on_decision
-        self.progress.on_decision = self.decisions.on_decision
 
     def _leader_precondition(self) -> Precondition | None:
         """What a cluster leader's write rests on, None if this node is not the leader."""
@@ -233,7 +246,7 @@
     def _counters(self) -> dict[str, int]:
         """Totals that other components count."""
         faults = {f"fault_{name}": count for name, count in self.loops.faults.items()}
-        return {**self.api.read_barrier.counts, **self.agents.answered, **faults}
+        return {**self.api.read_barrier.counts, **self.agents.endpoint.responses, **faults}
 
     async def run(self) -> None:
         """Serve and run every loop until cancelled."""
@@ -290,9 +303,9 @@
             ("format", self.format_upgrade.run),
             ("migration", self.migration.run),
             ("cleanup", self.cleanup.run),
-            ("expiry", self.agents.run_expiry),
+            ("expiry", self.agents.lease_expiry.run),
             ("direct_commands", self.agents.command_sender.run),
-            ("reachability", self.agents.command_sender.run_reachability),
+            ("reachability", self.agents.reachability.run),
             ("records", self.agents.records.run),
             ("planning", self.scheduler.run),
             ("splitting", self.scheduler.run_global_scheduling),
--- a/tests/autoscaling/test_demand.py
+++ b/tests/autoscaling/test_demand.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from pitchtally.agents.machines import MachineGroupKey
+from pitchtally.agents.machine import MachineGroupKey
 from pitchtally.autoscaling.demand import (
     JobShape,
     RecentPeaks,
