--- a/pitchtally/autoscaling/autoscaler.py
+++ b/pitchtally/autoscaling/autoscaler.py
@@ -30,8 +30,9 @@
 
 # Seconds between two looks whether this node has become the cluster leader.
 LEADERSHIP_POLL_S = 0.3
-# The longest pause between two rounds, in seconds; and the shortest, in intervals of the list.
-MAX_ROUND_PAUSE_S, ROUNDS_PER_LIST = 2.0, 3
+# The pause between two rounds, in seconds at most; shorter where the list is read often.
+MAX_ROUND_PAUSE_S = 2.0
+ROUNDS_PER_LIST = 3
 
 
 class ClusterLeadership(Protocol):
@@ -180,6 +181,13 @@
         """Measure for how long machines are unreachable."""
         await self._timeouts.run()
 
+    async def run_own_drains(self) -> None:
+        """Apply the cluster leader's drains to its own machines; others learn them by heartbeat."""
+        while True:
+            await trio.sleep(self._config.heartbeat_interval)
+            if self._membership.cluster_leader_token is not None:
+                apply_drains(self._scale_in.draining, self._agents.machines.values())
+
     # --- what nodes tell each other -----------------------------------------------
 
     def terminated_names(self) -> list[str]:
@@ -197,8 +205,3 @@
                 self._agents.machine_terminated(name)
         if heartbeat.node == self._membership.leader(CLUSTER_LEADER_SHARD):
             apply_drains(heartbeat.drain, self._agents.machines.values())
-
-    def apply_own_drains(self) -> None:
-        """Apply the cluster leader's drains to its own machines."""
-        if self._membership.cluster_leader_token is not None:
-            apply_drains(self._scale_in.draining, self._agents.machines.values())
--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -293,7 +293,9 @@
 
     def _own_loops(self) -> list[tuple[str, Loop]]:
         """Every loop but those of the servers and of single peers, by name."""
-        submission_batcher = [("acceptances", self.api.submission_batcher.run)] * CONCURRENT_COMMITS
+        submission_batcher = [
+            ("submission_batcher", self.api.submission_batcher.run)
+        ] * CONCURRENT_COMMITS
         return [
             ("pauses", self.membership.pause_detector.run),
             ("replica", self.replica.run),
@@ -309,19 +311,14 @@
             ("records", self.agents.records.run),
             ("planning", self.scheduler.run),
             ("splitting", self.scheduler.run_global_scheduling),
-            ("fleet", self.autoscaler.run),
-            ("types", self.autoscaler.catalog.run),
-            ("silences", self.autoscaler.run_heartbeat_timeouts),
-            ("confirmations", self.api.read_barrier.run),
-            ("drain", self._own_drain),
+            ("autoscaler", self.autoscaler.run),
+            ("catalog", self.autoscaler.catalog.run),
+            ("heartbeat_timeouts", self.autoscaler.run_heartbeat_timeouts),
+            ("read_barrier", self.api.read_barrier.run),
+            ("drains", self.autoscaler.run_own_drains),
             ("decisions", lambda: self.decisions.run(self.policy.period)),
             *submission_batcher,
         ]
 
-    async def _own_drain(self) -> None:
-        while True:
-            await trio.sleep(self.policy.heartbeat_interval)
-            self.autoscaler.apply_own_drains()
-
     async def _serve_peer(self, request: Request) -> Response:
         return await self.membership.serve(request)
