--- a/pitchtally/formats/gate.py
+++ b/pitchtally/formats/gate.py
@@ -20,7 +20,7 @@
 from ..state_store.replica import Replica
 from . import format_1
 
-log = logging.getLogger("gate")
+log = logging.getLogger(__name__)
 
 # The format of 0.5.1, which tells nothing.
 FIRST_FORMAT = 1
--- a/pitchtally/formats/text_chunks.py
+++ b/pitchtally/formats/text_chunks.py
@@ -28,6 +28,13 @@
     chunks: int
 
 
+class ChunkId(NamedTuple):
+    """Which chunk of which text."""
+
+    digest: str  # of the whole text
+    number: int
+
+
 class EncodedText(NamedTuple):
     """A text as values of the state store."""
 
@@ -57,11 +64,11 @@
     return EncodedText(TextRef(digest, len(chunks)), values)
 
 
-def join(ref: TextRef, chunks: Mapping[tuple[str, int], str]) -> str | None:
-    """The text whose chunks are given by digest and number; None while some are missing."""
+def join(ref: TextRef, chunks: Mapping[ChunkId, str]) -> str | None:
+    """The text again, None while some of its chunks are missing."""
     found = []
     for number in range(ref.chunks):
-        chunk = chunks.get((ref.digest, number))
+        chunk = chunks.get(ChunkId(ref.digest, number))
         if chunk is None:
             return None
         found.append(chunk)
--- a/pitchtally/jobs/index.py
+++ b/pitchtally/jobs/index.py
@@ -17,7 +17,7 @@
 
 from ..formats import text_chunks
 from ..formats.gate import FormatGate
-from ..formats.text_chunks import TextRef
+from ..formats.text_chunks import ChunkId, TextRef
 from ..protocol import user_api
 from ..state_store import keys
 from ..state_store.replica import Replica
@@ -151,7 +151,7 @@
         self._early_bitmaps: dict[str, list[StoredBitmap]] = {}
         self._records_without_spec: dict[str, StoredRecord] = {}
         # Chunks of a job's spec, by the digest of the whole text and the chunk's number.
-        self._texts: dict[str, dict[tuple[str, int], str]] = {}
+        self._texts: dict[str, dict[ChunkId, str]] = {}
         replica.listen(keys.JOB_PREFIX, self._on_record)
         replica.listen(keys.LEGACY_FINISHED_PREFIX, self._on_legacy_bitmap)
         replica.listen(keys.FINISHED_PREFIX, self._on_bitmap)
@@ -243,9 +243,9 @@
         self._note_extra_key(id, keys.absolute(keys.TEXT_PREFIX, key), present=value is not None)
         texts = self._texts.setdefault(id, {})
         if value is None:
-            texts.pop((digest, number), None)
+            texts.pop(ChunkId(digest, number), None)
             return
-        texts[(digest, number)] = _decode_text(value)
+        texts[ChunkId(digest, number)] = _decode_text(value)
         if id in self._records_without_spec:
             self._complete_record(id)
 
--- a/pitchtally/membership/failover.py
+++ b/pitchtally/membership/failover.py
@@ -18,7 +18,7 @@
 from .nodes import LiveNodes
 from .shards import ShardLeader, preference, preferred_leader
 
-log = logging.getLogger("failover")
+log = logging.getLogger(__name__)
 
 # Seconds.
 _NOT_LISTED_PAUSE = 0.05
--- a/pitchtally/membership/format_negotiation.py
+++ b/pitchtally/membership/format_negotiation.py
@@ -19,7 +19,7 @@
 from .nodes import NodeRecord
 from .shards import CLUSTER_LEADER_SHARD
 
-log = logging.getLogger("format_negotiation")
+log = logging.getLogger(__name__)
 
 
 class Members(Protocol):
--- a/pitchtally/membership/leadership.py
+++ b/pitchtally/membership/leadership.py
@@ -18,7 +18,7 @@
 from .nodes import NodeIdentity
 from .shards import CLUSTER_LEADER_SHARD, ShardLeader, ShardLease
 
-log = logging.getLogger("leadership")
+log = logging.getLogger(__name__)
 
 _decode_leader = msgspec.json.Decoder(ShardLeader).decode
 
--- a/pitchtally/membership/pause_detector.py
+++ b/pitchtally/membership/pause_detector.py
@@ -8,7 +8,7 @@
 
 from ..state_store.client import LONG_AGO
 
-log = logging.getLogger("pause_detector")
+log = logging.getLogger(__name__)
 
 _CHECKS_PER_HEARTBEAT = 4
 
--- a/pitchtally/membership/peers/transport.py
+++ b/pitchtally/membership/peers/transport.py
@@ -10,7 +10,7 @@
 from ..messages import UNNUMBERED, Message, decode, encode
 from .peer import Peer
 
-log = logging.getLogger("transport")
+log = logging.getLogger(__name__)
 
 PEER_PATH = "/peer"
 
--- a/pitchtally/membership/session.py
+++ b/pitchtally/membership/session.py
@@ -15,7 +15,7 @@
 from ..state_store.replica import Replica
 from .nodes import LiveNodes, NodeIdentity, NodeRecord
 
-log = logging.getLogger("session")
+log = logging.getLogger(__name__)
 
 # Of the lease's time to live.
 _RENEW_SHARE = 1 / 3
--- a/pitchtally/state_store/client.py
+++ b/pitchtally/state_store/client.py
@@ -29,7 +29,7 @@
 )
 from .rate_limits import Priority, TokenBucket
 
-log = logging.getLogger("state_store")
+log = logging.getLogger(__name__)
 
 T = TypeVar("T")
 
--- a/pitchtally/state_store/replica.py
+++ b/pitchtally/state_store/replica.py
@@ -19,7 +19,7 @@
 from .errors import StoreUnavailable
 from .rate_limits import Priority
 
-log = logging.getLogger("replica")
+log = logging.getLogger(__name__)
 
 # Called with the rest of a key after the prefix, its value (None: removed) and its version.
 ReplicaListener = Callable[[str, bytes | None, int], None]
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -363,13 +363,19 @@
 def test_texts_come_back_from_their_pieces(text: str, value_bytes: int) -> None:
     ref, values = text_chunks.cut(text, value_bytes)
     assert all(len(value) <= value_bytes for value in values)
-    found = {(ref.digest, n): msgspec.json.decode(v, type=str) for n, v in enumerate(values)}
+    found = {
+        text_chunks.ChunkId(ref.digest, n): msgspec.json.decode(v, type=str)
+        for n, v in enumerate(values)
+    }
     assert text_chunks.join(ref, found) == text
     other, more = text_chunks.cut(text + "b", value_bytes)
-    found |= {(other.digest, n): msgspec.json.decode(v, type=str) for n, v in enumerate(more)}
+    found |= {
+        text_chunks.ChunkId(other.digest, n): msgspec.json.decode(v, type=str)
+        for n, v in enumerate(more)
+    }
     assert text_chunks.join(ref, found) == text
     if values:
-        del found[(ref.digest, 0)]
+        del found[text_chunks.ChunkId(ref.digest, 0)]
         assert text_chunks.join(ref, found) is None
 
 
