--- a/pitchtally/membership/freshness.py
+++ b/pitchtally/membership/freshness.py
@@ -5,10 +5,7 @@
 however long either was under way. A message that came on its own has no such moment; a
 network partition may have held it for minutes.
 
-`config.timing` derives the deadline of a cancellation from these ages. A leader that has
-heard of a cancellation needs no deadline of its own: every answer that renews a lease carries
-a stop command for each listed task whose job is over (`AgentManager.serve`). An agent that gets
-the answer ends the task; one that does not ends it when its lease expires.
+The deadlines that follow from these ages are in `config.timing`.
 """
 
 from __future__ import annotations
--- a/pitchtally/membership/leadership.py
+++ b/pitchtally/membership/leadership.py
@@ -83,10 +83,10 @@
         lease = self.leaders.get(shard)
         if lease is None:
             return None
-        leader, token = lease
+        leader = lease.leader
         if leader.node != self._node or leader.incarnation != self._incarnation:
             return None
-        return token if self._newest_seen.get(shard, 0) <= token else None
+        return lease.token if self._newest_seen.get(shard, 0) <= lease.token else None
 
     def leader(self, shard: ShardId) -> str | None:
         """The node that leads a shard, as far as our replica shows."""
--- a/pitchtally/membership/shards.py
+++ b/pitchtally/membership/shards.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from collections.abc import Mapping, Sequence
-from typing import NamedTuple
+from dataclasses import dataclass
 
 from msgspec import Struct
 
@@ -28,7 +28,8 @@
     incarnation: str
 
 
-class ShardLease(NamedTuple):
+@dataclass(frozen=True, slots=True)
+class ShardLease:
     """A shard's leader with the fencing token that its record's version gives it."""
 
     leader: ShardLeader
--- a/pitchtally/state_store/keys.py
+++ b/pitchtally/state_store/keys.py
@@ -10,6 +10,8 @@
 from typing import NamedTuple
 from urllib.parse import quote
 
+from .identifiers import ShardId
+
 ROOT = "pt/"
 
 NODE_PREFIX = "nodes/"
@@ -31,7 +33,7 @@
 class MachineChunk(NamedTuple):
     """A chunk of the record of a shard's machines."""
 
-    shard: int
+    shard: ShardId
     chunk: int
 
 
@@ -60,7 +62,7 @@
     return f"{ROOT}{NODE_PREFIX}{name}"
 
 
-def shard(shard_id: int) -> str:
+def shard(shard_id: ShardId) -> str:
     """The record of a shard's leader; its version is the leader's fencing token."""
     return f"{ROOT}{SHARD_PREFIX}{shard_id}"
 
@@ -70,7 +72,7 @@
     return f"{ROOT}{JOB_PREFIX}{job_id}"
 
 
-def machines(shard_id: int, chunk: int) -> str:
+def machines(shard_id: ShardId, chunk: int) -> str:
     """A chunk of the record of a shard's machines."""
     return f"{ROOT}{MACHINES_PREFIX}{shard_id}/{chunk}"
 
--- a/tests/membership/test_mismatched_replies.py
+++ b/tests/membership/test_mismatched_replies.py
@@ -108,8 +108,8 @@
 Reply = Callable[[Message], Message]
 
 
-def _members(monkeypatch: pytest.MonkeyPatch, reply: Reply) -> Membership:
-    """A controller's members, whose peers answer each message with `reply`."""
+def _membership(monkeypatch: pytest.MonkeyPatch, reply: Reply) -> Membership:
+    """A controller's membership, whose peers answer each message with `reply`."""
 
     async def answer(call: Call) -> Response:
         return Response(200, encode(reply(decode(call.body))))
@@ -140,7 +140,7 @@
     """An older heartbeat makes old evidence young; another job's ranges or state are worse."""
 
     async def main() -> None:
-        membership = _members(monkeypatch, reply)
+        membership = _membership(monkeypatch, reply)
         peer = membership.peers["n1"]
         for _ in range(2):
             assert await membership.send(peer, Forward("GET", "/api/jobs/wk-1", b"")) is None
@@ -161,7 +161,7 @@
     message: Message, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def main() -> None:
-        server = _members(monkeypatch, lambda asked: Ack())
+        server = _membership(monkeypatch, lambda asked: Ack())
 
         class Handler(NoPeerRequestHandler):
             async def serve_forwarded(self, request: Request) -> Response:
@@ -180,7 +180,7 @@
     """It numbers nothing; controllers of two versions must hear each other."""
 
     async def main() -> None:
-        membership = _members(monkeypatch, lambda asked: Ack())
+        membership = _membership(monkeypatch, lambda asked: Ack())
         peer = membership.peers["n1"]
         assert isinstance(await membership.send(peer, Forward("GET", "/", b"")), Ack)
 
