--- a/pitchtally/scheduling/allocations.py
+++ b/pitchtally/scheduling/allocations.py
@@ -74,7 +74,7 @@
         self.release = release  # acceptance on this node's steady clock
         self.size = 0.0  # w, and what lateness adds: renewed with each survey
         self.late = 0.0
-        self.bound = 1e9  # seconds from release, see `PriorityOrder.bound`
+        self.bound = 1e9  # seconds from release, see `Deadlines.bound`
         self.aged = False  # has waited too long for its first start, or the next
         self.groups: dict[MachineGroupKey, bool] = {}  # machines that the job allows
         self.capacity_in: dict[MachineGroupKey, TaskCapacity] = {}  # renewed with each survey
@@ -174,3 +174,10 @@
     def expect(self, resources: Resources) -> None:
         """Such a task waits from now on: see `least`."""
         self.least = (min(self.least[0], resources[0]), min(self.least[1], resources[2]))
+
+    def with_gang(self, victim: Placement) -> list[Placement]:
+        """What has to stop with a placement: its whole gang, if it has one."""
+        allocation = self.allocations.get(victim.job.id)
+        if victim.spec.kind == user_api.GANG and allocation is not None:
+            return list(allocation.placed.values())
+        return [victim]
--- a/pitchtally/scheduling/capacity.py
+++ b/pitchtally/scheduling/capacity.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from enum import IntEnum
 from typing import NamedTuple
 
@@ -52,6 +53,18 @@
     return spec.spot or not spot
 
 
+def may_be_active(job: Job, ranges: Iterable[TaskRange]) -> bool:
+    """Whether a task in these ranges may be on a machine, or be started by its shard."""
+    return any(not job.is_finished(t) for a, b, _ in ranges for t in range(a, b))
+
+
+def share_ratio(spec: user_api.JobSpec, other: Job | None) -> float:
+    """How much a waiting task of another job stands in this one's way; None: it is over."""
+    if other is None or RANK[other.spec.rank] > RANK[spec.rank]:
+        return 0.0
+    return min(1.0, other.spec.cpus / max(spec.cpus, 1e-3))
+
+
 class Plan(NamedTuple):
     """Who gets a job's tasks, and what binds gangs over several shards."""
 
--- /dev/null
+++ b/pitchtally/scheduling/context.py
@@ -0,0 +1,48 @@
+"""What all components of the scheduler share: plain data and objects of lower layers."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from ..agents.manager import AgentManager
+from ..config.policy import Policy
+from ..config.settings import Settings
+from ..jobs.index import JobIndex
+from ..protocol import cloud_api
+from . import stretch
+from .estimates import Estimates
+
+
+class AvailabilitySamples(NamedTuple):
+    """The axes of the availability matrices, each a rising geometric series."""
+
+    stretches: list[float]  # S, in task-seconds per task-second
+    sizes: list[float]  # w, in task-seconds
+    tasks: list[float]  # a, in machine-seconds
+
+    @classmethod
+    def from_policy(cls, policy: Policy) -> AvailabilitySamples:
+        """As many samples of each axis as the policy asks for."""
+        return cls(
+            # From far below any real queue upward.
+            stretch.samples(2.0**-12, 2.0**3, int(policy.stretch_samples)),
+            stretch.samples(16.0, 2.0**19, int(policy.size_samples)),
+            stretch.samples(0.25, 0.25 * 3.0**7, int(policy.task_samples)),
+        )
+
+
+@dataclass(frozen=True)
+class SchedulingContext:
+    """Data and lower-layer objects that most components use; never another component."""
+
+    settings: Settings
+    policy: Policy
+    job_index: JobIndex
+    agents: AgentManager
+    machine_types: Callable[[], dict[str, cloud_api.MachineType]]  # by name, as known now
+    estimates: Estimates
+    samples: AvailabilitySamples
+    agent_heartbeat_s: float  # seconds between two heartbeats of an agent
+    shard_count: int
--- a/pitchtally/scheduling/estimates.py
+++ b/pitchtally/scheduling/estimates.py
@@ -3,7 +3,7 @@
 A service's replica has no length: it holds its place until the job is cancelled. For the
 order of queues it counts as `horizon` seconds, the span that planning looks ahead, so w is
 its replicas times that span. What runs already is no work in a queue at all but capacity
-that its machines have lost (`placing.Placing.survey`).
+that its machines have lost (`survey.Survey`).
 """
 
 from __future__ import annotations
--- a/pitchtally/scheduling/gang_planner.py
+++ b/pitchtally/scheduling/gang_planner.py
@@ -5,7 +5,6 @@
 import logging
 import math
 from collections.abc import Iterable
-from typing import TYPE_CHECKING
 
 import msgspec
 import trio
@@ -18,11 +17,19 @@
 from ..membership.messages import MachineFlag, ShardStatus
 from ..protocol import user_api
 from ..state_store import keys
-from .capacity import CapacitySource, Plan, allows_machine_type, plan_gang
-from .component import SchedulerComponent
-
-if TYPE_CHECKING:
-    from .scheduler import Scheduler
+from .capacity import (
+    CapacitySource,
+    Plan,
+    allows_machine_type,
+    may_be_active,
+    plan_gang,
+    share_ratio,
+)
+from .context import SchedulingContext
+from .deadlines import Deadlines
+from .quotas import Quotas
+from .range_writer import RangeWriter
+from .shard_statuses import ShardStatuses
 
 log = logging.getLogger("gangs")
 
@@ -32,16 +39,24 @@
 UP_FLAGS = frozenset({MachineFlag.USABLE, MachineFlag.LOST, MachineFlag.UNHEARD})
 
 
-def goes_on(job: Job, ranges: Iterable[TaskRange]) -> bool:
-    """Whether a task in these ranges may be on a machine, or be started by its shard."""
-    return any(not job.is_finished(t) for a, b, _ in ranges for t in range(a, b))
-
-
-class GangPlanner(SchedulerComponent):
+class GangPlanner:
     """Where jobs that stay whole go: a shard with room for all, or several together."""
 
-    def __init__(self, scheduler: Scheduler) -> None:
-        super().__init__(scheduler)
+    def __init__(
+        self,
+        context: SchedulingContext,
+        statuses: ShardStatuses,
+        quotas: Quotas,
+        deadlines: Deadlines,
+        range_writer: RangeWriter,
+    ) -> None:
+        self.policy = context.policy
+        self.job_index = context.job_index
+        self.machine_types = context.machine_types
+        self.statuses = statuses
+        self.quotas = quotas
+        self.deadlines = deadlines
+        self.range_writer = range_writer
         self.counter = 0
         self.keeping: tuple[str, float] | None = None  # the gang that waits for kept room
         # Room promised to gangs that statuses can't show yet: (at, (part, zone), need, tasks).
@@ -53,16 +68,16 @@
         Over several shards all start the same attempt; its number rests on a token of
         this node, so nobody else ever uses it.
         """
-        if self.scheduler.quotas.limit_left(spec) < spec.tasks:
+        if self.quotas.limit_left(spec) < spec.tasks:
             return None
         now = trio.current_time()
-        under = self.scheduler.quotas.under(spec)
+        under = self.quotas.under(spec)
         sources = [CapacitySource.FREE]
         if spec.rank != user_api.RANKS[-1]:
             sources.append(CapacitySource.YIELDING)
-        if under and len(self.scheduler.quotas.known) > 1:
+        if under and len(self.quotas.known) > 1:
             sources.append(CapacitySource.OVER_GUARANTEE)
-        if job is not None and self.scheduler.priorities.late(job) and self._may_keep(job.id, now):
+        if job is not None and self.deadlines.late(job) and self._may_keep(job.id, now):
             sources.append(CapacitySource.KEPT)
         for source in sources:
             capacities = self.free_capacity(spec, source)
@@ -128,7 +143,7 @@
             return True
         job = self.job_index.open.get(self.keeping[0])
         waits = job is not None and not any(
-            job.id in n.running for n in self.scheduler.statuses.newest.values()
+            job.id in n.running for n in self.statuses.newest.values()
         )
         return not waits or now - self.keeping[1] > self.policy.start_within / 4
 
@@ -148,7 +163,7 @@
         limit = trio.current_time() - self.policy.heartbeat_interval * 3
         self.booked = [row for row in self.booked if row[0] > limit]
         capacities: dict[tuple[int, str], int] = {}
-        for status in self.scheduler.statuses.newest.values():
+        for status in self.statuses.newest.values():
             for zone, count in self._free_capacity_in(status, spec, source).items():
                 capacities[(status.shard, zone)] = count
         for _, key, (a, b, c), count in self.booked:
@@ -167,14 +182,14 @@
         The leader plans every gang that waits, several times a second.
         """
         resources = resource_request(spec)
-        known = self.scheduler.statuses.zones.setdefault(status.shard, {})
+        known = self.statuses.zones.setdefault(status.shard, {})
         key = (source, resources, spec.types, spec.zone, spec.spot)
         found = known.get(key)
         if found is not None:
             return found
         found = known[key] = {}
-        for (type_, zone, spot), machines in self.scheduler.statuses.groups_of(status).items():
-            machine_type = self.types().get(type_)
+        for (type_, zone, spot), machines in self.statuses.groups_of(status).items():
+            machine_type = self.machine_types().get(type_)
             if machine_type is None or not allows_machine_type(spec, machine_type, zone, spot):
                 continue
             total = 0
@@ -200,13 +215,13 @@
         plan: Plan | None = None
         if spec.kind == user_api.GANG:
             plan = self.plan(spec, token, job)
-            if plan is None and spec.tasks == 1 and self.scheduler.quotas.limit_left(spec):
+            if plan is None and spec.tasks == 1 and self.quotas.limit_left(spec):
                 # It needs one machine, and that can be kept for it.
                 plan = self._by_capacity(spec)
         else:
             plan = self.plan_whole(spec)
         if plan is not None:
-            await self.scheduler.write_ranges(
+            await self.range_writer.write_ranges(
                 job,
                 {keys.shard(CLUSTER_LEADER_SHARD): token},
                 plan.ranges,
@@ -218,7 +233,7 @@
     def plan_whole(self, spec: user_api.JobSpec) -> Plan | None:
         """The part, and the zone if it needs one, for an array or service that stays whole."""
         if spec.is_service:
-            plan = self.plan_service(spec, self.scheduler.statuses.newest)
+            plan = self.plan_service(spec, self.statuses.newest)
             if plan is not None:
                 return plan
         best = self.best_shard(spec)
@@ -237,7 +252,7 @@
         somewhere. Of an array bound to one zone, or spread, the rest goes where there is
         room, in another zone too: nothing of the job is anywhere else by now.
         """
-        if goes_on(job, job.record.ranges):
+        if may_be_active(job, job.record.ranges):
             return
         done = TaskBitmap(job.record.tasks)
         for first, end, _ in job.record.ranges:
@@ -253,7 +268,7 @@
         if zone is None and job.spec.one_zone:
             return
         log.info("rest of a job assigned job=%s tasks=%d part=%d", job.id, count, best)
-        await self.scheduler.write_ranges(
+        await self.range_writer.write_ranges(
             job,
             {keys.shard(CLUSTER_LEADER_SHARD): token},
             merge([*job.record.ranges, *((a, b, best) for a, b, _ in left)]),
@@ -272,11 +287,11 @@
             return spec.zone
         shards = {p for _, _, p in ranges}
         capacities: dict[str, tuple[float, float]] = {}
-        for status in self.scheduler.statuses.newest.values():
+        for status in self.statuses.newest.values():
             if shards and status.shard not in shards:
                 continue
             for machine in status.machines:
-                machine_type = self.types().get(machine.type)
+                machine_type = self.machine_types().get(machine.type)
                 if machine_type is None or machine.flag not in UP_FLAGS | {MachineFlag.NEW}:
                     continue
                 if not allows_machine_type(spec, machine_type, machine.zone, machine.spot):
@@ -297,26 +312,26 @@
     def best_shard(self, spec: user_api.JobSpec) -> int | None:
         """For a job that stays whole: the shard with room now, else the likeliest."""
         rows = []
-        for status in self.scheduler.statuses.newest.values():
+        for status in self.statuses.newest.values():
             able = sum(
                 count_fitting(resource_request(spec), capacity_of(k))
                 for m in status.machines
                 if m.flag in UP_FLAGS
-                and (k := self.types().get(m.type)) is not None
+                and (k := self.machine_types().get(m.type)) is not None
                 and allows_machine_type(spec, k, m.zone, m.spot)
             )
             if able < (spec.tasks if spec.kind == user_api.GANG else 1):
                 continue
             queued = sum(
-                count * self.scheduler.rebalancing.share_ratio(spec, id)
+                count * share_ratio(spec, self.job_index.open.get(id))
                 for id, count in status.waiting.items()
             )
-            owed = sum(1 for at, _ in self.scheduler.statuses.unreported.get(status.shard, ()))
-            now = self.scheduler.statuses.free_capacity(status, spec, yielding=False) - owed
-            soon = self.scheduler.statuses.free_capacity(status, spec, yielding=True) - owed
+            owed = sum(1 for at, _ in self.statuses.unreported.get(status.shard, ()))
+            now = self.statuses.free_capacity(status, spec, yielding=False) - owed
+            soon = self.statuses.free_capacity(status, spec, yielding=True) - owed
             rows.append((now < spec.tasks, soon < spec.tasks, queued / able, status.shard))
         if not rows:
             return None
         best = min(rows)[3]
-        self.scheduler.statuses.record_allocation(best, spec, spec.tasks)
+        self.statuses.record_allocation(best, spec, spec.tasks)
         return best
--- a/pitchtally/scheduling/preemption.py
+++ b/pitchtally/scheduling/preemption.py
@@ -5,7 +5,6 @@
 import logging
 import math
 from collections import Counter
-from collections.abc import Iterable
 from typing import NamedTuple
 
 import trio
@@ -15,7 +14,11 @@
 from ..protocol import user_api
 from .allocations import ShardAllocation, ShardState
 from .capacity import is_gang
-from .component import SchedulerComponent
+from .context import SchedulingContext
+from .deadlines import Deadlines
+from .eligibility import is_ready, machine_ok
+from .quotas import Quotas
+from .reservations import is_reserved_for
 
 log = logging.getLogger("preemption")
 
@@ -33,31 +36,46 @@
 _PREEMPT = 8
 
 
-class Preemption(SchedulerComponent):
+class Preemption:
     """Stopping work that yields: lower ranks, and teams beyond their guarantee."""
 
+    def __init__(
+        self,
+        context: SchedulingContext,
+        shards: dict[int, ShardState],
+        deadlines: Deadlines,
+        quotas: Quotas,
+    ) -> None:
+        self.policy = context.policy
+        self.agents = context.agents
+        self.samples = context.samples
+        self.agent_heartbeat_s = context.agent_heartbeat_s
+        self.shards = shards
+        self.deadlines = deadlines
+        self.quotas = quotas
+
     def preempt(self, shard: int) -> None:
         """Make room for waiting work of higher rank, or for a team below its guarantee."""
-        work = self.scheduler.shards.work[shard]
+        work = self.shards[shard]
         now = trio.current_time()
         rows = []
-        beyond = [t for t in self.scheduler.quotas.known if self.scheduler.quotas.over_guarantee(t)]
+        beyond = [t for t in self.quotas.known if self.quotas.over_guarantee(t)]
         for id, allocation in work.allocations.items():
             if not self._may_preempt(work, allocation, now):
                 continue
             spec = allocation.spec
-            under = self.scheduler.quotas.under(spec)
+            under = self.quotas.under(spec)
             if not sum(work.running[allocation.rank + 1 :]) and not (
                 under and any(team != spec.team for team in beyond)
             ):
                 continue  # nothing here yields to it
             at_once = spec.tasks if allocation.gang else 1
-            if self.scheduler.quotas.tasks_within_limit(shard, spec) < at_once:
+            if self.quotas.tasks_within_limit(shard, spec) < at_once:
                 continue
-            due = self.scheduler.priorities.due_of(allocation, self.scheduler.stretches[-1])
+            due = self.deadlines.due_of(allocation, self.samples.stretches[-1])
             rows.append((allocation.rank, not under, due, id))
         for _, over, _, id in sorted(rows)[:_PREEMPT]:
-            if self.scheduler.gangs.kept_for(shard, id):
+            if is_reserved_for(self.agents.of_shard(shard), id):
                 continue
             allocation = work.allocations[id]
             chosen = self._choose(
@@ -70,7 +88,7 @@
         """Whether a job waits in vain, and for long enough."""
         if not allocation.pending.count:
             return False
-        if not self.scheduler.shards.ready(work, allocation.job.id, allocation, now):
+        if not is_ready(work, allocation.job.id, allocation, now):
             return False
         if allocation.service:
             return True  # free room is counted first, see `_choose`
@@ -113,12 +131,12 @@
         """Stop what yields, and keep the room for the job until it starts."""
         victims = [victim for step in chosen for victim in step.victims]
         for victim in victims:
-            for each in self.with_gang(work, victim):
+            for each in work.with_gang(victim):
                 self.agents.stop(each, each.spec.save)
         grace = max(victim.spec.save for victim in victims)
         id = allocation.job.id
         for step in chosen:
-            step.machine.reserved = (id, now + grace + self.report_s * 3)
+            step.machine.reserved = (id, now + grace + self.agent_heartbeat_s * 3)
         log.info(
             "preempted for=%s machines=%d tasks=%d",
             id,
@@ -146,7 +164,7 @@
             if not under:
                 if not fits(resources, available.plus(machine.yields(rank))):
                     continue
-            if not self.scheduler.shards.machine_ok(allocation, machine):
+            if not machine_ok(allocation, machine, self.policy.unhealthy_rest):
                 continue
             candidates = []
             for placement in machine.placements.values():
@@ -159,7 +177,7 @@
                 if not lower and (
                     # One gang for another of equal rank would gain nothing.
                     is_gang(placement)
-                    or not (under and self.scheduler.quotas.beyond(spec, allocation.spec.team))
+                    or not (under and self.quotas.beyond(spec, allocation.spec.team))
                 ):
                     continue
                 candidates.append((self._loss(placement, now), placement.key, placement))
@@ -192,10 +210,3 @@
     def _shared(self, placement: Placement) -> bool:
         """A gang over several shards can't be stopped in order from here."""
         return placement.job.record.attempt != 0
-
-    def with_gang(self, work: ShardState, victim: Placement) -> Iterable[Placement]:
-        """What has to stop with a placement: its whole gang, if it has one."""
-        allocation = work.allocations.get(victim.job.id)
-        if victim.spec.kind == user_api.GANG and allocation is not None:
-            return list(allocation.placed.values())
-        return [victim]
--- a/pitchtally/scheduling/quotas.py
+++ b/pitchtally/scheduling/quotas.py
@@ -2,40 +2,46 @@
 
 from __future__ import annotations
 
-import logging
 import math
-from typing import TYPE_CHECKING
 
 import trio
 
 from ..config.settings import Team
 from ..formats.quota_shares import QuotaShares
-from ..jobs.resources import Resources, count_fitting, fits, limited_request
-from ..membership.messages import ShardStatus
+from ..jobs.resources import Resources, count_fitting, limited_request
 from ..protocol import user_api
-from ..state_store import keys, rate_limits
-from ..state_store.errors import StoreUnavailable
 from .allocations import ShardState
 from .capacity import RANK
-from .component import SchedulerComponent
+from .context import SchedulingContext
+from .deadlines import Deadlines
+from .shard_statuses import ShardStatuses
 
-if TYPE_CHECKING:
-    from .scheduler import Scheduler
 
-log = logging.getLogger("teams")
+class Quotas:
+    """What each team may use: its guarantee, its limit, and each shard's share of the limit."""
 
-
-class Quotas(SchedulerComponent):
-    """Teams: guarantees, limits, and the durable shares of a limit that shards hold."""
-
-    def __init__(self, scheduler: Scheduler) -> None:
-        super().__init__(scheduler)
-        self.known: dict[str, Team] = {t.name: t for t in self.settings.deployment.teams}
-        self.shares = QuotaShares(scheduler.replica, scheduler.job_index.gate)
+    def __init__(
+        self,
+        context: SchedulingContext,
+        shares: QuotaShares,
+        shards: dict[int, ShardState],
+        statuses: ShardStatuses,
+        deadlines: Deadlines,
+    ) -> None:
+        self.job_index = context.job_index
+        self.agents = context.agents
+        self.agent_heartbeat_s = context.agent_heartbeat_s
+        self.shard_count = context.shard_count
+        self.shares = shares
+        self.shards = shards
+        self.statuses = statuses
+        self.deadlines = deadlines
+        teams = context.settings.deployment.teams
+        self.known: dict[str, Team] = {team.name: team for team in teams}
+        # Parts of shares whose transfer is under way, by shard and team: CPUs, GPUs.
         self.giving: dict[tuple[int, str], tuple[float, float]] = {}
-        self.waiting_for_limit: dict[
-            str, tuple[float, int, str]
-        ] = {}  # team -> gang short of share
+        # team -> (due, shard, id) of the gang short of share
+        self.waiting_for_limit: dict[str, tuple[float, int, str]] = {}
 
     def share(self, shard: int, team: str) -> tuple[float, float]:
         """This shard's durable share of a team's limits; infinite without a limit."""
@@ -46,7 +52,7 @@
         if rows is not None:
             cpus, gpus = rows[shard]
         else:
-            cpus, gpus = settings.cpus_max / self.count, settings.gpus_max / self.count
+            cpus, gpus = settings.cpus_max / self.shard_count, settings.gpus_max / self.shard_count
         less = self.giving.get((shard, team), (0.0, 0.0))
         return (
             cpus - less[0] if settings.cpus_max > 0 else math.inf,
@@ -97,7 +103,7 @@
         midst of a failover must not stop every limited team on the machines that answer.
         """
         machines_with_orphans = self.agents.machines_with_orphans.get(shard)
-        if self.scheduler.shards.work[shard].reconciled and not machines_with_orphans:
+        if self.shards[shard].reconciled and not machines_with_orphans:
             return (0.0, 0.0)
         hold = self.agents.shards.get(shard)
         if hold is None or not hold.loaded:
@@ -125,8 +131,8 @@
             return False
         # The gang's stretch deadline is far off for its size, while it needs little of
         # the limit, and only once: after a few reports it comes first.
-        waited = trio.current_time() - self.scheduler.priorities.release(first)
-        return waited > self.report_s * 4 or gang[0] <= self.scheduler.priorities.due(job, 1.0)
+        waited = trio.current_time() - self.deadlines.release(first)
+        return waited > self.agent_heartbeat_s * 4 or gang[0] <= self.deadlines.due(job, 1.0)
 
     def find_waiting_for_limit(self) -> None:
         """For each limited team, the first gang that has room on machines but no share."""
@@ -141,10 +147,10 @@
                 and team in limited
                 and self.limit_left(gang.spec) < gang.spec.tasks
             ):
-                row = (self.scheduler.priorities.due(gang, 1.0), -1, gang.id)
+                row = (self.deadlines.due(gang, 1.0), -1, gang.id)
                 if team not in self.waiting_for_limit or row < self.waiting_for_limit[team]:
                     self.waiting_for_limit[team] = row
-        for status in self.scheduler.statuses.newest.values():
+        for status in self.statuses.newest.values():
             for id, count in status.waiting.items():
                 job = self.job_index.open.get(id)
                 if job is None or job.spec.kind != user_api.GANG or not self.limited(job.spec.team):
@@ -156,10 +162,10 @@
                     continue
                 if (
                     id not in status.reserved
-                    and self.scheduler.statuses.free_capacity(status, spec, yielding=True) < count
+                    and self.statuses.free_capacity(status, spec, yielding=True) < count
                 ):
                     continue
-                row = (self.scheduler.priorities.due(job, 1.0), status.shard, id)
+                row = (self.deadlines.due(job, 1.0), status.shard, id)
                 if (
                     spec.team not in self.waiting_for_limit
                     or row < self.waiting_for_limit[spec.team]
@@ -169,10 +175,8 @@
     def use_anywhere(self, team: str) -> tuple[float, float]:
         """A team's use in all shards: ours exactly, others' as last told."""
         rows = [
-            self.use(p, team)
-            if p in self.scheduler.shards.work
-            else status.use.get(team, (0.0, 0.0))
-            for p, status in self.scheduler.statuses.newest.items()
+            self.use(p, team) if p in self.shards else status.use.get(team, (0.0, 0.0))
+            for p, status in self.statuses.newest.items()
         ]
         return sum(r[0] for r in rows), sum(r[1] for r in rows)
 
@@ -214,120 +218,3 @@
             return False
         cpus, gpus = self.use_anywhere(name)
         return cpus > team.cpus + 1e-6 or (gpus > team.gpus + 1e-6 and team.gpus > 0)
-
-    async def move_shares(self) -> None:
-        """Give a shard with too small a share what this shard neither uses nor waits for.
-
-        One commit lowers our share and raises the other's; we count as lowered from
-        before it is sent until the store is known to say otherwise.
-        """
-        for shard, work in list(self.scheduler.shards.work.items()):
-            token = self.membership.token(shard)
-            if not work.reconciled or token is None or shard not in self.scheduler.statuses.newest:
-                continue
-            for team in self.known.values():
-                if not self.limited(team.name) or (shard, team.name) in self.giving:
-                    continue
-                if self.scheduler.shards.work.get(shard) is not work:
-                    break  # lost while a share of it was being given away
-                spare = self._spare(shard, work, team.name)
-                for other in self.scheduler.statuses.newest.values():
-                    if other.shard == shard:
-                        continue
-                    short, least = self._short(other, team.name)
-                    give = (min(spare[0], short[0]), min(spare[1], short[1]))
-                    waiting_for_limit = self.waiting_for_limit.get(team.name)
-                    if waiting_for_limit is not None:
-                        if waiting_for_limit[1] != other.shard:
-                            continue  # first the gang that waits for its team's limit
-                    elif not fits(Resources(*least, 0.0), Resources(*give, 0.0)):
-                        continue  # not enough to start even one task there
-                    if give[0] > 1e-6 or give[1] > 1e-6:
-                        await self._give_share(shard, token, other.shard, team, give)
-                        break
-
-    def _spare(self, shard: int, work: ShardState, team: str) -> tuple[float, float]:
-        share, used = self.share(shard, team), self.use(shard, team)
-        cpus, gpus = share[0] - used[0], share[1] - used[1]
-        for allocation in work.allocations.values():
-            spec = allocation.job.spec
-            if spec.team == team and allocation.pending.count and not self.held_back(spec):
-                count = self._startable(
-                    self.scheduler.statuses.newest[shard], spec, allocation.pending.count
-                )
-                # What is too little for one more task here may complete one elsewhere.
-                count = min(count, count_fitting(limited_request(spec), Resources(cpus, gpus, 0.0)))
-                cpus -= spec.cpus * count
-                gpus -= spec.gpus * count
-        return (
-            cpus if 0 < cpus < math.inf else 0.0,
-            gpus if 0 < gpus < math.inf else 0.0,
-        )
-
-    def _startable(self, status: ShardStatus, spec: user_api.JobSpec, waiting: int) -> int:
-        """How many waiting tasks machines there have room for, by preemption too.
-
-        Share that goes to tasks without room would lie idle there while other shards
-        have room and no share. What the lowest rank holds counts as room: preemption waits
-        for the share, so the share must not wait for preemption.
-        """
-        yielding = spec.rank != user_api.RANKS[-1]
-        return min(
-            waiting,
-            self.scheduler.statuses.free_capacity(status, spec, yielding=yielding),
-        )
-
-    def _short(
-        self, status: ShardStatus, team: str
-    ) -> tuple[tuple[float, float], tuple[float, float]]:
-        """What a shard's waiting tasks of a team lack of share; and for one task, the least."""
-        share, used = self.share(status.shard, team), status.use.get(team, (0.0, 0.0))
-        left = (share[0] - used[0], share[1] - used[1])
-        cpus = gpus = 0.0
-        least = (math.inf, math.inf)
-        for id, count in status.waiting.items():
-            job = self.job_index.open.get(id)
-            if job is None or job.spec.team != team:
-                continue
-            spec = job.spec
-            count = self._startable(status, spec, count)
-            if not count:
-                continue
-            cpus, gpus = cpus + spec.cpus * count, gpus + spec.gpus * count
-            at_once = spec.tasks if spec.kind == user_api.GANG else 1
-            lack = (
-                max(0.0, spec.cpus * at_once - left[0]),
-                max(0.0, spec.gpus * at_once - left[1]),
-            )
-            least = min(least, lack)
-        if least[0] == math.inf:
-            return (0.0, 0.0), (0.0, 0.0)
-        return (max(0.0, cpus - left[0]), max(0.0, gpus - left[1])), least
-
-    async def _give_share(
-        self, shard: int, token: int, to: int, team: Team, give: tuple[float, float]
-    ) -> None:
-        rows = (
-            self.shares.of(team.name)
-            or [(team.cpus_max / self.count, team.gpus_max / self.count)] * self.count
-        )
-        moved = list(rows)
-        moved[shard] = (rows[shard][0] - give[0], rows[shard][1] - give[1])
-        moved[to] = (rows[to][0] + give[0], rows[to][1] + give[1])
-        change = self.shares.change(team.name, moved)
-        versions = self.shares.versions(team.name)
-        conditions = {keys.shard(shard): token, **versions}
-        self.giving[(shard, team.name)] = give
-        try:
-            await self.job_index.commit(conditions, [change], priority=rate_limits.ACCEPTANCES)
-        except StoreUnavailable as error:
-            await self.scheduler.resolve_outcome(
-                error,
-                change.key,
-                versions,
-                shard,
-                token,
-                lambda: self.shares.unchanged(change.key, team.name, rows),
-            )
-        finally:
-            self.giving.pop((shard, team.name), None)
--- a/pitchtally/scheduling/service_migration.py
+++ b/pitchtally/scheduling/service_migration.py
@@ -18,7 +18,12 @@
 from ..state_store.errors import StoreUnavailable
 from .allocations import ShardAllocation, ShardState, most_in_zone
 from .capacity import CapacitySource, plan_gang, stays_in_one_shard
-from .component import SchedulerComponent
+from .context import SchedulingContext
+from .eligibility import is_ready
+from .gang_planner import GangPlanner
+from .quotas import Quotas
+from .shard_statuses import ShardStatuses
+from .task_transfer import TaskTransfer
 
 log = logging.getLogger("services")
 
@@ -37,39 +42,57 @@
     zones: ZoneCounts
 
 
-class ServiceMigration(SchedulerComponent):
+class ServiceMigration:
     """Moves replicas of services that must stay whole, or starts those anew elsewhere."""
 
+    def __init__(
+        self,
+        context: SchedulingContext,
+        shards: dict[int, ShardState],
+        statuses: ShardStatuses,
+        quotas: Quotas,
+        gang_planner: GangPlanner,
+        transfer: TaskTransfer,
+    ) -> None:
+        self.settings = context.settings
+        self.policy = context.policy
+        self.agents = context.agents
+        self.agent_heartbeat_s = context.agent_heartbeat_s
+        self.shards = shards
+        self.statuses = statuses
+        self.quotas = quotas
+        self.gang_planner = gang_planner
+        self.transfer = transfer
+
     async def move(self) -> None:
         """Look at every such service of our shards that lacks replicas."""
-        for shard, work in list(self.scheduler.shards.work.items()):
-            token = self.membership.token(shard)
-            if not work.reconciled or token is None:
+        for shard, work in list(self.shards.items()):
+            if not work.reconciled or not self.transfer.leads(shard):
                 continue
             for allocation in list(work.allocations.values()):
                 if self._lacks_room(work, allocation):
-                    await self._move_or_leave(allocation, token)
+                    await self._move_or_leave(allocation)
 
     def _lacks_room(self, work: ShardState, allocation: ShardAllocation) -> bool:
         now = trio.current_time()
         if not allocation.service or not stays_in_one_shard(allocation.spec) or allocation.faulty:
             return False
-        if not self.scheduler.shards.ready(work, allocation.job.id, allocation, now):
+        if not is_ready(work, allocation.job.id, allocation, now):
             return False
         if not allocation.placed and len(allocation.job.record.ranges) == 1:
             return False  # nothing of it runs: it goes back to the leader
-        if now - allocation.since < self.report_s * PATIENCE_REPORTS:
+        if now - allocation.since < self.agent_heartbeat_s * PATIENCE_REPORTS:
             return False
-        if not self.scheduler.quotas.tasks_within_limit(allocation.shard, allocation.spec):
+        if not self.quotas.tasks_within_limit(allocation.shard, allocation.spec):
             return False  # it waits for its team's limit, wherever it is
         return self._find(allocation, [allocation.shard], capped=True) is None
 
-    async def _move_or_leave(self, allocation: ShardAllocation, token: int) -> None:
-        others = [shard for shard in self.scheduler.statuses.newest if shard != allocation.shard]
+    async def _move_or_leave(self, allocation: ShardAllocation) -> None:
+        others = [shard for shard in self.statuses.newest if shard != allocation.shard]
         # Our own shard again, if only its caps keep it from using what zones leave.
         found = self._find(allocation, [allocation.shard, *others])
         if found is not None:
-            await self._move(allocation, found, token)
+            await self._move(allocation, found)
         elif trio.current_time() - allocation.since >= self.policy.start_within * LEAVE_SHARE:
             self._leave(allocation, others)
 
@@ -83,7 +106,7 @@
         spec, missing = allocation.spec, allocation.pending.count
         zone = allocation.job.record.zone if allocation.one_zone else None
         for source in (CapacitySource.FREE, CapacitySource.YIELDING):
-            capacities = self.scheduler.gang_planner.free_capacity(spec, source)
+            capacities = self.gang_planner.free_capacity(spec, source)
             for shard in shards:
                 left = self._zone_limits(allocation, capped=capped)
                 here = {
@@ -108,7 +131,7 @@
             return {zone: allocation.most_in_zone(zone) - n for zone, n in placed.items()}
         return zone_limits(allocation.job, placed, allocation.shard)
 
-    async def _move(self, allocation: ShardAllocation, move: Move, token: int) -> None:
+    async def _move(self, allocation: ShardAllocation, move: Move) -> None:
         caps = None
         if allocation.spec.spread:
             caps = moved_caps(allocation.job, self._placed(allocation), allocation.shard, move)
@@ -120,9 +143,7 @@
             allocation.pending.count,
         )
         try:
-            await self.scheduler.rebalancing.give(
-                allocation, move.shard, allocation.pending.count, caps
-            )
+            await self.transfer.give(allocation, move.shard, allocation.pending.count, caps)
         except StoreUnavailable as error:
             log.debug("replicas not moved: %s", error)
 
@@ -130,7 +151,7 @@
         """Stop a service that can't be whole as it stands, so that it starts whole elsewhere."""
         if len({r.shard for r in allocation.job.record.ranges}) > 1:
             return  # the others' replicas aren't ours to stop
-        if self.scheduler.gang_planner.plan_service(allocation.spec, others) is None:
+        if self.gang_planner.plan_service(allocation.spec, others) is None:
             return
         log.info("service leaves job=%s part=%d", allocation.job.id, allocation.shard)
         allocation.not_before = trio.current_time() + self.settings.deployment.workers.lease_s
--- a/pitchtally/scheduling/shards.py
+++ b/pitchtally/scheduling/shards.py
@@ -1,38 +1,49 @@
-"""The shards we own: taken, loaded, settled, lost, and the tasks that each holds."""
+"""The shards that this controller leads: acquired, loaded, reconciled, lost, and their tasks."""
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Collection
-from typing import TYPE_CHECKING
 
 import trio
 
-from ..agents.machines import Machine, MachineGroupKey, Placement
+from ..agents.machines import MachineGroupKey, Placement
 from ..jobs.index import Job
-from ..jobs.job_record import DONE, JobRecord
-from ..jobs.resources import capacity_of, fits
+from ..jobs.job_record import JobRecord
 from ..protocol import agent_api, user_api
 from .allocations import ShardAllocation, ShardState
-from .capacity import allows_machine, allows_machine_type
-from .component import SchedulerComponent
-from .failure_attribution import Standing, is_unhealthy, standing
-
-if TYPE_CHECKING:
-    from .scheduler import Scheduler
+from .capacity import allows_machine_type
+from .context import SchedulingContext
+from .deadlines import Deadlines
+from .failure_tracker import FailureTracker
+from .planning_trigger import PlanningTrigger
+from .shard_statuses import ShardStatuses
 
 log = logging.getLogger("parts")
 
-# Report intervals between two tries of what ends at once again and again, at the most.
-LONGEST_BACKOFF = 16.0
-
-
-class ShardStates(SchedulerComponent):
-    """The shards we own: taken, loaded, settled, lost, and the tasks that each holds."""
 
-    def __init__(self, scheduler: Scheduler) -> None:
-        super().__init__(scheduler)
-        self.work: dict[int, ShardState] = {}
+class ShardStates:
+    """Keeps the states of our shards up to date; implements `agents.listener.AgentListener`."""
+
+    def __init__(
+        self,
+        context: SchedulingContext,
+        work: dict[int, ShardState],
+        statuses: ShardStatuses,
+        deadlines: Deadlines,
+        failures: FailureTracker,
+        planning_trigger: PlanningTrigger,
+    ) -> None:
+        self.job_index = context.job_index
+        self.agents = context.agents
+        self.machine_types = context.machine_types
+        self.estimates = context.estimates
+        self.agent_heartbeat_s = context.agent_heartbeat_s
+        self.work = work
+        self.statuses = statuses
+        self.deadlines = deadlines
+        self.failures = failures
+        self.planning_trigger = planning_trigger
         self.recent: dict[tuple[object, ...], user_api.JobSpec] = {}  # a job of each shape seen
         self.job_index.watchers.append(self.on_job)
 
@@ -43,7 +54,7 @@
     def shard_lost(self, shard: int) -> None:
         """A part is another node's."""
         self.work.pop(shard, None)
-        self.scheduler.statuses.newest.pop(shard, None)
+        self.statuses.newest.pop(shard, None)
 
     def shard_loaded(self, shard: int) -> None:
         """Our copy covers the failover: jobs wait until their machines are heard."""
@@ -68,12 +79,12 @@
             self.update_allocation(job, shard)
             self._attach_early(work, id)
             log.debug("job unblocked part=%d job=%s", shard, id)
-        self.scheduler.wake.set()
+        self.planning_trigger.set()
 
     def _may_be_on(self, job: Job, group: MachineGroupKey) -> bool:
         """Whether a task of the job may be on machines of a group that an earlier leader used."""
         type_, zone, spot = group
-        machine_type = self.types().get(type_)
+        machine_type = self.machine_types().get(type_)
         spec = job.spec
         if machine_type is None:
             return True
@@ -99,12 +110,12 @@
             self.update_allocation(job, shard)
         for id in sorted({placement.job.id for placement in work.early}):
             self._attach_early(work, id)
-        self.scheduler.wake.set()
+        self.planning_trigger.set()
 
     def on_job(self, job: Job, old: JobRecord | None) -> None:
         """A job's record has changed."""
         if not job.open:
-            self.scheduler.priorities.released.pop(job.id, None)
+            self.deadlines.forget(job.id)
             for work in self.work.values():
                 allocation = work.allocations.pop(job.id, None)
                 work.gangs.pop(job.id, None)
@@ -124,7 +135,7 @@
             return
         for shard in list(self.work):
             self.update_allocation(job, shard)
-        self.scheduler.wake.set()
+        self.planning_trigger.set()
 
     def update_allocation(self, job: Job, shard: int) -> None:
         """Bring what a shard holds of a job up to its record."""
@@ -137,11 +148,11 @@
             if not mine or not work.loaded or job.id in work.blocked:
                 return
             allocation = work.allocations[job.id] = ShardAllocation(
-                job, shard, self.scheduler.priorities.release(job)
+                job, shard, self.deadlines.release(job)
             )
             if allocation.gang:
                 work.gangs[job.id] = allocation
-            self.scheduler.priorities.renew(allocation)
+            self.deadlines.renew(allocation)
             allocation.rebuild()
         elif allocation.ranges != mine and not allocation.moving:
             allocation.rebuild()
@@ -175,7 +186,7 @@
 
     def task_completed(self, placement: Placement, ran: float) -> None:
         """A task of ours is done."""
-        self.scheduler.estimates.learn(placement.spec, ran)
+        self.estimates.learn(placement.spec, ran)
         work = self.work.get(placement.machine.shard)
         allocation = work.allocations.get(placement.job.id) if work else None
         last = (
@@ -201,135 +212,13 @@
             allocation.give_back(placement.task)
             work.expect(allocation.resources)
             if allocation.service:
-                self._replica_ended(allocation, placement, cause)
+                self.failures.replica_ended(allocation, placement, cause)
             if cause == agent_api.ERROR:
-                self._failed(work, allocation, placement)
+                self.failures.task_failed(work, allocation, placement)
             elif cause == agent_api.UNKNOWN:
-                allocation.not_before = trio.current_time() + self.report_s
+                allocation.not_before = trio.current_time() + self.agent_heartbeat_s
         if job.spec.kind == user_api.GANG and not job.is_finished(placement.task):
             # What is left of the gang can't go on: the next attempt needs all gone.
             for other in list(allocation.placed.values()):
                 self.agents.stop(other, job.spec.save)
-        self.scheduler.wake.set()
-
-    def _replica_ended(self, allocation: ShardAllocation, placement: Placement, cause: str) -> None:
-        """Back off where replicas end by themselves again and again; forgive what ran long."""
-        now = trio.current_time()
-        if cause not in (agent_api.DONE, agent_api.ERROR):
-            return
-        ran = now - placement.run_at if placement.run_at is not None else 0.0
-        if ran >= self.policy.unhealthy_rest:
-            # Whatever ended it, it isn't that the job, or the machine, fails each start.
-            allocation.short_runs = 0
-            allocation.failed_on.clear()
-            allocation.failed_after = 0.0
-        elif cause == agent_api.DONE:
-            allocation.short_runs += 1
-            pause = self.report_s * min(2.0**allocation.short_runs, LONGEST_BACKOFF)
-            if allocation.short_runs > 1:
-                allocation.not_before = now + pause
-
-    def _failed(self, work: ShardState, allocation: ShardAllocation, placement: Placement) -> None:
-        """Whose fault it was, by all that is known: the job waits, or the machine rests."""
-        now = trio.current_time()
-        machine = placement.machine
-        allocation.failed_on[machine.name] = now
-        if placement.run_at is not None:
-            allocation.failed_after = max(allocation.failed_after, now - placement.run_at)
-        self.score(allocation)
-        if not allocation.faulty:
-            self._judge(work, machine)
-            return
-        if allocation.not_before <= now:
-            # One failure a try: those that started together count once.
-            allocation.probes += 1
-            pause = self.report_s * min(2.0**allocation.probes, LONGEST_BACKOFF)
-            allocation.not_before = now + pause
-            log.info(
-                "job fails wherever it goes job=%s machines=%d pause=%.1f",
-                allocation.job.id,
-                len(allocation.failed_on),
-                pause,
-            )
-        for name in allocation.failed_on:
-            other = self.agents.machines.get(name)
-            if other is not None and other.failed_jobs.pop(allocation.job.id, None) is not None:
-                other.failed_at.pop(allocation.job.id, None)
-                if other.quarantined_until > now and not self._is_unhealthy(work, other):
-                    other.quarantined_until = -1e9
-
-    def score(self, allocation: ShardAllocation) -> None:
-        """Work out a job's standing anew; one that has never failed needs none."""
-        if allocation.failed_on:
-            allocation.faulty = self._standing(allocation) is Standing.FAULTY
-
-    def _standing(self, allocation: ShardAllocation) -> Standing:
-        now = trio.current_time()
-        return standing(
-            bool(allocation.job.finished.count or allocation.job.local),
-            len(allocation.failed_on),
-            allocation.failed_after,
-            [now - p.run_at for p in allocation.placed.values() if p.run_at is not None],
-            self.report_s * 2,
-        )
-
-    def _is_unhealthy(self, work: ShardState, machine: Machine) -> bool:
-        jobs = {}
-        failures = {}
-        for id, count in machine.failed_jobs.items():
-            job, allocation = self.job_index.jobs.get(id), work.allocations.get(id)
-            if job is None or (not job.open and job.record.stage != DONE):
-                continue  # its user has cancelled it, as one does with a mistake
-            failures[id] = count
-            if allocation is not None:
-                jobs[id] = self._standing(allocation)
-            else:
-                done = not job.open or bool(job.finished.count or job.local)
-                jobs[id] = Standing.GOOD if done else Standing.UNKNOWN
-        return is_unhealthy(failures, jobs)
-
-    def _judge(self, work: ShardState, machine: Machine) -> None:
-        if not self._is_unhealthy(work, machine):
-            return
-        now = trio.current_time()
-        if machine.quarantined_until < now:
-            log.info(
-                "machine rests machine=%s jobs=%d errors=%d",
-                machine.name,
-                len(machine.failed_jobs),
-                machine.errors,
-            )
-        machine.quarantined_until = now + self.policy.unhealthy_rest
-
-    def machine_ok(self, allocation: ShardAllocation, machine: Machine) -> bool:
-        """Whether a machine may run tasks of the job."""
-        machine_type = machine.machine_type
-        if machine_type is None:
-            return False
-        ok = allocation.groups.get(machine.group)
-        if ok is None:
-            ok = allocation.groups[machine.group] = allows_machine(
-                allocation.job, machine.type, machine.zone, machine.spot
-            ) and fits(allocation.resources, capacity_of(machine_type))
-        if not ok:
-            return False
-        # Also what the machine remembers: a holding is new after a move or a failover. Not
-        # for ever: a machine may be well again, and there may be no other.
-        if allocation.failed_on or machine.failed_at:
-            at = max(
-                allocation.failed_on.get(machine.name, -1e9),
-                machine.failed_at.get(allocation.job.id, -1e9),
-            )
-            if trio.current_time() - at < self.policy.unhealthy_rest:
-                return False
-        return not allocation.one_zone or allocation.job.record.zone == machine.zone
-
-    def ready(self, work: ShardState, id: str, allocation: ShardAllocation, now: float) -> bool:
-        """Whether tasks of the job may start at all now."""
-        return (
-            allocation.pending.count > 0
-            and not allocation.moving
-            and id not in work.blocked
-            and allocation.not_before <= now
-            and allocation.job.open
-        )
+        self.planning_trigger.set()
--- a/tests/cluster/test_large_fleet.py
+++ b/tests/cluster/test_large_fleet.py
@@ -121,8 +121,8 @@
             leader.replica.learn(f"pt/jobs/{spec.id}", encode(record), 60 + number)
         leader.scheduler.shards.shard_loaded(0)
         leader.scheduler.shards.shard_reconciled(0)
-        leader.scheduler.placer.survey(0)
-        leader.scheduler.placer.allot(0)
+        leader.scheduler.survey.survey(0)
+        leader.scheduler.allotment.allot(0)
         calls = _calls(leader.agents.serve(_heartbeat(dear, 2, 50, [], type="dear")))
         assert bool(leader.agents.machines[f"i-{dear:06d}"].placements) == (cpus == 60.0)
         return calls
@@ -503,12 +503,13 @@
             async def lost(
                 *args: Any,
                 scheduler: Any = scheduler,
-                write: Any = scheduler.write_ranges,
+                agents: Any = controller.agents,
+                write: Any = scheduler.range_writer.write_ranges,
                 **more: Any,
             ) -> bool:
                 done: bool = await write(*args, **more)
                 for shard in list(scheduler.shards.work):
-                    scheduler.agents.release_shard(shard)
+                    agents.release_shard(shard)
                 return done
 
             def watched(each: Any, shard: int, hold: Any = hold) -> None:
@@ -517,7 +518,7 @@
                 except KeyError:
                     faults.append(each.id)
 
-            monkeypatch.setattr(scheduler, "write_ranges", lost)
+            monkeypatch.setattr(scheduler.range_writer, "write_ranges", lost)
             monkeypatch.setattr(scheduler.shards, "update_allocation", watched)
         await trio.sleep(30)
         assert not faults
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -136,7 +136,7 @@
         written: dict[str, str | bytes] = {
             **RECORDS,
             "nodes/n1": msgspec.json.encode(new.membership._own_node()),
-            "jobs/wk-000001": new.scheduler._record_with(job_),
+            "jobs/wk-000001": new.scheduler.range_writer.record_with(job_),
             "jobs/wk-000004": job_record.encode(record),
             "shares": new.scheduler.quotas.shares.change(
                 "tight", [(4.0, 0.0), (2.0, 0.0), (0, 0)]
--- a/tests/harness/simulation.py
+++ b/tests/harness/simulation.py
@@ -26,7 +26,7 @@
 )
 from pitchtally.controller import Controller
 from pitchtally.http import HttpError, Response
-from pitchtally.scheduling import priorities
+from pitchtally.scheduling import deadlines
 from standins.cloud import World
 from standins.network import HERE, Network
 from standins.state_store import State
@@ -302,7 +302,7 @@
     async def main() -> None:
         sim.network.install(monkeypatch)
         clock = types.SimpleNamespace(time=trio.current_time)
-        monkeypatch.setattr(priorities, "time", clock)
+        monkeypatch.setattr(deadlines, "time", clock)
         monkeypatch.setattr(routes, "time", clock)
         if production is not None:
             production.install(monkeypatch, sim.network, clock)
