--- a/pitchtally/scheduling/admission.py
+++ b/pitchtally/scheduling/assignment/admission.py
@@ -2,16 +2,16 @@
 
 from __future__ import annotations
 
-from ..jobs.job_record import TaskRange
-from ..membership.membership import Membership
-from ..protocol import user_api
-from . import stretch
-from .allocations import ShardState
-from .capacity import NOBODY, Plan, stays_in_one_shard
-from .context import SchedulingContext
-from .gang_planner import GangPlanner
+from ...jobs.job_record import TaskRange
+from ...membership.membership import Membership
+from ...protocol import user_api
+from .. import stretch
+from ..capacity import NOBODY, Plan, stays_in_one_shard
+from ..context import SchedulingContext
+from ..gangs.planner import GangPlanner
+from ..shards.allocations import ShardState
+from ..shards.shard_statuses import ShardStatuses
 from .proportional_split import ProportionalSplit
-from .shard_statuses import ShardStatuses
 
 
 class Admission:
--- a/pitchtally/scheduling/assignment.py
+++ b/pitchtally/scheduling/assignment/job_assignment.py
@@ -4,16 +4,16 @@
 
 import msgspec
 
-from ..jobs.job_record import merge
-from ..membership.membership import CLUSTER_LEADER_SHARD
-from ..state_store import keys
-from .capacity import RANK, stays_in_one_shard
-from .context import SchedulingContext
-from .deadlines import Deadlines
-from .gang_planner import GangPlanner
+from ...jobs.job_record import merge
+from ...membership.membership import CLUSTER_LEADER_SHARD
+from ...state_store import keys
+from ..capacity import RANK, stays_in_one_shard
+from ..context import SchedulingContext
+from ..deadlines import Deadlines
+from ..gangs.planner import GangPlanner
+from ..quotas.quotas import Quotas
+from ..range_writer import RangeWriter
 from .proportional_split import ProportionalSplit
-from .quotas import Quotas
-from .range_writer import RangeWriter
 
 
 class JobAssignment:
--- a/pitchtally/scheduling/proportional_split.py
+++ b/pitchtally/scheduling/assignment/proportional_split.py
@@ -4,16 +4,16 @@
 
 import math
 
-from ..jobs.job_record import TaskRange
-from ..jobs.resources import dominant_share, resource_request
-from ..membership.messages import ShardStatus
-from ..protocol import user_api
-from . import stretch
-from .capacity import allows_machine_type, stays_in_one_shard
-from .context import SchedulingContext
-from .deadlines import Deadlines
-from .gang_planner import GangPlanner
-from .shard_statuses import ShardStatuses
+from ...jobs.job_record import TaskRange
+from ...jobs.resources import dominant_share, resource_request
+from ...membership.messages import ShardStatus
+from ...protocol import user_api
+from .. import stretch
+from ..capacity import allows_machine_type, stays_in_one_shard
+from ..context import SchedulingContext
+from ..deadlines import Deadlines
+from ..gangs.planner import GangPlanner
+from ..shards.shard_statuses import ShardStatuses
 
 
 class ProportionalSplit:
--- a/pitchtally/scheduling/give_back.py
+++ b/pitchtally/scheduling/gangs/give_back.py
@@ -4,19 +4,19 @@
 
 import trio
 
-from ..jobs.index import Job
-from ..jobs.job_record import TaskRange, merge
-from ..membership.membership import Membership
-from ..state_store import keys
-from ..state_store.errors import StoreUnavailable
-from .allocations import ShardAllocation, ShardState
-from .capacity import is_fully_assigned, may_be_active, stays_in_one_shard
-from .context import SchedulingContext
-from .deadlines import Deadlines
-from .quotas import Quotas
-from .range_writer import MOST_RANGES, RangeWriter
+from ...jobs.index import Job
+from ...jobs.job_record import TaskRange, merge
+from ...membership.membership import Membership
+from ...state_store import keys
+from ...state_store.errors import StoreUnavailable
+from ..capacity import is_fully_assigned, may_be_active, stays_in_one_shard
+from ..context import SchedulingContext
+from ..deadlines import Deadlines
+from ..quotas.quotas import Quotas
+from ..range_writer import MOST_RANGES, RangeWriter
+from ..shards.allocations import ShardAllocation, ShardState
+from ..shards.shard_states import ShardStates
 from .reservations import is_reserved_for
-from .shards import ShardStates
 
 
 class GiveBack:
--- a/pitchtally/scheduling/gang_planner.py
+++ b/pitchtally/scheduling/gangs/planner.py
@@ -9,15 +9,15 @@
 import msgspec
 import trio
 
-from ..jobs.index import Job
-from ..jobs.job_record import TaskRange, merge
-from ..jobs.resources import Resources, capacity_of, count_fitting, fits, resource_request
-from ..jobs.task_bitmap import TaskBitmap
-from ..membership.membership import CLUSTER_LEADER_SHARD
-from ..membership.messages import MachineFlag, ShardStatus
-from ..protocol import user_api
-from ..state_store import keys
-from .capacity import (
+from ...jobs.index import Job
+from ...jobs.job_record import TaskRange, merge
+from ...jobs.resources import Resources, capacity_of, count_fitting, fits, resource_request
+from ...jobs.task_bitmap import TaskBitmap
+from ...membership.membership import CLUSTER_LEADER_SHARD
+from ...membership.messages import MachineFlag, ShardStatus
+from ...protocol import user_api
+from ...state_store import keys
+from ..capacity import (
     CapacitySource,
     Plan,
     allows_machine_type,
@@ -25,13 +25,13 @@
     plan_gang,
     share_ratio,
 )
-from .context import SchedulingContext
-from .deadlines import Deadlines
-from .quotas import Quotas
-from .range_writer import RangeWriter
-from .shard_statuses import ShardStatuses
+from ..context import SchedulingContext
+from ..deadlines import Deadlines
+from ..quotas.quotas import Quotas
+from ..range_writer import RangeWriter
+from ..shards.shard_statuses import ShardStatuses
 
-log = logging.getLogger("gangs")
+log = logging.getLogger("gang_planner")
 
 # Sources that take preemption.
 BY_PREEMPTION = (CapacitySource.YIELDING, CapacitySource.OVER_GUARANTEE)
--- a/pitchtally/scheduling/reservations.py
+++ b/pitchtally/scheduling/gangs/reservations.py
@@ -8,15 +8,15 @@
 
 import trio
 
-from ..agents.machines import Machine
-from ..jobs.resources import Resources, fits
-from .allocations import ShardAllocation, ShardState
-from .context import SchedulingContext
-from .deadlines import Deadlines
-from .eligibility import is_ready, machine_ok
-from .quotas import Quotas
-
-log = logging.getLogger("gangs")
+from ...agents.machines import Machine
+from ...jobs.resources import Resources, fits
+from ..context import SchedulingContext
+from ..deadlines import Deadlines
+from ..quotas.quotas import Quotas
+from ..shards.allocations import ShardAllocation, ShardState
+from ..shards.eligibility import is_ready, machine_ok
+
+log = logging.getLogger("reservations")
 
 
 class Opening(NamedTuple):
--- a/pitchtally/scheduling/gang_starter.py
+++ b/pitchtally/scheduling/gangs/starter.py
@@ -4,16 +4,16 @@
 
 import trio
 
-from ..agents.machines import Machine
-from ..jobs.resources import Resources, count_fitting, fits, resource_request
-from .allocations import ShardAllocation, ShardState
-from .capacity import is_fully_assigned
-from .context import SchedulingContext
-from .eligibility import is_ready, machine_ok
-from .priorities import PriorityOrder
-from .quotas import Quotas
-from .shard_statuses import ShardStatuses
-from .task_start import next_attempt, place_task
+from ...agents.machines import Machine
+from ...jobs.resources import Resources, count_fitting, fits, resource_request
+from ..capacity import is_fully_assigned
+from ..context import SchedulingContext
+from ..priorities import PriorityOrder
+from ..quotas.quotas import Quotas
+from ..shards.allocations import ShardAllocation, ShardState
+from ..shards.eligibility import is_ready, machine_ok
+from ..shards.shard_statuses import ShardStatuses
+from ..shards.task_start import next_attempt, place_task
 
 
 class GangStarter:
--- a/pitchtally/scheduling/allotment.py
+++ b/pitchtally/scheduling/placement/allotment.py
@@ -4,11 +4,11 @@
 
 import trio
 
-from . import stretch
-from .allocations import ShardState
-from .context import SchedulingContext
-from .eligibility import machine_ok
-from .machine_queues import add_to_queue, machine_queue, task_work
+from .. import stretch
+from ..context import SchedulingContext
+from ..shards.allocations import ShardState
+from ..shards.eligibility import machine_ok
+from ..shards.machine_queues import add_to_queue, machine_queue, task_work
 
 
 class Allotment:
--- a/pitchtally/scheduling/draining.py
+++ b/pitchtally/scheduling/placement/draining.py
@@ -4,8 +4,8 @@
 
 import trio
 
-from .allocations import ShardState
-from .context import SchedulingContext
+from ..context import SchedulingContext
+from ..shards.allocations import ShardState
 
 
 class DrainingEviction:
--- a/pitchtally/scheduling/placer.py
+++ b/pitchtally/scheduling/placement/placer.py
@@ -6,17 +6,17 @@
 
 import trio
 
-from ..agents.machines import Machine, MachineGroupKey, Placement
-from ..jobs.resources import Resources, count_fitting, dominant_share, fits, resource_request
-from ..protocol import user_api
-from .allocations import ShardAllocation, ShardState
-from .context import SchedulingContext
-from .eligibility import is_ready, machine_ok
-from .gang_starter import GangStarter
-from .lower_price_capacity import TaskCapacity
-from .priorities import PriorityOrder
-from .quotas import Quotas
-from .task_start import next_attempt, place_task
+from ...agents.machines import Machine, MachineGroupKey, Placement
+from ...jobs.resources import Resources, count_fitting, dominant_share, fits, resource_request
+from ...protocol import user_api
+from ..context import SchedulingContext
+from ..gangs.starter import GangStarter
+from ..priorities import PriorityOrder
+from ..quotas.quotas import Quotas
+from ..shards.allocations import ShardAllocation, ShardState
+from ..shards.eligibility import is_ready, machine_ok
+from ..shards.lower_price_capacity import TaskCapacity
+from ..shards.task_start import next_attempt, place_task
 
 # Shares of a machine's cost for a task below which another is cheaper, or as dear.
 CHEAPER, ALIKE = 0.8, 1.2
--- a/pitchtally/scheduling/preemption.py
+++ b/pitchtally/scheduling/placement/preemption.py
@@ -9,16 +9,16 @@
 
 import trio
 
-from ..agents.machines import Machine, Placement
-from ..jobs.resources import fits
-from ..protocol import user_api
-from .allocations import ShardAllocation, ShardState
-from .capacity import is_gang
-from .context import SchedulingContext
-from .deadlines import Deadlines
-from .eligibility import is_ready, machine_ok
-from .quotas import Quotas
-from .reservations import is_reserved_for
+from ...agents.machines import Machine, Placement
+from ...jobs.resources import fits
+from ...protocol import user_api
+from ..capacity import is_gang
+from ..context import SchedulingContext
+from ..deadlines import Deadlines
+from ..gangs.reservations import is_reserved_for
+from ..quotas.quotas import Quotas
+from ..shards.allocations import ShardAllocation, ShardState
+from ..shards.eligibility import is_ready, machine_ok
 
 log = logging.getLogger("preemption")
 
--- a/pitchtally/scheduling/status_publisher.py
+++ b/pitchtally/scheduling/placement/status_publisher.py
@@ -6,19 +6,19 @@
 
 import trio
 
-from ..agents.machines import Machine, MachineGroupKey
-from ..jobs.resources import NO_RESOURCES, Resources
-from ..membership.messages import MachineFlag, MachineStatus, ShardStatus
-from ..protocol import user_api
-from . import stretch
-from .allocations import ShardState
-from .capacity import is_gang
-from .context import SchedulingContext
-from .machine_queues import machine_queue
-from .quotas import Quotas
-from .shard_statuses import ShardStatuses
-
-log = logging.getLogger("statuses")
+from ...agents.machines import Machine, MachineGroupKey
+from ...jobs.resources import NO_RESOURCES, Resources
+from ...membership.messages import MachineFlag, MachineStatus, ShardStatus
+from ...protocol import user_api
+from .. import stretch
+from ..capacity import is_gang
+from ..context import SchedulingContext
+from ..quotas.quotas import Quotas
+from ..shards.allocations import ShardState
+from ..shards.machine_queues import machine_queue
+from ..shards.shard_statuses import ShardStatuses
+
+log = logging.getLogger("status_publisher")
 
 
 class StatusPublisher:
--- a/pitchtally/scheduling/survey.py
+++ b/pitchtally/scheduling/placement/survey.py
@@ -6,16 +6,16 @@
 
 import trio
 
-from ..agents.machines import Machine
-from ..jobs.resources import dominant_share
-from ..protocol import user_api
-from . import stretch
-from .allocations import MachineGroup, ShardState
-from .context import SchedulingContext
-from .deadlines import Deadlines
-from .failure_tracker import FailureTracker
-from .lower_price_capacity import list_capacities
-from .machine_queues import add_to_queue, machine_queue
+from ...agents.machines import Machine
+from ...jobs.resources import dominant_share
+from ...protocol import user_api
+from .. import stretch
+from ..context import SchedulingContext
+from ..deadlines import Deadlines
+from ..shards.allocations import MachineGroup, ShardState
+from ..shards.failure_tracker import FailureTracker
+from ..shards.lower_price_capacity import list_capacities
+from ..shards.machine_queues import add_to_queue, machine_queue
 
 LEVEL_TOLERANCE = 0.05  # of the least stretch of a queue, relative
 # A machine silent for longer takes no task with its next report, for all that is known.
--- a/pitchtally/scheduling/priorities.py
+++ b/pitchtally/scheduling/priorities.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from ..protocol import user_api
-from .allocations import ShardAllocation
 from .context import SchedulingContext
 from .deadlines import Deadlines
-from .quotas import Quotas
+from .quotas.quotas import Quotas
+from .shards.allocations import ShardAllocation
 
 
 class PriorityOrder:
--- a/pitchtally/scheduling/quota_transfer.py
+++ b/pitchtally/scheduling/quotas/quota_transfer.py
@@ -4,18 +4,18 @@
 
 import math
 
-from ..config.settings import Team
-from ..jobs.resources import Resources, count_fitting, fits, limited_request
-from ..membership.membership import Membership
-from ..membership.messages import ShardStatus
-from ..protocol import user_api
-from ..state_store import keys, rate_limits
-from ..state_store.errors import StoreUnavailable
-from .allocations import ShardState
-from .context import SchedulingContext
+from ...config.settings import Team
+from ...jobs.resources import Resources, count_fitting, fits, limited_request
+from ...membership.membership import Membership
+from ...membership.messages import ShardStatus
+from ...protocol import user_api
+from ...state_store import keys, rate_limits
+from ...state_store.errors import StoreUnavailable
+from ..context import SchedulingContext
+from ..range_writer import RangeWriter
+from ..shards.allocations import ShardState
+from ..shards.shard_statuses import ShardStatuses
 from .quotas import Quotas
-from .range_writer import RangeWriter
-from .shard_statuses import ShardStatuses
 
 
 class QuotaTransfer:
--- a/pitchtally/scheduling/quotas.py
+++ b/pitchtally/scheduling/quotas/quotas.py
@@ -6,15 +6,15 @@
 
 import trio
 
-from ..config.settings import Team
-from ..formats.quota_shares import QuotaShares
-from ..jobs.resources import Resources, count_fitting, limited_request
-from ..protocol import user_api
-from .allocations import ShardState
-from .capacity import RANK
-from .context import SchedulingContext
-from .deadlines import Deadlines
-from .shard_statuses import ShardStatuses
+from ...config.settings import Team
+from ...formats.quota_shares import QuotaShares
+from ...jobs.resources import Resources, count_fitting, limited_request
+from ...protocol import user_api
+from ..capacity import RANK
+from ..context import SchedulingContext
+from ..deadlines import Deadlines
+from ..shards.allocations import ShardState
+from ..shards.shard_statuses import ShardStatuses
 
 
 class Quotas:
--- a/pitchtally/scheduling/rebalancing.py
+++ b/pitchtally/scheduling/rebalancing/rebalancing.py
@@ -6,15 +6,15 @@
 
 import trio
 
-from ..membership.messages import MachineFlag, ShardStatus
-from ..protocol import user_api
-from .allocations import ShardAllocation, ShardState
-from .capacity import RANK, allows_machine_type, share_ratio, stays_in_one_shard
-from .context import SchedulingContext
-from .eligibility import is_ready
-from .quotas import Quotas
-from .range_writer import MOST_RANGES
-from .shard_statuses import ShardStatuses
+from ...membership.messages import MachineFlag, ShardStatus
+from ...protocol import user_api
+from ..capacity import RANK, allows_machine_type, share_ratio, stays_in_one_shard
+from ..context import SchedulingContext
+from ..quotas.quotas import Quotas
+from ..range_writer import MOST_RANGES
+from ..shards.allocations import ShardAllocation, ShardState
+from ..shards.eligibility import is_ready
+from ..shards.shard_statuses import ShardStatuses
 from .task_transfer import TaskTransfer
 
 # Waiting jobs that a shard offers to others between two statuses from them.
--- a/pitchtally/scheduling/service_migration.py
+++ b/pitchtally/scheduling/rebalancing/service_migration.py
@@ -14,18 +14,18 @@
 
 import trio
 
-from ..jobs.index import Job
-from ..state_store.errors import StoreUnavailable
-from .allocations import ShardAllocation, ShardState, most_in_zone
-from .capacity import CapacitySource, plan_gang, stays_in_one_shard
-from .context import SchedulingContext
-from .eligibility import is_ready
-from .gang_planner import GangPlanner
-from .quotas import Quotas
-from .shard_statuses import ShardStatuses
+from ...jobs.index import Job
+from ...state_store.errors import StoreUnavailable
+from ..capacity import CapacitySource, plan_gang, stays_in_one_shard
+from ..context import SchedulingContext
+from ..gangs.planner import GangPlanner
+from ..quotas.quotas import Quotas
+from ..shards.allocations import ShardAllocation, ShardState, most_in_zone
+from ..shards.eligibility import is_ready
+from ..shards.shard_statuses import ShardStatuses
 from .task_transfer import TaskTransfer
 
-log = logging.getLogger("services")
+log = logging.getLogger("service_migration")
 
 # Report intervals that a replica waits for room in its own shard.
 PATIENCE_REPORTS = 2
--- a/pitchtally/scheduling/task_transfer.py
+++ b/pitchtally/scheduling/rebalancing/task_transfer.py
@@ -6,15 +6,15 @@
 
 from msgspec import UNSET
 
-from ..jobs.job_record import merge
-from ..membership.membership import Membership
-from ..state_store import keys
-from ..state_store.errors import StoreUnavailable
-from .allocations import ShardAllocation
-from .range_writer import RangeWriter
-from .shard_statuses import ShardStatuses
+from ...jobs.job_record import merge
+from ...membership.membership import Membership
+from ...state_store import keys
+from ...state_store.errors import StoreUnavailable
+from ..range_writer import RangeWriter
+from ..shards.allocations import ShardAllocation
+from ..shards.shard_statuses import ShardStatuses
 
-log = logging.getLogger("rebalancing")
+log = logging.getLogger("task_transfer")
 
 
 class TaskTransfer:
--- a/pitchtally/scheduling/scheduler.py
+++ b/pitchtally/scheduling/scheduler.py
@@ -25,37 +25,37 @@
 from ..protocol import cloud_api, user_api
 from ..state_store.errors import StoreUnavailable
 from ..state_store.replica import Replica
-from .admission import Admission
-from .allocations import ShardState
-from .allotment import Allotment
-from .assignment import JobAssignment
+from .assignment.admission import Admission
+from .assignment.job_assignment import JobAssignment
+from .assignment.proportional_split import ProportionalSplit
 from .capacity import Plan
 from .context import AvailabilitySamples, SchedulingContext
 from .deadlines import Deadlines
-from .draining import DrainingEviction
 from .estimates import Estimates
-from .failure_tracker import FailureTracker
-from .gang_planner import GangPlanner
-from .gang_starter import GangStarter
-from .give_back import GiveBack
-from .placer import Placer
+from .gangs.give_back import GiveBack
+from .gangs.planner import GangPlanner
+from .gangs.reservations import Reservations
+from .gangs.starter import GangStarter
+from .placement.allotment import Allotment
+from .placement.draining import DrainingEviction
+from .placement.placer import Placer
+from .placement.preemption import Preemption
+from .placement.status_publisher import StatusPublisher
+from .placement.survey import Survey
 from .planning_trigger import PlanningTrigger
-from .preemption import Preemption
 from .priorities import PriorityOrder
-from .proportional_split import ProportionalSplit
-from .quota_transfer import QuotaTransfer
-from .quotas import Quotas
+from .quotas.quota_transfer import QuotaTransfer
+from .quotas.quotas import Quotas
 from .range_writer import RETRY_INTERVAL_S, RangeWriter
-from .rebalancing import Rebalancing
-from .reservations import Reservations
-from .service_migration import ServiceMigration
-from .shard_statuses import ShardStatuses
-from .shards import ShardStates
-from .status_publisher import StatusPublisher
-from .survey import Survey
-from .task_transfer import TaskTransfer
+from .rebalancing.rebalancing import Rebalancing
+from .rebalancing.service_migration import ServiceMigration
+from .rebalancing.task_transfer import TaskTransfer
+from .shards.allocations import ShardState
+from .shards.failure_tracker import FailureTracker
+from .shards.shard_states import ShardStates
+from .shards.shard_statuses import ShardStatuses
 
-log = logging.getLogger("split")
+log = logging.getLogger("scheduler")
 
 # Planning rests this many times as long as it took: a tenth of the time is for it, and
 # the rest of the processor for reports and users.
@@ -76,16 +76,16 @@
         agents: AgentManager,
         replica: Replica,
         migration: JobMigration,
-        types: Callable[[], dict[str, cloud_api.MachineType]],
+        machine_types: Callable[[], dict[str, cloud_api.MachineType]],
     ):
-        """`types` gives the machine types of the catalog as it is now; each argument is a
+        """`machine_types` gives the machine types of the catalog as it is now; each argument is a
         component of a lower layer that the controller has composed."""
         context = SchedulingContext(
             settings=settings,
             policy=policy,
             job_index=job_index,
             agents=agents,
-            machine_types=types,
+            machine_types=machine_types,
             estimates=Estimates(policy.start_within),
             samples=AvailabilitySamples.from_policy(policy),
             agent_heartbeat_s=settings.deployment.workers.report_s,
--- a/pitchtally/scheduling/allocations.py
+++ b/pitchtally/scheduling/shards/allocations.py
@@ -4,11 +4,11 @@
 
 import trio
 
-from ..agents.machines import Machine, MachineGroupKey, Placement
-from ..jobs.index import Job
-from ..jobs.resources import Resources, resource_request
-from ..protocol import cloud_api, user_api
-from .capacity import RANK
+from ...agents.machines import Machine, MachineGroupKey, Placement
+from ...jobs.index import Job
+from ...jobs.resources import Resources, resource_request
+from ...protocol import cloud_api, user_api
+from ..capacity import RANK
 from .lower_price_capacity import GroupCapacity, TaskCapacity
 
 # Machines: a group wholly taken by services still has a queue, if an endless one.
--- a/pitchtally/scheduling/eligibility.py
+++ b/pitchtally/scheduling/shards/eligibility.py
@@ -4,10 +4,10 @@
 
 import trio
 
-from ..agents.machines import Machine
-from ..jobs.resources import capacity_of, fits
+from ...agents.machines import Machine
+from ...jobs.resources import capacity_of, fits
+from ..capacity import allows_machine
 from .allocations import ShardAllocation, ShardState
-from .capacity import allows_machine
 
 
 def is_ready(work: ShardState, id: str, allocation: ShardAllocation, now: float) -> bool:
--- a/pitchtally/scheduling/failure_tracker.py
+++ b/pitchtally/scheduling/shards/failure_tracker.py
@@ -6,14 +6,14 @@
 
 import trio
 
-from ..agents.machines import Machine, Placement
-from ..jobs.job_record import DONE
-from ..protocol import agent_api
+from ...agents.machines import Machine, Placement
+from ...jobs.job_record import DONE
+from ...protocol import agent_api
+from ..context import SchedulingContext
 from .allocations import ShardAllocation, ShardState
-from .context import SchedulingContext
 from .failure_attribution import Standing, is_unhealthy, standing
 
-log = logging.getLogger("parts")
+log = logging.getLogger("failure_tracker")
 
 # Report intervals between two tries of what ends at once again and again, at the most.
 LONGEST_BACKOFF = 16.0
--- a/pitchtally/scheduling/lower_price_capacity.py
+++ b/pitchtally/scheduling/shards/lower_price_capacity.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from ..agents.machines import Machine, MachineGroupKey
-from ..jobs.resources import NO_RESOURCES, Resources, count_fitting, fits
+from ...agents.machines import Machine, MachineGroupKey
+from ...jobs.resources import NO_RESOURCES, Resources, count_fitting, fits
 
 
 @dataclass(slots=True)
--- a/pitchtally/scheduling/machine_queues.py
+++ b/pitchtally/scheduling/shards/machine_queues.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from ..agents.machines import MachineGroupKey
-from ..jobs.resources import dominant_share, resource_request
-from ..protocol import cloud_api, user_api
-from . import stretch
+from ...agents.machines import MachineGroupKey
+from ...jobs.resources import dominant_share, resource_request
+from ...protocol import cloud_api, user_api
+from .. import stretch
+from ..estimates import Estimates
 from .allocations import MachineGroup, ShardState
-from .estimates import Estimates
 
 
 def task_work(
--- a/pitchtally/scheduling/shards.py
+++ b/pitchtally/scheduling/shards/shard_states.py
@@ -7,19 +7,19 @@
 
 import trio
 
-from ..agents.machines import MachineGroupKey, Placement
-from ..jobs.index import Job
-from ..jobs.job_record import JobRecord
-from ..protocol import agent_api, user_api
+from ...agents.machines import MachineGroupKey, Placement
+from ...jobs.index import Job
+from ...jobs.job_record import JobRecord
+from ...protocol import agent_api, user_api
+from ..capacity import allows_machine_type
+from ..context import SchedulingContext
+from ..deadlines import Deadlines
+from ..planning_trigger import PlanningTrigger
 from .allocations import ShardAllocation, ShardState
-from .capacity import allows_machine_type
-from .context import SchedulingContext
-from .deadlines import Deadlines
 from .failure_tracker import FailureTracker
-from .planning_trigger import PlanningTrigger
 from .shard_statuses import ShardStatuses
 
-log = logging.getLogger("parts")
+log = logging.getLogger("shard_states")
 
 
 class ShardStates:
--- a/pitchtally/scheduling/shard_statuses.py
+++ b/pitchtally/scheduling/shards/shard_statuses.py
@@ -4,14 +4,14 @@
 
 import trio
 
-from ..agents.machines import MachineGroupKey
-from ..jobs.resources import capacity_of, count_fitting, dominant_share, fits, resource_request
-from ..membership.membership import Membership
-from ..membership.messages import MachineStatus, PeerHeartbeat, ShardStatus
-from ..protocol import user_api
+from ...agents.machines import MachineGroupKey
+from ...jobs.resources import capacity_of, count_fitting, dominant_share, fits, resource_request
+from ...membership.membership import Membership
+from ...membership.messages import MachineStatus, PeerHeartbeat, ShardStatus
+from ...protocol import user_api
+from ..capacity import allows_machine_type
+from ..context import SchedulingContext
 from .allocations import ShardState
-from .capacity import allows_machine_type
-from .context import SchedulingContext
 
 
 class ShardStatuses:
--- a/pitchtally/scheduling/task_start.py
+++ b/pitchtally/scheduling/shards/task_start.py
@@ -4,8 +4,8 @@
 
 import trio
 
-from ..agents.machines import Machine, Placement
-from ..agents.manager import AgentManager
+from ...agents.machines import Machine, Placement
+from ...agents.manager import AgentManager
 from .allocations import ShardAllocation
 
 
--- a/tests/cluster/test_services.py
+++ b/tests/cluster/test_services.py
@@ -17,9 +17,9 @@
 from pitchtally.jobs.index import Job
 from pitchtally.jobs.job_record import OPEN, JobRecord, TaskRange
 from pitchtally.protocol.cloud_api import MachineType
-from pitchtally.scheduling.allocations import most_in_zone
 from pitchtally.scheduling.estimates import Estimates
-from pitchtally.scheduling.service_migration import Move, moved_caps, zone_limits
+from pitchtally.scheduling.rebalancing.service_migration import Move, moved_caps, zone_limits
+from pitchtally.scheduling.shards.allocations import most_in_zone
 
 from ..harness.fault_scenarios import (
     CANCELLED,
--- a/tests/jobs/test_building_blocks.py
+++ b/tests/jobs/test_building_blocks.py
@@ -12,8 +12,8 @@
 from pitchtally.jobs.resources import Resources, count_fitting, fits
 from pitchtally.jobs.task_bitmap import TaskBitmap
 from pitchtally.membership.membership import preference, shard_of
-from pitchtally.scheduling.allocations import PendingTasks
 from pitchtally.scheduling.capacity import plan_gang
+from pitchtally.scheduling.shards.allocations import PendingTasks
 from pitchtally.state_store import rate_limits
 
 
--- a/tests/scheduling/test_failure_attribution.py
+++ b/tests/scheduling/test_failure_attribution.py
@@ -5,7 +5,7 @@
 import pytest
 import trio
 
-from pitchtally.scheduling.failure_attribution import Standing, is_unhealthy, standing
+from pitchtally.scheduling.shards.failure_attribution import Standing, is_unhealthy, standing
 
 from ..harness.simulation import Simulation, job, run
 
--- a/tests/scheduling/test_preemption.py
+++ b/tests/scheduling/test_preemption.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from pitchtally.scheduling.preemption import Preemption, Step
+from pitchtally.scheduling.placement.preemption import Preemption, Step
 
 FREE, TAKEN = 0, 1
 
