--- a/pitchtally/autoscaling/autoscaler.py
+++ b/pitchtally/autoscaling/autoscaler.py
@@ -14,14 +14,15 @@
 import msgspec
 import trio
 
-from ..agents.machines import MachineGroupKey
+from ..agents.machine import MachineGroupKey
 from ..agents.manager import AgentManager
 from ..config.policy import Policy
 from ..config.settings import Settings
 from ..jobs.index import JobIndex
 from ..jobs.resources import capacity_of, count_fitting, resource_request
-from ..membership.membership import Membership, shard_of
+from ..membership.membership import Membership
 from ..membership.messages import MachineFlag, MachineStatus, PeerHeartbeat
+from ..membership.shards import shard_of
 from ..protocol import cloud_api, user_api
 from ..scheduling.capacity import allows_machine_type
 from ..scheduling.scheduler import Scheduler
@@ -427,7 +428,7 @@
     def take_heartbeat(self, heartbeat: PeerHeartbeat) -> None:
         """What the leader says about machines of ours."""
         for name in heartbeat.released:
-            if name not in self.agents.released or name in self.agents.machines:
+            if name not in self.agents.terminated or name in self.agents.machines:
                 self.agents.machine_terminated(name)
         if heartbeat.node == self.membership.leader(0):
             self._apply_drain(heartbeat.drain)
@@ -435,7 +436,7 @@
     def _apply_drain(self, names: Iterable[str]) -> None:
         wanted = set(names)
         for machine in self.agents.machines.values():
-            machine.drain = machine.name in wanted
+            machine.draining = machine.name in wanted
 
     def own_drain(self) -> None:
         """Apply the leader's drains to the leader's own machines."""
--- a/pitchtally/scheduling/assignment/job_assignment.py
+++ b/pitchtally/scheduling/assignment/job_assignment.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from ...jobs.job_record import merge
-from ...membership.membership import CLUSTER_LEADER_SHARD
+from ...membership.shards import CLUSTER_LEADER_SHARD
 from ...state_store import keys
 from ..capacity import RANK, stays_in_one_shard
 from ..context import SchedulingContext
--- a/pitchtally/scheduling/context.py
+++ b/pitchtally/scheduling/context.py
@@ -9,6 +9,7 @@
 from ..agents.manager import AgentManager
 from ..config.policy import Policy
 from ..config.settings import Settings
+from ..jobs.commits import JobCommits
 from ..jobs.index import JobIndex
 from ..protocol import cloud_api
 from . import stretch
@@ -40,6 +41,7 @@
     settings: Settings
     policy: Policy
     job_index: JobIndex
+    commits: JobCommits
     agents: AgentManager
     machine_types: Callable[[], dict[str, cloud_api.MachineType]]  # by name, as known now
     estimates: Estimates
--- a/pitchtally/scheduling/gangs/reservations.py
+++ b/pitchtally/scheduling/gangs/reservations.py
@@ -8,7 +8,7 @@
 
 import trio
 
-from ...agents.machines import Machine
+from ...agents.machine import Machine, Reservation
 from ...jobs.resources import Resources, fits
 from ..context import SchedulingContext
 from ..deadlines import Deadlines
@@ -32,7 +32,9 @@
     """Whether one of these machines is kept free for the job."""
     now = trio.current_time()
     return any(
-        machine.reserved and machine.reserved[0] == job_id and machine.reserved[1] >= now
+        machine.reservation
+        and machine.reservation.job_id == job_id
+        and machine.reservation.until >= now
         for machine in machines
     )
 
@@ -65,9 +67,11 @@
         work = self.shards[shard]
         now = trio.current_time()
         machines = [
-            m for m in self.agents.of_shard(shard) if m.usable and m.quarantined_until < now
+            m for m in self.agents.of_shard(shard) if m.schedulable and m.quarantined_until < now
         ]
-        kept = {m.reserved[0] for m in machines if m.reserved and m.reserved[1] >= now}
+        kept = {
+            m.reservation.job_id for m in machines if m.reservation and m.reservation.until >= now
+        }
         held = [h for id in kept if (h := work.allocations.get(id)) is not None]
         wide = any(h.gang and h.spec.tasks > 1 for h in held)
         large = any(not h.gang and h.aged for h in held)
@@ -96,7 +100,7 @@
             large = large or not allocation.gang
             names = {opening.machine.name: opening.machine for opening in chosen}
             for machine in names.values():
-                machine.reserved = (id, now + eta * 1.5 + self.agent_heartbeat_s * 3)
+                machine.reservation = Reservation(id, now + eta * 1.5 + self.agent_heartbeat_s * 3)
             log.info("kept machines=%d for=%s eta=%.1f", len(names), id, eta)
 
     def _may_reserve(self, work: ShardState, allocation: ShardAllocation, now: float) -> bool:
@@ -114,7 +118,7 @@
         """Where that many tasks find room soonest; nothing if there is none for all."""
         openings = []
         for machine in machines:
-            if machine.reserved and machine.reserved[1] >= now:
+            if machine.reservation and machine.reservation.until >= now:
                 continue
             if not machine_ok(allocation, machine, self.policy.unhealthy_rest):
                 continue
@@ -128,14 +132,14 @@
 
     def _room_at(self, machine: Machine, resources: Resources, now: float) -> float | None:
         """Seconds until a machine has room for a need if nothing more starts there."""
-        available = machine.free()
+        available = machine.available()
         if fits(resources, available):
             return 0.0
         ends = []
         for placement in machine.placements.values():
             if placement.spec.is_service:
                 continue  # it never leaves by itself
-            ran = now - (placement.run_at or now)
+            ran = now - (placement.running_since or now)
             ends.append((max(1.0, self.estimates.task(placement.spec) - ran), placement.resources))
         for end, resources_freed in sorted(ends):
             available = available.plus(resources_freed)
--- a/pitchtally/scheduling/gangs/starter.py
+++ b/pitchtally/scheduling/gangs/starter.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from ...agents.machines import Machine
+from ...agents.machine import Machine, Reservation
 from ...jobs.resources import Resources, count_fitting, fits, resource_request
 from ..capacity import is_fully_assigned
 from ..context import SchedulingContext
@@ -71,8 +71,8 @@
             allocation.tried = attempt
             for machine in plan:
                 place_task(self.agents, allocation, allocation.pending.pop(), machine, attempt)
-                if machine.reserved and machine.reserved[0] == id:
-                    machine.reserved = None
+                if machine.reservation and machine.reservation.job_id == id:
+                    machine.reservation = None
             allocation.aged = False
 
     def _all_ready(
@@ -99,7 +99,7 @@
                 ready = id in self.statuses.newest[other].ready
             if not ready:
                 for machine in plan:
-                    machine.reserved = (id, now + self.policy.heartbeat_interval * 4)
+                    machine.reservation = Reservation(id, now + self.policy.heartbeat_interval * 4)
                 return False
         return True
 
@@ -115,22 +115,25 @@
             return None
         machines = []
         for machine in self.agents.of_shard(shard):
-            if not machine.usable or machine.quarantined_until >= now:
+            if not machine.schedulable or machine.quarantined_until >= now:
                 continue
-            if machine.reserved and machine.reserved[0] != job.id and machine.reserved[1] >= now:
+            if (
+                machine.reservation
+                and machine.reservation.job_id != job.id
+                and machine.reservation.until >= now
+            ):
                 continue
-            if fits(resources, machine.free()) and machine_ok(
+            if fits(resources, machine.available()) and machine_ok(
                 allocation, machine, self.policy.unhealthy_rest
             ):
-                machines.append((machine, count_fitting(resources, machine.free())))
+                machines.append((machine, count_fitting(resources, machine.available())))
         # The least other use first: a machine with cards is left for work that needs them.
         machines.sort(
             key=lambda mc: (
-                not (mc[0].reserved and mc[0].reserved[0] == job.id),
-                mc[0].errors,
+                not (mc[0].reservation and mc[0].reservation.job_id == job.id),
+                mc[0].consecutive_errors,
                 self._waste(resources, mc[0]),
-                spec.image not in mc[0].images,
-                mc[0].slow,
+                spec.image not in mc[0].cached_images,
             )
         )
         caps = {zone: cap for p, zone, cap in job.record.caps if p == shard}
--- a/pitchtally/scheduling/placement/draining.py
+++ b/pitchtally/scheduling/placement/draining.py
@@ -29,14 +29,14 @@
         now = trio.current_time()
         work = self.shards[shard]
         for machine in self.agents.of_shard(shard):
-            if machine.notice_at is None:
+            if machine.preemption_at is None:
                 continue
-            left = machine.notice_at - now
+            left = machine.preemption_at - now
             for placement in list(machine.placements.values()):
-                if placement.grace is not None or not placement.seen:
+                if placement.stop_grace is not None or not placement.observed:
                     continue
                 spec = placement.spec
-                ran = now - placement.run_at if placement.run_at is not None else 0.0
+                ran = now - placement.running_since if placement.running_since is not None else 0.0
                 # The notice may be half as long as told, and estimates are rough.
                 over_soon = (self.estimates.task(spec) - ran) * 2 < left
                 if over_soon and not spec.is_service:
--- a/pitchtally/scheduling/placement/placer.py
+++ b/pitchtally/scheduling/placement/placer.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from ...agents.machines import Machine, MachineGroupKey, Placement
+from ...agents.machine import Machine, MachineGroupKey, Placement
 from ...jobs.resources import Resources, count_fitting, dominant_share, fits, resource_request
 from ...protocol import user_api
 from ..context import SchedulingContext
@@ -56,11 +56,11 @@
         return [
             p
             for p in machine.placements.values()
-            if not p.start_seq and not p.seen and p.grace is None
+            if not p.start_heartbeat_seq and not p.observed and p.stop_grace is None
         ]
 
     def _start_arrays(self, work: ShardState, machine: Machine, now: float) -> None:
-        available = machine.free()
+        available = machine.available()
         if available[0] + 1e-6 < work.least[0] or available[2] + 1e-6 < work.least[1]:
             return
         if min(available[0], available[2]) <= 1e-6:
@@ -102,19 +102,23 @@
                 continue
             spec = allocation.spec
             rank, over, due = self.priorities.key(allocation, level)
-            if spec.image and spec.image not in machine.images and machine.machine_type is not None:
+            if (
+                spec.image
+                and spec.image not in machine.cached_images
+                and machine.machine_type is not None
+            ):
                 due += spec.image_gb / max(machine.machine_type.fetch_rate, 1e-3)
             rows.append((rank, over, due, not own.get(id, 0), id))
         return [row[-1] for row in sorted(rows)]
 
     def _kept_for(self, work: ShardState, machine: Machine, now: float) -> str | None:
         """The job that the machine's room is kept for, if it still waits for it."""
-        if machine.reserved is None:
+        if machine.reservation is None:
             return None
-        id, until = machine.reserved
+        id, until = machine.reservation
         allocation = work.allocations.get(id)
         if until < now or allocation is None or not allocation.pending.count:
-            machine.reserved = None
+            machine.reservation = None
             return None
         return id
 
@@ -150,10 +154,10 @@
             available.take(count)
         if allocation.aged:
             allocation.aged = False  # it has begun: others' turn
-            if machine.reserved and machine.reserved[0] == allocation.job.id:
-                machine.reserved = None
+            if machine.reservation and machine.reservation.job_id == allocation.job.id:
+                machine.reservation = None
         if not allocation.pending.count:
-            machine.reserved = None
+            machine.reservation = None
 
     def _better_room(self, work: ShardState, allocation: ShardAllocation, machine: Machine) -> int:
         """Tasks of this job that machines of its shard with less to lose have room for.
--- a/pitchtally/scheduling/placement/survey.py
+++ b/pitchtally/scheduling/placement/survey.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from ...agents.machines import Machine
+from ...agents.machine import Machine
 from ...jobs.resources import dominant_share
 from ...protocol import user_api
 from .. import stretch
@@ -83,10 +83,10 @@
         return left
 
     def _add_to_group(self, work: ShardState, machine: Machine, now: float) -> None:
-        usable = machine.usable
+        usable = machine.schedulable
         if not usable:
             for placement in list(machine.placements.values()):
-                if not placement.start_seq and not placement.seen:
+                if not placement.start_heartbeat_seq and not placement.observed:
                     # Chosen before the machine fell out of use: it is nowhere yet.
                     self.agents.stop(placement, 0.0)
         if not usable or machine.quarantined_until >= now or machine.machine_type is None:
@@ -110,7 +110,7 @@
                 if work.allocations[id].service:
                     machine_group.held += load.count * share
                     continue
-                machine_group.work[id] = load.left(seconds, now) * share
+                machine_group.work[id] = load.remaining_seconds(seconds, now) * share
                 machine_group.ranks[id] = load.rank
 
     def _renew_levels(self, work: ShardState, now: float) -> None:
--- a/pitchtally/scheduling/quotas/quota_transfer.py
+++ b/pitchtally/scheduling/quotas/quota_transfer.py
@@ -9,8 +9,9 @@
 from ...membership.membership import Membership
 from ...membership.messages import ShardStatus
 from ...protocol import user_api
-from ...state_store import keys, rate_limits
+from ...state_store import keys
 from ...state_store.errors import StoreUnavailable
+from ...state_store.rate_limits import Priority
 from ..context import SchedulingContext
 from ..range_writer import RangeWriter
 from ..shards.allocations import ShardState
@@ -31,6 +32,7 @@
         range_writer: RangeWriter,
     ) -> None:
         self.job_index = context.job_index
+        self.commits = context.commits
         self.shard_count = context.shard_count
         self.membership = membership
         self.shards = shards
@@ -141,7 +143,7 @@
         conditions = {keys.shard(shard): token, **versions}
         self.quotas.giving[(shard, team.name)] = give
         try:
-            await self.job_index.commit(conditions, [change], priority=rate_limits.ACCEPTANCES)
+            await self.commits.commit(conditions, [change], priority=Priority.SUBMISSIONS)
         except StoreUnavailable as error:
             await self.range_writer.resolve_outcome(
                 error,
--- a/pitchtally/scheduling/range_writer.py
+++ b/pitchtally/scheduling/range_writer.py
@@ -9,13 +9,15 @@
 import trio
 from msgspec import UNSET, UnsetType
 
-from ..formats.migration import JobMigration
-from ..jobs.index import Job, JobIndex
+from ..jobs.commits import JobCommits
+from ..jobs.index import Job
 from ..jobs.job_record import JobRecord, TaskRange
+from ..jobs.migration import JobMigration
 from ..membership.membership import Membership
-from ..state_store import keys, rate_limits
+from ..state_store import keys
 from ..state_store.client import Write
 from ..state_store.errors import InvalidTransaction, OutcomeUnknown, StoreUnavailable
+from ..state_store.rate_limits import Priority
 from ..state_store.replica import Replica
 from .capacity import is_fully_assigned
 
@@ -44,12 +46,12 @@
 
     def __init__(
         self,
-        job_index: JobIndex,
+        commits: JobCommits,
         membership: Membership,
         replica: Replica,
         migration: JobMigration,
     ) -> None:
-        self.job_index = job_index
+        self.commits = commits
         self.membership = membership
         self.replica = replica
         self.migration = migration
@@ -84,9 +86,7 @@
                 guard[keys.shard(shard)] = token
         # Moves are for the better, assignments for going at all.
         priority = (
-            rate_limits.PROGRESS
-            if is_fully_assigned(job) and not bindings
-            else rate_limits.ACCEPTANCES
+            Priority.PROGRESS if is_fully_assigned(job) and not bindings else Priority.SUBMISSIONS
         )
         value = self.record_with(job, ranges=ranges, **bindings)
         if self.layout.needs_conversion(job) or not self.layout.record_fits(value):
@@ -97,7 +97,7 @@
         if not self.layout.record_fits(value):
             return False  # too many pieces for a record: the tasks stay where they are
         try:
-            return await self.job_index.commit(
+            return await self.commits.commit(
                 {key: job.version, **guard}, [Write(key, value)], priority=priority
             )
         except InvalidTransaction as error:
@@ -132,10 +132,10 @@
             self.replica.version(name) == version for name, version in versions.items()
         ):
             try:
-                await self.job_index.commit(
+                await self.commits.commit(
                     {**versions, keys.shard(shard): token},
                     [Write(key, value())],
-                    priority=rate_limits.ACCEPTANCES,
+                    priority=Priority.SUBMISSIONS,
                 )
             except StoreUnavailable as again:
                 log.debug("settling %s: %s", key, again)
--- a/pitchtally/scheduling/scheduler.py
+++ b/pitchtally/scheduling/scheduler.py
@@ -18,9 +18,10 @@
 from ..agents.manager import AgentManager
 from ..config.policy import Policy
 from ..config.settings import Settings
-from ..formats.migration import JobMigration
 from ..formats.quota_shares import QuotaShares
+from ..jobs.commits import JobCommits
 from ..jobs.index import JobIndex
+from ..jobs.migration import JobMigration
 from ..membership.membership import Membership
 from ..protocol import cloud_api, user_api
 from ..state_store.errors import StoreUnavailable
@@ -73,6 +74,7 @@
         policy: Policy,
         membership: Membership,
         job_index: JobIndex,
+        commits: JobCommits,
         agents: AgentManager,
         replica: Replica,
         migration: JobMigration,
@@ -84,6 +86,7 @@
             settings=settings,
             policy=policy,
             job_index=job_index,
+            commits=commits,
             agents=agents,
             machine_types=machine_types,
             estimates=Estimates(policy.start_within),
@@ -96,7 +99,7 @@
         self.agent_heartbeat_s = context.agent_heartbeat_s
         self.estimates = context.estimates
         self.planning_trigger = PlanningTrigger()
-        self.range_writer = RangeWriter(job_index, membership, replica, migration)
+        self.range_writer = RangeWriter(commits, membership, replica, migration)
         self.deadlines = Deadlines(context)
         self.statuses = ShardStatuses(context, membership, work)
         shares = QuotaShares(replica, job_index.gate)
--- a/pitchtally/scheduling/shards/eligibility.py
+++ b/pitchtally/scheduling/shards/eligibility.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from ...agents.machines import Machine
+from ...agents.machine import Machine
 from ...jobs.resources import capacity_of, fits
 from ..capacity import allows_machine
 from .allocations import ShardAllocation, ShardState
@@ -38,10 +38,10 @@
         return False
     # Also what the machine remembers: a holding is new after a move or a failover. Not
     # for ever: a machine may be well again, and there may be no other.
-    if allocation.failed_on or machine.failed_at:
+    if allocation.failed_on or machine.last_failure_at:
         at = max(
             allocation.failed_on.get(machine.name, -1e9),
-            machine.failed_at.get(allocation.job.id, -1e9),
+            machine.last_failure_at.get(allocation.job.id, -1e9),
         )
         if trio.current_time() - at < unhealthy_rest:
             return False
--- a/pitchtally/scheduling/shards/failure_tracker.py
+++ b/pitchtally/scheduling/shards/failure_tracker.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from ...agents.machines import Machine, Placement
+from ...agents.machine import Machine, Placement
 from ...jobs.job_record import DONE
 from ...protocol import agent_api
 from ..context import SchedulingContext
@@ -36,7 +36,7 @@
         now = trio.current_time()
         if cause not in (agent_api.DONE, agent_api.ERROR):
             return
-        ran = now - placement.run_at if placement.run_at is not None else 0.0
+        ran = now - placement.running_since if placement.running_since is not None else 0.0
         if ran >= self.policy.unhealthy_rest:
             # Whatever ended it, it isn't that the job, or the machine, fails each start.
             allocation.short_runs = 0
@@ -55,8 +55,8 @@
         now = trio.current_time()
         machine = placement.machine
         allocation.failed_on[machine.name] = now
-        if placement.run_at is not None:
-            allocation.failed_after = max(allocation.failed_after, now - placement.run_at)
+        if placement.running_since is not None:
+            allocation.failed_after = max(allocation.failed_after, now - placement.running_since)
         self.score(allocation)
         if not allocation.faulty:
             self._judge(work, machine)
@@ -74,8 +74,8 @@
             )
         for name in allocation.failed_on:
             other = self.agents.machines.get(name)
-            if other is not None and other.failed_jobs.pop(allocation.job.id, None) is not None:
-                other.failed_at.pop(allocation.job.id, None)
+            if other is not None and other.failures_by_job.pop(allocation.job.id, None) is not None:
+                other.last_failure_at.pop(allocation.job.id, None)
                 if other.quarantined_until > now and not self._is_unhealthy(work, other):
                     other.quarantined_until = -1e9
 
@@ -90,14 +90,18 @@
             bool(allocation.job.finished.count or allocation.job.local),
             len(allocation.failed_on),
             allocation.failed_after,
-            [now - p.run_at for p in allocation.placed.values() if p.run_at is not None],
+            [
+                now - p.running_since
+                for p in allocation.placed.values()
+                if p.running_since is not None
+            ],
             self.agent_heartbeat_s * 2,
         )
 
     def _is_unhealthy(self, work: ShardState, machine: Machine) -> bool:
         jobs = {}
         failures = {}
-        for id, count in machine.failed_jobs.items():
+        for id, count in machine.failures_by_job.items():
             job, allocation = self.job_index.jobs.get(id), work.allocations.get(id)
             if job is None or (not job.open and job.record.stage != DONE):
                 continue  # its user has cancelled it, as one does with a mistake
@@ -117,7 +121,7 @@
             log.info(
                 "machine rests machine=%s jobs=%d errors=%d",
                 machine.name,
-                len(machine.failed_jobs),
-                machine.errors,
+                len(machine.failures_by_job),
+                machine.consecutive_errors,
             )
         machine.quarantined_until = now + self.policy.unhealthy_rest
--- a/pitchtally/scheduling/shards/machine_queues.py
+++ b/pitchtally/scheduling/shards/machine_queues.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ...agents.machines import MachineGroupKey
+from ...agents.machine import MachineGroupKey
 from ...jobs.resources import dominant_share, resource_request
 from ...protocol import cloud_api, user_api
 from .. import stretch
--- a/pitchtally/scheduling/shards/shard_states.py
+++ b/pitchtally/scheduling/shards/shard_states.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from ...agents.machines import MachineGroupKey, Placement
+from ...agents.machine import MachineGroupKey, Placement
 from ...jobs.index import Job
 from ...jobs.job_record import JobRecord
 from ...protocol import agent_api, user_api
@@ -45,7 +45,7 @@
         self.failures = failures
         self.planning_trigger = planning_trigger
         self.recent: dict[tuple[object, ...], user_api.JobSpec] = {}  # a job of each shape seen
-        self.job_index.watchers.append(self.on_job)
+        self.job_index.subscribe(self.on_job)
 
     def shard_acquired(self, shard: int) -> None:
         """A part is ours; nothing of it is known yet."""
--- a/pitchtally/scheduling/shards/shard_statuses.py
+++ b/pitchtally/scheduling/shards/shard_statuses.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from ...agents.machines import MachineGroupKey
+from ...agents.machine import MachineGroupKey
 from ...jobs.resources import capacity_of, count_fitting, dominant_share, fits, resource_request
 from ...membership.membership import Membership
 from ...membership.messages import MachineStatus, PeerHeartbeat, ShardStatus
--- a/pitchtally/scheduling/shards/task_start.py
+++ b/pitchtally/scheduling/shards/task_start.py
@@ -4,14 +4,14 @@
 
 import trio
 
-from ...agents.machines import Machine, Placement
+from ...agents.machine import Machine, Placement
 from ...agents.manager import AgentManager
 from .allocations import ShardAllocation
 
 
 def next_attempt(agents: AgentManager, shard: int) -> int:
     """A number for the next start, never used before by anyone."""
-    return agents.shards[shard].attempt()
+    return agents.shards[shard].next_attempt()
 
 
 def place_task(
--- a/tests/cluster/test_large_fleet.py
+++ b/tests/cluster/test_large_fleet.py
@@ -13,7 +13,7 @@
 import trio
 import trio.testing
 
-from pitchtally.agents.machines import MachineGroupKey, Placement
+from pitchtally.agents.machine import MachineGroupKey, Placement
 from pitchtally.config import policy
 from pitchtally.config.settings import Team
 from pitchtally.controller import Controller
@@ -21,10 +21,10 @@
 from pitchtally.jobs.index import Job
 from pitchtally.jobs.job_record import OPEN, JobRecord, TaskRange, encode
 from pitchtally.jobs.resources import dominant_share
-from pitchtally.membership.membership import ShardLeader, shard_of
-from pitchtally.membership.messages import PeerHeartbeat
+from pitchtally.membership.messages import PeerHeartbeat, ShardToken
+from pitchtally.membership.shards import ShardLeader, ShardLease, shard_of
 from pitchtally.protocol import cloud_api, user_api
-from pitchtally.state_store import rate_limits
+from pitchtally.state_store.rate_limits import Priority
 from standins.network import HERE
 
 from ..harness.simulation import TIMES, Simulation, job, run, settings
@@ -39,9 +39,10 @@
     found.autoscaler.catalog.known = {"big": TYPE}
     found.replica.revision = token
     found.replica.verified_at = trio.current_time()
-    found.membership.leaders[shard] = (ShardLeader("n0", found.membership.incarnation), token)
-    found.membership._announce(shard)
-    found.agents.load(found.agents.shards[shard])
+    leader = ShardLeader("n0", found.membership.incarnation)
+    found.membership.leadership.leaders[shard] = ShardLease(leader, token)
+    found.membership.leadership.announce(shard)
+    found.agents.failover.load(found.agents.shards[shard])
     return found
 
 
@@ -156,17 +157,20 @@
             leader.agents.placements.put(one)
             placed.append(one)
             if luck.random() < 0.7:
-                leader.agents.placements.runs(one)
+                leader.agents.placements.mark_running(one)
         now, seconds = trio.current_time(), 1000.0
         for each in jobs:
             mine = [p for p in placed if p.job is each]
-            walk = sum(seconds - (now - p.run_at if p.run_at is not None else 0) for p in mine)
+            walk = sum(
+                seconds - (now - p.running_since if p.running_since is not None else 0)
+                for p in mine
+            )
             load = leader.agents.placements.loads[0][MachineGroupKey("big", "a", False)][each.id]
-            assert load.left(seconds, now) == pytest.approx(walk)
+            assert load.remaining_seconds(seconds, now) == pytest.approx(walk)
             assert load.count == len(mine)
             assert dominant_share(load.resources, TYPE) == each.spec.cpus / 64
             assert leader.agents.placements.running(0)[each.id] == sum(
-                p.run_at is not None for p in mine
+                p.running_since is not None for p in mine
             )
         for one in placed:
             leader.agents.placements.drop(one)
@@ -355,7 +359,7 @@
         leader = _leader_of(0, 50)
         membership, agents = leader.membership, leader.agents
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(membership.run_pause_detector)
+            nursery.start_soon(membership.pause_detector.run)
             await agents.serve(_heartbeat(0, 1, 50, []))
             await trio.sleep(1)
             membership.replica.verified_at = trio.current_time()
@@ -366,7 +370,7 @@
             assert membership.verified_cluster_leader() is None  # another may lead by now
             # What wasn't listened to wasn't silent.
             assert not agents.machines["i-000000"].lost
-            nursery.start_soon(agents.run_expiry)
+            nursery.start_soon(agents.lease_expiry.run)
             await trio.sleep(TIMES.report_s)
             assert not agents.machines["i-000000"].lost
             membership.replica.verified_at = trio.current_time()
@@ -453,7 +457,7 @@
         leader.scheduler.shards.work[0].reconciled = not unheard
         for number in range(unheard):
             name = f"i-{number * 3:06d}"
-            leader.agents._add(name, "big", "a", False, "10.1.0.1:9000")
+            leader.agents.index.add(name, "big", "a", False, "10.1.0.1:9000")
             hold.suspects.add(name)
         assert leader.scheduler.quotas.tasks_within_limit(0, _spec(1, 2.0)) == room
         leader.autoscaler.types.clear()
@@ -473,15 +477,15 @@
         leader, written = _leader_of(0, 50), []
 
         async def commit(conditions: Any, changes: Any, *, priority: int) -> bool:
-            assert priority < rate_limits.ACCEPTANCES
+            assert priority < Priority.SUBMISSIONS
             assert all(len(c.value) <= 8192 for c in changes)
             written.extend(changes)
             return True
 
-        leader.job_index.commit = commit  # type: ignore[method-assign]
+        leader.commits.commit = commit  # type: ignore[method-assign]
         for number in range(0, 930, 3):
             await leader.agents.serve(_heartbeat(number, 1, 50, []))
-        await leader.agents.records._write(leader.agents.shards[0])
+        await leader.agents.records.write(leader.agents.shards[0])
         assert len(written) <= 8
         assert all(m.recorded for m in leader.agents.machines.values())
 
@@ -509,7 +513,7 @@
             ) -> bool:
                 done: bool = await write(*args, **more)
                 for shard in list(scheduler.shards.work):
-                    agents.release_shard(shard)
+                    agents.shard_lost(shard)
                 return done
 
             def watched(each: Any, shard: int, hold: Any = hold) -> None:
@@ -562,13 +566,13 @@
         leader = _leader_of(1, 50)
         assert leader.membership.token(1) == 50
 
-        def told(number: int, tokens: list[tuple[int, int]]) -> None:
+        def told(number: int, tokens: list[ShardToken]) -> None:
             heartbeat = PeerHeartbeat("n1", "x", number, 0, 0.0, 0.0, [], [], [], [], tokens)
-            leader.membership._take_heartbeat(heartbeat, None)
+            leader.membership.receiver.receive(heartbeat, None)
 
-        told(1, [(1, 49), (2, 80)])
+        told(1, [ShardToken(1, 49), ShardToken(2, 80)])
         assert leader.membership.token(1) == 50
-        told(2, [(1, 60)])
+        told(2, [ShardToken(1, 60)])
         assert leader.membership.token(1) is None
         assert 1 not in leader.agents.shards
 
