--- a/pitchtally/agents/manager.py
+++ b/pitchtally/agents/manager.py
@@ -18,9 +18,9 @@
 
 from ..config.policy import Policy
 from ..config.settings import Settings
+from ..config.timing import lease_expired_at
 from ..http import Request, Response
 from ..jobs.index import JobIndex
-from ..membership.freshness import lease_over
 from ..membership.membership import Membership, shard_of
 from ..observability.decision_log import Decision, DecisionListener, DecisionReason, ignore_decision
 from ..protocol import agent_api, cloud_api
@@ -547,7 +547,7 @@
                 if (
                     machine.confirmed
                     and held
-                    and owned > lease_over(machine.answered_at, self.times)
+                    and owned > lease_expired_at(machine.answered_at, self.times)
                 ):
                     log.info(
                         "lease over machine=%s tasks=%d", machine.name, len(machine.placements)
--- a/pitchtally/cli/commands.py
+++ b/pitchtally/cli/commands.py
@@ -1,16 +1,51 @@
-"""The commands for people, built on click; serving itself does not load this."""
+"""The click commands; `entry` serves the platform's own call without loading them."""
 
 from __future__ import annotations
 
 import json
 import sys
-from typing import Any
+from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import BinaryIO
 
 import click
 
 from .. import VERSION
-from ..config.settings import NextStateLimits, SettingsError
-from . import entry
+from ..config.settings import NextStateLimits, SettingsError, host_port
+from .configuration import load_configuration
+from .serving import EXIT_INVALID_CONFIGURATION, serve
+
+EXIT_FAILED = 1
+REQUEST_TIMEOUT_S = 5.0
+OK, CREATED = 200, 201
+
+_config_option = click.option(
+    "--config",
+    "settings_path",
+    required=True,
+    help="The platform's settings file (TOML).",
+)
+_policy_option = click.option(
+    "--policy",
+    "policy_path",
+    help="Operators' policy file; default deploy/policy.conf, if there.",
+)
+_node_option = click.option(
+    "--node",
+    default="127.0.0.1:8080",
+    show_default=True,
+    envvar="PITCHTALLY_NODE",
+    help="Address of a controller or load balancer.",
+)
+
+
+@dataclass(frozen=True, slots=True)
+class Reply:
+    """A controller's answer to one request."""
+
+    status: int
+    body: Mapping[str, object]  # empty if the answer held no JSON
+    retry_after: str  # seconds, as the header gave them; empty without it
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -19,92 +54,85 @@
     """A fair, decentralised cluster scheduler."""
 
 
-@main.command()
-@click.option("--config", required=True, help="The platform's settings file (TOML).")
-@click.option("--policy", help="Operators' policy file; default deploy/policy.conf, if there.")
-def serve(config: str, policy: str | None) -> None:
+@main.command("serve")
+@_config_option
+@_policy_option
+def serve_command(settings_path: str, policy_path: str | None) -> None:
     """Run a controller until it is killed."""
-    sys.exit(entry.serve(config, policy))
+    sys.exit(serve(settings_path, policy_path))
 
 
 @main.command()
-@click.option("--config", required=True, help="The platform's settings file (TOML).")
-@click.option("--policy", help="Operators' policy file; default deploy/policy.conf, if there.")
-def check(config: str, policy: str | None) -> None:
+@_config_option
+@_policy_option
+def check(settings_path: str, policy_path: str | None) -> None:
     """Check settings and policy; print the policy's figures and the store's limits."""
     try:
-        settings, figures = entry.read(config, policy)
+        settings, policy = load_configuration(settings_path, policy_path)
     except SettingsError as error:
         click.echo(f"pitchtally: {error}", err=True)
-        sys.exit(2)
-    for name, value in figures.items():
+        sys.exit(EXIT_INVALID_CONFIGURATION)
+    for name, value in policy.items():
         click.echo(f"{name} = {value:g}")
-    today, kept = settings.deployment.state, settings.deployment.state_to_keep
+    today, effective = settings.deployment.state, settings.deployment.state_to_keep
     for name in NextStateLimits.__struct_fields__:
-        click.echo(f"state.{name} = {getattr(kept, name):g} (today {getattr(today, name):g})")
-
-
-_node = click.option(
-    "--node",
-    default="127.0.0.1:8080",
-    show_default=True,
-    envvar="PITCHTALLY_NODE",
-    help="Address of a controller or load balancer.",
-)
-
-
-def _call(node: str, method: str, path: str, body: bytes = b"") -> tuple[int, Any, str]:
-    import trio
-
-    from ..config.settings import host_port
-    from ..http import Client, HttpError, Response
-
-    async def once() -> Response:
-        return await Client().call(host_port(node), method, path, body, timeout=5.0)
-
-    try:
-        response = trio.run(once)
-    except (HttpError, ValueError) as error:
-        click.echo(f"pitchtally: {node}: {error}", err=True)
-        sys.exit(1)
-    after = dict(response.headers).get("retry-after", "")
-    try:
-        return response.status, json.loads(response.body), after
-    except ValueError:
-        return response.status, {}, after
-
-
-def _show(status: int, answer: Any, after: str) -> None:
-    if status in (200, 201):
-        click.echo(json.dumps(answer))
-        return
-    where = f"{answer['field']}: " if answer.get("field") else ""
-    again = f" (come back in {after} s)" if after else ""
-    click.echo(
-        f"pitchtally: {status}: {where}{answer.get('error', 'no reason given')}{again}", err=True
-    )
-    sys.exit(1)
+        click.echo(f"state.{name} = {getattr(effective, name):g} (today {getattr(today, name):g})")
 
 
 @main.command()
-@_node
+@_node_option
 @click.argument("file", type=click.File("rb"))
-def submit(node: str, file: Any) -> None:
+def submit(node: str, file: BinaryIO) -> None:
     """Submit the job described in FILE (JSON; - for standard input)."""
-    _show(*_call(node, "POST", "/api/jobs", file.read()))
+    _print_reply(_request(node, "POST", "/api/jobs", file.read()))
 
 
 @main.command()
-@_node
+@_node_option
 @click.argument("job")
 def status(node: str, job: str) -> None:
     """Show a job's state."""
-    _show(*_call(node, "GET", f"/api/jobs/{job}"))
+    _print_reply(_request(node, "GET", f"/api/jobs/{job}"))
 
 
 @main.command()
-@_node
+@_node_option
 @click.argument("job")
 def cancel(node: str, job: str) -> None:
     """Cancel a job."""
-    _show(*_call(node, "POST", f"/api/jobs/{job}/cancel"))
+    _print_reply(_request(node, "POST", f"/api/jobs/{job}/cancel"))
+
+
+def _request(node: str, method: str, path: str, body: bytes = b"") -> Reply:
+    """Send one request to a controller; without an answer, say so and exit."""
+    # Imported late: `check` and `--help` need no HTTP.
+    import trio
+
+    from ..http import Client, HttpError, Response
+
+    async def call() -> Response:
+        address = host_port(node)
+        return await Client().call(address, method, path, body, timeout=REQUEST_TIMEOUT_S)
+
+    try:
+        response = trio.run(call)
+    except (HttpError, ValueError) as error:
+        click.echo(f"pitchtally: {node}: {error}", err=True)
+        sys.exit(EXIT_FAILED)
+    retry_after = dict(response.headers).get("retry-after", "")
+    try:
+        return Reply(response.status, json.loads(response.body), retry_after)
+    except ValueError:
+        return Reply(response.status, {}, retry_after)
+
+
+def _print_reply(reply: Reply) -> None:
+    """Print a successful answer's body; report any other answer, and exit."""
+    if reply.status in (OK, CREATED):
+        click.echo(json.dumps(reply.body))
+        return
+    field = f"{reply.body['field']}: " if reply.body.get("field") else ""
+    reason = reply.body.get("error", "no reason given")
+    retry = f" (come back in {reply.retry_after} s)" if reply.retry_after else ""
+    click.echo(f"pitchtally: {reply.status}: {field}{reason}{retry}", err=True)
+    sys.exit(EXIT_FAILED)
--- a/pitchtally/membership/freshness.py
+++ b/pitchtally/membership/freshness.py
@@ -5,17 +5,7 @@
 later, however long the question or the answer was under way. A message that came on its
 own has no such moment; a cut may have held it for minutes.
 
-The deadlines of a cancellation are worked out here too, and nowhere else. Confirmed at
-c, the job's tasks must be gone by c + `cancel_s`. An leader that has not heard of it can
-have been sure of all cancellations up to c at the latest, so it renews leases until
-c + `max_evidence_age` at most; and an agent counts its lease from when it *sent* the report, which
-was no later. So every task is gone by c + `max_evidence_age` + `lease_s`, plus drift and the
-agent's own timer: `longest_evidence_age` is the largest `max_evidence_age` that keeps this
-within `cancel_s`.
-
-An leader that has heard of it needs no deadline of its own: every answer that renews a
-lease carries a kill for each listed task whose job is over (`Agents.serve`). An agent
-that gets the answer ends the task; one that doesn't ends it with its lease.
+The deadlines that follow from these ages are in `config.timing`.
 """
 
 from __future__ import annotations
@@ -23,11 +13,6 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ..config.settings import AgentTimes
-
-# Steady clocks drift by up to 0.05 %, each of two; the rest covers timers that fire late.
-DRIFT = 1.002
-
 NEVER = 1e6  # the age that a controller tells which hasn't read the store since it began
 
 
@@ -86,18 +71,3 @@
     """
     asked = all_peers_asked_at(answers)
     return copy_at if asked is None else max(copy_at, asked)
-
-
-def timer(times: AgentTimes) -> float:
-    """What an agent may take to notice that its lease is over."""
-    return times.report_s / 4
-
-
-def lease_over(answered_at: float, times: AgentTimes) -> float:
-    """When a machine's lease has ended for certain, if we last answered it then."""
-    return answered_at + times.lease_s * DRIFT + timer(times)
-
-
-def max_freshness_bound(times: AgentTimes) -> float:
-    """The longest that an leader may renew leases without news of cancellations."""
-    return (times.cancel_s - timer(times)) / DRIFT - times.lease_s * DRIFT
--- a/tests/cluster/test_cancellation_freshness.py
+++ b/tests/cluster/test_cancellation_freshness.py
@@ -14,13 +14,12 @@
 
 from pitchtally.config import policy
 from pitchtally.config.settings import AgentTimes
+from pitchtally.config.timing import lease_expired_at, max_freshness_bound
 from pitchtally.membership.freshness import (
     NEVER,
     PeerReply,
     cancellations_verified,
     leadership_verified,
-    lease_over,
-    max_freshness_bound,
 )
 from pitchtally.membership.messages import Cancellation, PeerHeartbeat
 from pitchtally.membership.peer import Peer
@@ -235,8 +234,8 @@
     times = SITES[site]
     rules = policy.parse("", settings("n0", times))
     assert 0 < rules.max_evidence_age < max_freshness_bound(times)
-    assert lease_over(max_freshness_bound(times), times) <= times.cancel_s
-    assert lease_over(max_freshness_bound(times) * 1.01, times) > times.cancel_s
+    assert lease_expired_at(max_freshness_bound(times), times) <= times.cancel_s
+    assert lease_expired_at(max_freshness_bound(times) * 1.01, times) > times.cancel_s
     at_most = f"max_evidence_age = {max_freshness_bound(times):.6f} - 0.001"
     assert policy.parse(at_most, settings("n0", times)).max_evidence_age > rules.max_evidence_age
     with pytest.raises(policy.PolicyError, match=r"p.conf:1: max_evidence_age: .* beyond cancel_s"):
--- a/tests/formats/test_golden.py
+++ b/tests/formats/test_golden.py
@@ -20,10 +20,10 @@
 from click.testing import CliRunner
 
 from pitchtally.cli.commands import main
-from pitchtally.cli.entry import POLICY as DEFAULT_POLICY_FILE
+from pitchtally.cli.configuration import DEFAULT_POLICY_FILE
 from pitchtally.config import policy as policy_module
-from pitchtally.config.policy import FIGURES as POLICY_FIGURES
-from pitchtally.config.policy import RENAMED as POLICY_EARLIER_NAMES
+from pitchtally.config.figures import EARLIER_NAMES as POLICY_EARLIER_NAMES
+from pitchtally.config.figures import FIGURES as POLICY_FIGURES
 from pitchtally.config.settings import NextStateLimits, StateLimits
 from pitchtally.controller import Controller
 from pitchtally.formats import finished_tasks, legacy, machine_layout, text_chunks
