--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -21,8 +21,8 @@
 from .membership.format_negotiation import FormatUpgrade
 from .membership.membership import CLUSTER_LEADER_SHARD, Membership
 from .membership.messages import Cancellation, PeerHeartbeat, ScheduleReply
-from .observability.decision_log import DecisionLog, Evidence
-from .observability.supervision import Loop, Loops
+from .observability.decision_log import DecisionContext, DecisionLog
+from .observability.supervision import Loop, LoopSupervisor
 from .protocol import user_api
 from .scheduling.scheduler import Scheduler
 from .state_store import keys
@@ -98,9 +98,9 @@
             lambda: self.autoscaler.types,
         )
         self.progress.submissions_wait = lambda: self.api.line.waiting
-        self.loops = Loops()
+        self.loops = LoopSupervisor()
         self.decisions = DecisionLog(
-            self._evidence, self._counters, lambda: self.api.read_barrier.last
+            self._decision_context, self._counters, lambda: self.api.read_barrier.last
         )
         self._connect()
 
@@ -130,9 +130,9 @@
         token = self.membership.cluster_leader_token
         return None if token is None else (keys.shard(CLUSTER_LEADER_SHARD), token)
 
-    def _evidence(self) -> Evidence:
+    def _decision_context(self) -> DecisionContext:
         owned = self.membership.leaders.get(CLUSTER_LEADER_SHARD)
-        return Evidence(
+        return DecisionContext(
             self.replica.revision,
             self.membership.cancellations_verified_at(),
             self.membership.leader(CLUSTER_LEADER_SHARD),
@@ -184,14 +184,16 @@
         async with trio.open_nursery() as nursery:
             self.api.nursery = nursery
             host, port = host_port(self.settings.public_addr)
-            nursery.start_soon(self.loops.keep, "users", lambda: users.serve(host, port))
+            nursery.start_soon(self.loops.supervise, "users", lambda: users.serve(host, port))
             peer_host, peer_port = host_port(self.settings.peer_bind)
-            nursery.start_soon(self.loops.keep, "peers", lambda: peers.serve(peer_host, peer_port))
+            nursery.start_soon(
+                self.loops.supervise, "peers", lambda: peers.serve(peer_host, peer_port)
+            )
             for name, loop in self._own_loops():
-                nursery.start_soon(self.loops.keep, name, loop)
+                nursery.start_soon(self.loops.supervise, name, loop)
             for peer in self.membership.peers.values():
                 nursery.start_soon(
-                    self.loops.keep,
+                    self.loops.supervise,
                     f"heartbeats_{peer.name}",
                     lambda p=peer: self.membership.run_heartbeats(p),
                 )
--- a/pitchtally/observability/supervision.py
+++ b/pitchtally/observability/supervision.py
@@ -1,4 +1,4 @@
-"""Loops that run for as long as the process does."""
+"""Supervision of the loops that run for as long as the process does."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 import trio
 
-log = logging.getLogger("loops")
+log = logging.getLogger("supervision")
 
 RESTART_PAUSE_S = 0.5
 
 Loop = Callable[[], Awaitable[None]]
 
 
-class Loops:
-    """Begins a loop that ended by a fault anew; each such fault is counted and told."""
+class LoopSupervisor:
+    """Restarts a loop that ended by an exception; each such fault is counted and logged."""
 
     def __init__(self) -> None:
         self.faults: Counter[str] = Counter()  # by the loop's name
 
-    async def keep(self, name: str, loop: Loop) -> None:
+    async def supervise(self, name: str, loop: Loop) -> None:
         """Run a loop for ever: a fault in one must not end the process."""
         while True:
             try:
--- a/tests/observability/test_decision_log.py
+++ b/tests/observability/test_decision_log.py
@@ -8,8 +8,13 @@
 import trio
 import trio.testing
 
-from pitchtally.observability.decision_log import Decision, DecisionLog, DecisionReason, Evidence
-from pitchtally.observability.supervision import Loops
+from pitchtally.observability.decision_log import (
+    Decision,
+    DecisionContext,
+    DecisionLog,
+    DecisionReason,
+)
+from pitchtally.observability.supervision import LoopSupervisor
 from pitchtally.state_store.replica import Refresh
 
 from ..harness.simulation import Simulation, job, run
@@ -18,8 +23,8 @@
 
 
 def _log(counters: dict[str, int]) -> DecisionLog:
-    evidence = Evidence(430, 0.5, "n0", 17)
-    return DecisionLog(lambda: evidence, lambda: counters, lambda: None)
+    context = DecisionContext(430, 0.5, "n0", 17)
+    return DecisionLog(lambda: context, lambda: counters, lambda: None)
 
 
 def _on_mock_clock(body: object) -> None:
@@ -30,7 +35,7 @@
     """Enough to tell a stale confirmation from an old answer and from a gap in the copy."""
 
     async def main() -> None:
-        with caplog.at_level(logging.DEBUG, "decisions"):
+        with caplog.at_level(logging.DEBUG, "decision_log"):
             _log({}).on_decision(Decision.UNKNOWN_JOB, "wk-000001", DecisionReason(read=READ))
             _log({}).on_decision(Decision.START, "wk-000001/0", DecisionReason(5, token=17))
 
@@ -58,7 +63,7 @@
             await trio.sleep(5.0)
             nursery.cancel_scope.cancel()
 
-    with caplog.at_level(logging.INFO, "decisions"):
+    with caplog.at_level(logging.INFO, "decision_log"):
         _on_mock_clock(main)
     first, second = (record.getMessage().split() for record in caplog.records)
     assert {"leader=n0", "token=17", "found=1000", "confirmed=1000", "timed_out=3"} <= set(first)
@@ -79,13 +84,13 @@
                 raise KeyError("i-000001")
             await trio.sleep_forever()
 
-        loops = Loops()
+        loops = LoopSupervisor()
         with trio.move_on_after(10):
-            await loops.keep("records", loop)
+            await loops.supervise("records", loop)
         assert begun == 3
         assert loops.faults == {"records": 2}
 
-    with caplog.at_level(logging.ERROR, "loops"):
+    with caplog.at_level(logging.ERROR, "supervision"):
         _on_mock_clock(main)
     assert [r.getMessage() for r in caplog.records] == [
         "loop fault loop=records faults=1",
@@ -107,7 +112,7 @@
         await sim.cancel("wk-000002")
         await sim.finish(["wk-000001", "wk-000002"])
 
-    with caplog.at_level(logging.DEBUG, "decisions"):
+    with caplog.at_level(logging.DEBUG, "decision_log"):
         run(monkeypatch, day)
     told = {
         field
