--- a/pitchtally/agents/command_sender.py
+++ b/pitchtally/agents/command_sender.py
@@ -38,7 +38,7 @@
         # and as many kept open: a shard may hold more machines than there are sockets.
         limits = agents.settings.deployment.machine_limits
         self.calls = max(8, limits.max_connections // 30)
-        self.client = Client(keep=1, most=self.calls, idle=8.0)
+        self.client = Client(max_idle_per_address=1, max_idle=self.calls, idle_timeout=8.0)
         self.wake = trio.Event()
         self.touched: set[str] = set()  # machines with tasks to stop
         self.last_heartbeat_at = trio.current_time()  # when any machine was heard
--- a/pitchtally/autoscaling/cloud_client.py
+++ b/pitchtally/autoscaling/cloud_client.py
@@ -24,7 +24,7 @@
         self.timeout = policy.cloud_timeout
         rate = settings.deployment.cloud.rps * 0.8
         self.bucket = rate_limits.TokenBucket(rate, rate)
-        self.client = Client(keep=2)
+        self.client = Client(max_idle_per_address=2)
 
     async def call(self, method: str, target: str, body: bytes = b"") -> bytes:
         """One request, once the shared limit allows it; the body of its answer."""
--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -170,15 +170,15 @@
         users = Server(
             self.api.serve,
             max_connections=int(connections * (1 - OUTWARD - PEERS)),
-            idle=times.lease_s * 3,
-            request_time=times.report_s * 2,
-            vital=frozenset({REPORTS}),
+            idle_timeout=times.lease_s * 3,
+            request_timeout=times.report_s * 2,
+            priority_paths=frozenset({REPORTS}),
         )
         peers = Server(
             self._serve_peer,
             max_connections=int(connections * PEERS),
-            idle=times.lease_s,
-            request_time=times.report_s,
+            idle_timeout=times.lease_s,
+            request_timeout=times.report_s,
             max_body=1 << 22,
         )
         async with trio.open_nursery() as nursery:
--- a/pitchtally/http/__init__.py
+++ b/pitchtally/http/__init__.py
@@ -1,15 +1,19 @@
 """HTTP over trio with h11: a small server, and a client that pools connections.
 
-Every read and write has a limit in time and size, because users, peers and machines hang,
-answer rubbish or come back late. Nothing here knows what the requests mean.
+Duty: carry requests and responses between processes. Every read and write is limited in time
+and size, because users, peers and machines hang, answer rubbish or come back late. A `Server`
+owns its inbound connections, a `Client` its pool; nobody else closes them. Invariants: an
+answer is matched to the request that it belongs to or dropped, and no exception of one
+connection ends another. Nothing here knows what the requests mean.
 """
 
 from .client import Client
-from .messages import MAX_BODY, Handler, HttpError, Request, Response, split_target
+from .messages import MAX_BODY, Address, Handler, HttpError, Request, Response, split_target
 from .server import Server
 
 __all__ = [
     "MAX_BODY",
+    "Address",
     "Client",
     "Handler",
     "HttpError",
--- a/pitchtally/http/messages.py
+++ b/pitchtally/http/messages.py
@@ -1,17 +1,28 @@
-"""Requests and responses, and what can be wrong with them."""
+"""Requests and responses, and the errors that they end in."""
 
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
 
-MAX_BODY = 64 * 1024
+MAX_BODY = 64 * 1024  # bytes
+
+# Host and port, as sockets take them.
+Address = tuple[str, int]
 
 
 class HttpError(Exception):
     """No usable answer: refused, timed out, reset, or not HTTP."""
 
 
+class BadRequestError(Exception):
+    """A request that is answered with an error status, and ends its connection."""
+
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
+        self.status = status
+
+
 @dataclass(slots=True)
 class Request:
     """A request, read whole."""
@@ -35,25 +46,19 @@
 Handler = Callable[[Request], Awaitable[Response]]
 
 
-class BadRequest(Exception):
-    """A request that is answered with an error, and ends its connection."""
-
-    def __init__(self, status: int, reason: str):
-        super().__init__(reason)
-        self.status = status
-
-
 def split_target(target: bytes) -> tuple[str, dict[str, str]]:
-    """Path and query of a request target."""
-    path, _, rest = target.decode("latin-1").partition("?")
+    """Return path and query of a request target."""
+    path, _, query_text = target.decode("latin-1").partition("?")
     query = {}
-    for piece in rest.split("&") if rest else ():
+    for piece in query_text.split("&") if query_text else ():
         name, _, value = piece.partition("=")
         query[name] = value
     return path, query
 
 
-def fault(status: int, reason: str, headers: list[tuple[str, str]] | None = None) -> Response:
-    """An error response with a reason in its body."""
+def error_response(
+    status: int, reason: str, headers: list[tuple[str, str]] | None = None
+) -> Response:
+    """Return a response whose JSON body holds the reason."""
     text = reason.replace("\\", "/").replace('"', "'")
     return Response(status, f'{{"error":"{text}"}}'.encode(), headers or [])
--- a/pitchtally/http/server.py
+++ b/pitchtally/http/server.py
@@ -1,9 +1,4 @@
-"""HTTP over trio with h11: a small server, and a client that pools connections.
-
-Every read and write has a limit in time and size, because users, peers and
-machines hang, answer rubbish or come back late. Nothing here knows what the
-requests mean.
-"""
+"""A server for one listening socket: accepts, limits and serves its connections."""
 
 from __future__ import annotations
 
@@ -13,30 +8,36 @@
 import h11
 import trio
 
-from .header_cache import HeaderCache, head_of
-from .messages import MAX_BODY, BadRequest, Handler, Request, Response, fault, split_target
-from .sockets import receive, send_all
+from .h11_exchange import REQUEST_TIMED_OUT, H11Exchange, send_in_time
+from .header_cache import HeaderCache
+from .messages import MAX_BODY, BadRequestError, Handler, Request, Response, error_response
+from .sockets import receive
+
+log = logging.getLogger("http.server")
 
-log = logging.getLogger("http")
+# Hundreds of agents connect at once when another controller ends.
+BACKLOG = 1024
+# After a failed accept, a share of the request timeout until the next one.
+ACCEPT_PAUSE_SHARE = 1 / 200
 
 
-class Inbound:
+class InboundConnection:
     """One accepted connection."""
 
-    __slots__ = ("idle_since", "scope", "vital")
+    __slots__ = ("has_priority", "idle_since", "scope")
 
-    def __init__(self, scope: trio.CancelScope):
+    def __init__(self, scope: trio.CancelScope) -> None:
         self.scope = scope
         self.idle_since: float | None = trio.current_time()  # None: a request is under way
-        self.vital = False
+        self.has_priority = False  # whether its last request was for a priority path
 
 
 class Server:
     """Serves one listening socket; each connection is one task.
 
-    When all places are taken the connection that has been idle longest makes room,
-    but none that last carried a vital path: users' idle connections can't crowd out
-    agents, and a new caller, the load balancer's probe above all, gets in.
+    When all places are taken the connection that has been idle longest is evicted, but none
+    that last carried a priority path: users' idle connections can't crowd out agents, and a
+    new caller, the load balancer's probe above all, gets in.
     """
 
     def __init__(
@@ -44,19 +45,20 @@
         handler: Handler,
         *,
         max_connections: int,
-        idle: float,
-        request_time: float,
+        idle_timeout: float,
+        request_timeout: float,
         max_body: int = MAX_BODY,
-        vital: frozenset[str] = frozenset(),
-    ):
+        priority_paths: frozenset[str] = frozenset(),
+    ) -> None:
+        """Timeouts are seconds; `max_body` is bytes."""
         self.handler = handler
         self.max_connections = max_connections
-        self.idle = idle
-        self.request_time = request_time
+        self.idle_timeout = idle_timeout
+        self.request_timeout = request_timeout
         self.max_body = max_body
-        self.vital = vital
-        self.links: set[Inbound] = set()
-        self.heads = HeaderCache()
+        self.priority_paths = priority_paths
+        self.connections: set[InboundConnection] = set()
+        self._heads = HeaderCache()
 
     async def serve(self, host: str, port: int) -> None:
         """Accept connections until cancelled."""
@@ -64,8 +66,7 @@
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.setblocking(False)
         listener.bind((host, port))
-        # Hundreds of agents come at once when another controller ends.
-        listener.listen(1024)
+        listener.listen(BACKLOG)
         try:
             async with trio.open_nursery() as nursery:
                 while True:
@@ -77,191 +78,145 @@
                     except OSError as error:
                         # Out of sockets, or the caller is gone already.
                         log.debug("accept failed: %s", error)
-                        self._make_room()
-                        await trio.sleep(self.request_time / 200)
+                        self._evict_idle()
+                        await trio.sleep(self.request_timeout * ACCEPT_PAUSE_SHARE)
         finally:
             trio.lowlevel.notify_closing(listener)
             listener.close()
 
+    async def handle(self, request: Request) -> Response:
+        """Let the handler answer; an exception of its own becomes a 503."""
+        try:
+            return await self.handler(request)
+        except Exception:
+            # A fault in one request must never end the process.
+            log.exception("handler fault path=%s", request.path)
+            return error_response(503, "internal fault", [("Retry-After", "1")])
+
     def _accept(self, listener: socket.socket, nursery: trio.Nursery) -> None:
+        """Accept every connection that waits; ends with BlockingIOError."""
         while True:
             sock, _ = listener.accept()
-            if len(self.links) >= self.max_connections and not self._make_room():
+            if len(self.connections) >= self.max_connections and not self._evict_idle():
                 sock.close()
                 continue
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            link = Inbound(trio.CancelScope())
-            self.links.add(link)
-            nursery.start_soon(self._connection, link, sock)
+            connection = InboundConnection(trio.CancelScope())
+            self.connections.add(connection)
+            nursery.start_soon(self._serve_connection, connection, sock)
 
-    def _make_room(self) -> bool:
+    def _evict_idle(self) -> bool:
         """End the connection that has been idle longest; False if all are needed."""
         idle = [
-            (k.idle_since, id(k), k) for k in self.links if k.idle_since is not None and not k.vital
+            (connection.idle_since, id(connection), connection)
+            for connection in self.connections
+            if connection.idle_since is not None and not connection.has_priority
         ]
         if not idle:
             return False
-        link = min(idle)[2]
-        link.scope.cancel()
-        self.links.discard(link)
+        connection = min(idle)[2]
+        connection.scope.cancel()
+        self.connections.discard(connection)
         return True
 
-    async def _connection(self, link: Inbound, sock: socket.socket) -> None:
+    async def _serve_connection(self, connection: InboundConnection, sock: socket.socket) -> None:
         try:
-            with link.scope:
-                await self._requests(link, sock)
+            with connection.scope:
+                await self._serve_requests(connection, sock)
         except (OSError, trio.BrokenResourceError, trio.ClosedResourceError, h11.ProtocolError):
             pass
         except Exception:
             log.exception("connection fault")
         finally:
-            self.links.discard(link)
+            self.connections.discard(connection)
             trio.lowlevel.notify_closing(sock)
             sock.close()
 
-    async def _requests(self, link: Inbound, sock: socket.socket) -> None:
-        data = b""
-        while True:
-            # Moved only when half is gone: a deadline costs more than the look at it.
+    async def _serve_requests(self, connection: InboundConnection, sock: socket.socket) -> None:
+        """Serve requests until the connection ends; the path of every agent heartbeat."""
+        data: bytes | None = b""
+        while data is not None:
+            # Moved only when half of it is over: setting a deadline costs more than a look.
             now = trio.current_time()
-            if link.scope.deadline - now < self.idle / 2 or link.scope.deadline > now + self.idle:
-                link.scope.deadline = now + self.idle
+            scope, timeout = connection.scope, self.idle_timeout
+            if scope.deadline - now < timeout / 2 or scope.deadline > now + timeout:
+                scope.deadline = now + timeout
             while not data:
-                link.idle_since = now
+                connection.idle_since = now
                 await trio.lowlevel.wait_readable(sock)
-                found = receive(sock)
-                if found == b"":
+                received = receive(sock)
+                if received == b"":
                     return
-                data = found or b""
-            link.idle_since = None
-            request = await self._known(sock, data)
+                data = received or b""
+            connection.idle_since = None
+            request = await self._read_cached(sock, data)
             if request is None:
-                conn = h11.Connection(h11.SERVER, max_incomplete_event_size=16 * 1024)
-                conn.receive_data(data)
-                if not await self._one(link, conn, sock, data):
-                    return
-                data = bytes(conn.trailing_data[0])
+                data = await self._serve_with_h11(connection, sock, data)
                 continue
             data = b""
-            link.vital = request.path in self.vital
-            response = await self._handle(request)
-            out = self.heads.write(response) + response.body
+            connection.has_priority = request.path in self.priority_paths
+            response = await self.handle(request)
+            out = self._heads.encode_head(response) + response.body
             try:
-                sent = sock.send(out)
+                accepted = sock.send(out)
             except BlockingIOError:
-                sent = 0
-            if sent < len(out):
-                await self._write(sock, out[sent:])
-
-    async def _known(self, sock: socket.socket, data: bytes) -> Request | None:
-        """A request whose head h11 has read before, if there is no more than it."""
-        found = self.heads.known(data)
-        if found is None or found[3] > self.max_body:
+                accepted = 0
+            if accepted < len(out):
+                await send_in_time(sock, out[accepted:], self.request_timeout)
+
+    async def _read_cached(self, sock: socket.socket, data: bytes) -> Request | None:
+        """Read a request whose head is in the cache; None if h11 has to read it."""
+        cached = self._heads.lookup(data)
+        if cached is None or cached[3] > self.max_body:
             return None
-        method, path, end, length = found
-        if len(data) < end + length:
-            pieces = [data]
-            missing = end + length - len(data)
-            with trio.move_on_after(self.request_time) as scope:
-                while missing > 0:
-                    await trio.lowlevel.wait_readable(sock)
-                    more = receive(sock, missing)
-                    if more == b"":
-                        raise h11.RemoteProtocolError("connection ended inside a request")
-                    if more:
-                        pieces.append(more)
-                        missing -= len(more)
-            if scope.cancelled_caught:
-                await self._write(sock, self._last(fault(408, "request timed out")))
-                raise h11.RemoteProtocolError("request timed out")
-            data = b"".join(pieces)
-        elif len(data) > end + length:
+        method, path, head_end, length = cached
+        if len(data) < head_end + length:
+            data = await self._receive_rest(sock, data, head_end + length)
+        elif len(data) > head_end + length:
             return None  # pipelined, which h11 sorts out
-        return Request(method, path, {}, data[end:])
-
-    def _last(self, response: Response) -> bytes:
-        response.headers.append(("Connection", "close"))
-        return self.heads.write(response) + response.body
-
-    async def _one(
-        self, link: Inbound, conn: h11.Connection, sock: socket.socket, data: bytes
-    ) -> bool:
-        """Serve one request by way of h11; False once the connection is over."""
-        request = None
+        return Request(method, path, {}, data[head_end:])
+
+    async def _receive_rest(self, sock: socket.socket, data: bytes, size: int) -> bytes:
+        """Return the whole request, of which the first bytes have been read."""
+        pieces = [data]
+        missing = size - len(data)
+        with trio.move_on_after(self.request_timeout) as scope:
+            while missing > 0:
+                await trio.lowlevel.wait_readable(sock)
+                more = receive(sock, missing)
+                if more == b"":
+                    raise h11.RemoteProtocolError("connection ended inside a request")
+                if more:
+                    pieces.append(more)
+                    missing -= len(more)
+        if scope.cancelled_caught:
+            response = error_response(408, REQUEST_TIMED_OUT, [("Connection", "close")])
+            out = self._heads.encode_head(response) + response.body
+            await send_in_time(sock, out, self.request_timeout)
+            raise h11.RemoteProtocolError(REQUEST_TIMED_OUT)
+        return b"".join(pieces)
+
+    async def _serve_with_h11(
+        self, connection: InboundConnection, sock: socket.socket, data: bytes
+    ) -> bytes | None:
+        """Serve one request by way of h11.
+
+        Returns what has been read beyond it, or None once the connection is over.
+        """
+        exchange = H11Exchange(
+            sock, data, max_body=self.max_body, request_timeout=self.request_timeout
+        )
         try:
-            with trio.move_on_after(self.request_time):
-                event = await self._event(conn, sock)
-                if not isinstance(event, h11.Request):
-                    return False
-                request = await self._read(conn, sock, event)
+            request = await exchange.read_request()
             if request is None:
-                if conn.our_state is h11.SEND_RESPONSE and conn.their_state is not h11.IDLE:
-                    await self._send(conn, sock, fault(408, "request timed out"))
-                return False
-            if isinstance(event, h11.Request):
-                self.heads.learn(data, event, self.max_body)
-            link.vital = request.path in self.vital
-            response = await self._handle(request)
-        except BadRequest as error:
-            await self._send(conn, sock, fault(error.status, str(error)))
-            return False
-        except h11.RemoteProtocolError as error:
-            if conn.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-                await self._send(conn, sock, fault(error.error_status_hint, "not HTTP"))
-            return False
-        await self._send(conn, sock, response)
-        return conn.our_state is h11.DONE and conn.their_state is h11.DONE
-
-    async def _handle(self, request: Request) -> Response:
-        try:
-            return await self.handler(request)
-        except Exception:
-            # A fault in one request must never end the process.
-            log.exception("handler fault path=%s", request.path)
-            return fault(503, "internal fault", [("Retry-After", "1")])
-
-    async def _read(self, conn: h11.Connection, sock: socket.socket, head: h11.Request) -> Request:
-        for name, value in head.headers:
-            if name == b"content-length" and value.isdigit() and int(value) > self.max_body:
-                raise BadRequest(400, "body: over 64 KiB")
-            if name == b"expect" and value.lower() == b"100-continue":
-                await self._write(
-                    sock,
-                    conn.send(h11.InformationalResponse(status_code=100, headers=[])) or b"",
-                )
-        body = bytearray()
-        while True:
-            event = await self._event(conn, sock)
-            if isinstance(event, h11.Data):
-                body += event.data
-                if len(body) > self.max_body:
-                    raise BadRequest(400, "body: over 64 KiB")
-            elif isinstance(event, h11.EndOfMessage):
-                break
-            else:
-                raise h11.RemoteProtocolError("connection ended inside a request")
-        path, query = split_target(head.target)
-        return Request(head.method.decode("latin-1"), path, query, bytes(body))
-
-    async def _event(self, conn: h11.Connection, sock: socket.socket) -> object:
-        while True:
-            event = conn.next_event()
-            if event is not h11.NEED_DATA:
-                return event
-            await trio.lowlevel.wait_readable(sock)
-            data = receive(sock)
-            if data is not None:
-                conn.receive_data(data)
-
-    async def _send(self, conn: h11.Connection, sock: socket.socket, response: Response) -> None:
-        out = conn.send(head_of(response, str(len(response.body)))) or b""
-        out += conn.send(h11.Data(data=response.body)) or b""
-        out += conn.send(h11.EndOfMessage()) or b""
-        await self._write(sock, out)
-
-    async def _write(self, sock: socket.socket, out: bytes) -> None:
-        with trio.move_on_after(self.request_time) as scope:
-            await send_all(sock, out)
-        if scope.cancelled_caught:
-            raise trio.BrokenResourceError
+                return None
+            if exchange.head is not None:
+                self._heads.learn(data, exchange.head)
+            connection.has_priority = request.path in self.priority_paths
+            response = await self.handle(request)
+        except (BadRequestError, h11.RemoteProtocolError) as error:
+            await exchange.refuse(error)
+            return None
+        await exchange.respond(response)
+        return exchange.trailing_data if exchange.is_complete else None
--- a/pitchtally/http/sockets.py
+++ b/pitchtally/http/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets that never block, as a coroutine reads and writes them."""
+"""Reads and writes on non-blocking sockets."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 
 import trio
 
-CHUNK = 16 * 1024
+CHUNK = 16 * 1024  # bytes that one read takes at most
 
 
-async def send_all(sock: socket.socket, out: bytes) -> None:
-    """All of it; where the first try takes all, it costs no more than the call."""
+async def send_all(sock: socket.socket, data: bytes) -> None:
+    """Send all bytes; waits only if the socket doesn't take them at once."""
     sent = 0
     while True:
         try:
-            sent += sock.send(out[sent:] if sent else out)
+            sent += sock.send(data[sent:] if sent else data)
         except BlockingIOError:
             pass
-        if sent == len(out):
+        if sent == len(data):
             return
         await trio.lowlevel.wait_writable(sock)
 
 
-def receive(sock: socket.socket, most: int = CHUNK) -> bytes | None:
-    """What has come; b"" at the end, None if it was a false alarm."""
+def receive(sock: socket.socket, max_bytes: int = CHUNK) -> bytes | None:
+    """Return what has arrived: b"" at the end of the stream, None if there is nothing yet."""
     try:
-        return sock.recv(most)
+        return sock.recv(max_bytes)
     except BlockingIOError:
         return None
--- a/pitchtally/membership/membership.py
+++ b/pitchtally/membership/membership.py
@@ -101,7 +101,7 @@
         self.peers = {
             m.name: Peer(m.name, m.address) for m in settings.members if m.name != settings.name
         }
-        self.client = Client(keep=2)
+        self.client = Client(max_idle_per_address=2)
         # Users' requests that are passed on must leave connections to heartbeats: a flood of
         # them made peers refuse each other for as long as it took to see that all are cut off.
         connections = settings.deployment.machine_limits.max_connections
--- a/pitchtally/state_store/client.py
+++ b/pitchtally/state_store/client.py
@@ -61,7 +61,7 @@
         self.requests = rate_limits.TokenBucket(limits.rps * share, limits.rps * share)
         self.writes = rate_limits.TokenBucket(limits.write_rps * share, limits.write_rps * share)
         self.limits = limits
-        self.client = Client(keep=8)
+        self.client = Client(max_idle_per_address=8)
         self.answered_at = -1e9
         self.failing_since: float | None = None
         self._told: set[str] = set()  # causes of unusable answers, each logged once
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -154,7 +154,9 @@
             answer: Response = await handler(request)
             return answer
 
-        await Server(safe, max_connections=200, idle=60, request_time=30).serve("127.0.0.1", port)
+        await Server(safe, max_connections=200, idle_timeout=60, request_timeout=30).serve(
+            "127.0.0.1", port
+        )
 
     async with trio.open_nursery() as nursery:
         world.nursery = nursery
--- a/standins/network.py
+++ b/standins/network.py
@@ -238,7 +238,7 @@
             return await network.call(address, method, target, body, timeout=timeout)
 
         async def serve(self: Server, host: str, port: int) -> None:
-            network.hosts[(host, port)] = (HERE.get(), self._handle)
+            network.hosts[(host, port)] = (HERE.get(), self.handle)
             await trio.sleep_forever()
 
         monkeypatch.setattr(Client, "call", call)
--- a/tests/cluster/test_large_fleet.py
+++ b/tests/cluster/test_large_fleet.py
@@ -213,7 +213,11 @@
 
     async def main() -> None:
         server = Server(
-            _echo, max_connections=6, idle=30, request_time=2, vital=frozenset({"/v1/report"})
+            _echo,
+            max_connections=6,
+            idle_timeout=30,
+            request_timeout=2,
+            priority_paths=frozenset({"/v1/report"}),
         )
         async with trio.open_nursery() as nursery:
             port = await _listening(nursery, server)
@@ -230,7 +234,7 @@
                 assert await users[0].receive_some(10) == b""  # idle longest
             for agent in agents:
                 assert (await _ask(agent, VITAL)).startswith(b"HTTP/1.1 200")
-            assert len(server.links) <= 6
+            assert len(server.connections) <= 6
             nursery.cancel_scope.cancel()
 
     trio.run(main)
@@ -240,7 +244,7 @@
     """Clients that open sockets and send nothing are the first to go."""
 
     async def main() -> None:
-        server = Server(_echo, max_connections=20, idle=30, request_time=2)
+        server = Server(_echo, max_connections=20, idle_timeout=30, request_timeout=2)
         async with trio.open_nursery() as nursery:
             port = await _listening(nursery, server)
             silent = [await trio.open_tcp_stream("127.0.0.1", port) for _ in range(60)]
@@ -249,7 +253,7 @@
                 answer = await client.call(("127.0.0.1", port), "POST", "/x", b"1", timeout=1)
                 assert answer.status == 200
                 client.drop(("127.0.0.1", port))
-            assert len(server.links) <= 20
+            assert len(server.connections) <= 20
             for stream in silent:
                 await trio.aclose_forcefully(stream)
             nursery.cancel_scope.cancel()
@@ -262,7 +266,11 @@
 
     async def main() -> None:
         server = Server(
-            _echo, max_connections=500, idle=30, request_time=2, vital=frozenset({"/v1/report"})
+            _echo,
+            max_connections=500,
+            idle_timeout=30,
+            request_timeout=2,
+            priority_paths=frozenset({"/v1/report"}),
         )
         answered = 0
 
@@ -294,14 +302,14 @@
 
     async def main() -> None:
         async with trio.open_nursery() as nursery:
-            client, ports = Client(keep=1, most=4, idle=30), []
+            client, ports = Client(max_idle_per_address=1, max_idle=4, idle_timeout=30), []
             for _ in range(12):
-                server = Server(_echo, max_connections=5, idle=30, request_time=2)
+                server = Server(_echo, max_connections=5, idle_timeout=30, request_timeout=2)
                 ports.append(await _listening(nursery, server))
                 await client.call(("127.0.0.1", ports[-1]), "GET", "/", timeout=1)
-            assert sum(len(pending) for pending in client._idle.values()) <= 4
-            assert len(client._idle) <= 4
-            assert ("127.0.0.1", ports[-1]) in client._idle
+            assert sum(len(pending) for pending in client.pool.idle.values()) <= 4
+            assert len(client.pool.idle) <= 4
+            assert ("127.0.0.1", ports[-1]) in client.pool.idle
             nursery.cancel_scope.cancel()
 
     trio.run(main)
@@ -323,7 +331,7 @@
 @pytest.mark.parametrize(("sent", "answers"), LATER_REQUESTS)
 def test_known_heads_are_read_as_h11_reads_them(sent: list[bytes], answers: list[bytes]) -> None:
     async def main() -> None:
-        server = Server(_echo, max_connections=6, idle=5, request_time=0.3)
+        server = Server(_echo, max_connections=6, idle_timeout=5, request_timeout=0.3)
         async with trio.open_nursery() as nursery:
             port = await _listening(nursery, server)
             for _ in range(2):  # heads are learned on the first connection
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -15,7 +15,9 @@
 
 
 async def with_server(port_box: list[int], body: object) -> None:
-    server = Server(handler, max_connections=10, idle=0.5, request_time=0.3, max_body=1000)
+    server = Server(
+        handler, max_connections=10, idle_timeout=0.5, request_timeout=0.3, max_body=1000
+    )
     probe = trio.socket.socket()
     await probe.bind(("127.0.0.1", 0))
     port = probe.getsockname()[1]
