--- a/tests/cluster/test_rolling_upgrade_processes.py
+++ b/tests/cluster/test_rolling_upgrade_processes.py
@@ -17,7 +17,7 @@
 
 from standins.__main__ import CONTROLLERS, STATE_PORT, controller_port
 
-from ..harness.earlier_version import ROOT, Production
+from ..harness.earlier_version import ROOT, EarlierVersion
 from ..harness.simulation import job, submission
 
 PATIENCE_S = 60.0
@@ -77,7 +77,7 @@
 
 
 @pytest.fixture
-def cluster(production: Production, tmp_path: Path) -> Iterator[Cluster]:
+def cluster(production: EarlierVersion, tmp_path: Path) -> Iterator[Cluster]:
     found = Cluster(tmp_path, production.folder.parent)
     try:
         wait_for("settings", (tmp_path / f"node-{CONTROLLERS - 1}.toml").exists)
--- a/tests/harness/simulation.py
+++ b/tests/harness/simulation.py
@@ -30,7 +30,7 @@
 from standins.state_store import StateStore
 
 from .deterministic_trio import schedule_deterministically
-from .earlier_version import Production
+from .earlier_version import EarlierVersion, with_present_names
 from .invariants import InvariantChecker
 
 NODES = ["n0", "n1", "n2"]
@@ -147,11 +147,11 @@
         self.network.hosts[("10.2.0.1", 2379)] = ("state", self.state_store.handle)
         self.network.hosts[("10.2.0.2", 8443)] = ("cloud", self.world.handle)
         self.scopes: dict[str, trio.CancelScope] = {}
-        self.controllers: dict[str, Any] = {}  # a Controller, or one in production
+        self.controllers: dict[str, Any] = {}  # a Controller, or an earlier version's
         self.nursery: trio.Nursery
         self.invariants = InvariantChecker(self.world.rules)
         self.final_stages = self.invariants.final_stages
-        self.production: Production | None = None  # the version in production, if a test uses it
+        self.earlier: EarlierVersion | None = None  # an earlier version, if a test uses one
         self.earlier_nodes: set[str] = set()  # nodes that start with it
         self.probes_changes = False  # users ask at all nodes at once after each change they see
         self._probed: set[tuple[str, str]] = set()
@@ -162,8 +162,8 @@
             self.scopes[name] = scope
             config = settings(name, self.times, self.teams, self.state_limits)
             controller: Any
-            if name in self.earlier_nodes and self.production is not None:
-                controller = self.production.controller(config, self.policy_text)
+            if name in self.earlier_nodes and self.earlier is not None:
+                controller = with_present_names(self.earlier.controller(config, self.policy_text))
             else:
                 controller = Controller(config, policy.parse(self.policy_text, config))
             self.controllers[name] = controller
@@ -298,25 +298,25 @@
     seed: int = 1,
     times: AgentTimes = TIMES,
     teams: list[Team] | None = None,
-    production: Production | None = None,
+    earlier: EarlierVersion | None = None,
     state: StateLimits = STATE_LIMITS,
 ) -> Simulation:
     """Run `await body(sim)` on a mock clock, with all controllers and four machines up.
 
-    With a version in `production`, all nodes start with that.
+    With an `earlier` version, all nodes start with that.
     """
     sim = Simulation(seed, times, teams)
     sim.state_limits = state
-    sim.production = production
-    sim.earlier_nodes = set(NODES) if production is not None else set()
+    sim.earlier = earlier
+    sim.earlier_nodes = set(NODES) if earlier is not None else set()
 
     async def main() -> None:
         sim.network.install(monkeypatch)
         clock = types.SimpleNamespace(time=trio.current_time)
         monkeypatch.setattr(priorities, "time", clock)
         monkeypatch.setattr(routes, "time", clock)
-        if production is not None:
-            production.install(monkeypatch, sim.network, clock)
+        if earlier is not None:
+            earlier.install(monkeypatch, sim.network, clock)
         async with trio.open_nursery() as nursery:
             sim.nursery = sim.network.nursery = sim.world.nursery = nursery
             nursery.start_soon(sim.state_store.run)
