--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -16,7 +16,8 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 LIST = ROOT / "KNOWN-RED.txt"
-MOST_ENTRIES = 3
+MAX_ENTRIES = 3
+SEPARATOR = " | "
 
 # Exit codes of pytest.
 ALL_PASSED = 0
@@ -26,7 +27,7 @@
 
 
 class ListError(Exception):
-    """The list can't be used; the text is one line that says why."""
+    """A list that can't be used; the text is one line that says why."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,19 +40,19 @@
 
 
 def parse(text: str) -> list[KnownRed]:
-    """The entries of the list; raises ListError."""
+    """Return the entries of the list; raises ListError."""
     entries = []
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip() or line.startswith("#"):
             continue
-        fields = [field.strip() for field in line.split(" | ")]
+        fields = [field.strip() for field in line.split(SEPARATOR)]
         if len(fields) != 3 or not all(fields):
             raise ListError(f"line {number}: not 'test | cause | issue'")
         if "::" not in fields[0]:
             raise ListError(f"line {number}: {fields[0]} names no single test")
         entries.append(KnownRed(*fields))
-    if len(entries) > MOST_ENTRIES:
-        raise ListError(f"{len(entries)} entries, {MOST_ENTRIES} at most")
+    if len(entries) > MAX_ENTRIES:
+        raise ListError(f"{len(entries)} entries, {MAX_ENTRIES} at most")
     if len({entry.test for entry in entries}) < len(entries):
         raise ListError("a test is listed twice")
     return entries
@@ -67,7 +68,7 @@
 
 
 def run(text: str, arguments: Sequence[str], run_pytest: RunPytest) -> int:
-    """Run all tests but the listed ones; the exit code."""
+    """Run all tests but the listed ones; return the exit code of pytest."""
     entries = parse(text)
     for entry in entries:
         print(f"known red: {entry.test}: {entry.cause} ({entry.issue})", flush=True)
@@ -80,7 +81,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Run pytest with these arguments; the exit code."""
+    """Run pytest with these arguments; return the exit code."""
     text = LIST.read_text() if LIST.exists() else ""
     try:
         return run(text, arguments, _pytest)
--- a/.ci/start.py
+++ b/.ci/start.py
@@ -9,10 +9,15 @@
 import tomllib
 import urllib.error
 import urllib.request
+from collections.abc import Callable
+from typing import NamedTuple
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-FOLDER = ROOT / "target" / "try"
-NODE = "http://127.0.0.1:7010"
+FOLDER = ROOT / "target" / "try"  # settings files that the stand-ins write
+CONTROLLER = "http://127.0.0.1:7010"
+CONTROLLERS = 3
+REQUEST_TIMEOUT_S = 5
+POLL_INTERVAL_S = 0.2
 JOB = {
     "ref": "wk-000001",
     "vintage": "demo",
@@ -34,49 +39,56 @@
 }
 
 
-def ask(path: str, body: object = None) -> tuple[int, dict[str, object]]:
-    """One request to the first controller: its status and JSON body; 0 without an answer."""
+class Reply(NamedTuple):
+    """A controller's answer; status 0 if there was none."""
+
+    status: int
+    body: dict[str, object]
+
+
+def request(path: str, body: object = None) -> Reply:
+    """Send one request to the first controller."""
     data = None if body is None else json.dumps(body).encode()
     try:
-        with urllib.request.urlopen(NODE + path, data, timeout=5) as answer:
-            return answer.status, json.loads(answer.read() or b"{}")
+        with urllib.request.urlopen(CONTROLLER + path, data, timeout=REQUEST_TIMEOUT_S) as answer:
+            return Reply(answer.status, json.loads(answer.read() or b"{}"))
     except urllib.error.HTTPError as error:
-        return error.code, {}
+        return Reply(error.code, {})
     except OSError:
-        return 0, {}
+        return Reply(0, {})
 
 
-def wait(what: str, check: object, limit: float = 60.0) -> None:
-    """Wait until a check holds, or end the run with what was missing."""
-    end = time.monotonic() + limit
+def wait_for(what: str, check: Callable[[], bool], timeout: float = 60.0) -> None:
+    """Wait until a check holds; after the timeout, in seconds, exit with what is missing."""
+    end = time.monotonic() + timeout
     while time.monotonic() < end:
-        if check():  # type: ignore[operator]
+        if check():
             print(f"start: {what}")
             return
-        time.sleep(0.2)
-    sys.exit(f"start: no {what} in {limit:g} s")
+        time.sleep(POLL_INTERVAL_S)
+    sys.exit(f"start: no {what} in {timeout:g} s")
 
 
 def main() -> None:
-    """Start stand-ins and controllers, run one job, and end them all."""
+    """Start stand-ins and controllers, run one job, and end all processes."""
     run = tomllib.loads((ROOT / "deploy" / "service.toml").read_text())["run"].split()
     env = {**os.environ, "LOG_LEVEL": "error"}
-    world = subprocess.Popen([sys.executable, "-m", "standins", str(FOLDER)], cwd=ROOT)
-    nodes = []
+    stand_ins = subprocess.Popen([sys.executable, "-m", "standins", str(FOLDER)], cwd=ROOT)
+    controllers = []
     try:
-        wait("settings", lambda: (FOLDER / "node-2.toml").exists())
-        nodes = [
+        wait_for("settings", lambda: (FOLDER / "node-2.toml").exists())
+        controllers = [
             subprocess.Popen([*run, str(FOLDER / f"node-{n}.toml")], cwd=ROOT, env=env)
-            for n in range(3)
+            for n in range(CONTROLLERS)
         ]
-        wait("ready", lambda: ask("/ready")[0] == 200)
-        wait("accepted", lambda: ask("/api/jobs", JOB)[0] in (200, 201))
-        wait("done", lambda: ask("/api/jobs/wk-000001")[1].get("stage") == "done")
-        ended = [node.poll() for node in nodes]
-        if any(code is not None for code in ended):
-            sys.exit(f"start: a controller ended by itself: {ended}")
+        wait_for("ready", lambda: request("/ready").status == 200)
+        wait_for("accepted", lambda: request("/api/jobs", JOB).status in (200, 201))
+        wait_for("done", lambda: request("/api/jobs/wk-000001").body.get("stage") == "done")
+        exit_codes = [controller.poll() for controller in controllers]
+        if any(code is not None for code in exit_codes):
+            sys.exit(f"start: a controller ended by itself: {exit_codes}")
     finally:
-        for process in (*nodes, world):
+        for process in (*controllers, stand_ins):
             process.kill()
             process.wait()
 
--- a/experiments/scale_site.py
+++ b/experiments/scale_site.py
@@ -1,4 +1,4 @@
-"""Writes a deployment's site file anew, scaled.
+"""Writes a scaled copy of a deployment's site file.
 
 `python3 -m experiments.scale_site SITE OUT --machines 9 --limits 4` makes a deployment with
 nine times the machines and four times the limits of another one. What is scaled by which
@@ -52,25 +52,25 @@
     Rule(("state",), ("rps", "write_rps"), "limits"),
     Rule(("cloud",), ("rps",), "limits"),
 )
-# Troubles that strike so many machines; one of a fraction of them scales by itself.
-MACHINE_TROUBLE = "machine_"
+# Prefix of faults of a number of machines; one of a share of them scales by itself.
+MACHINE_FAULT = "machine_"
 
 
 def scale(site: Table, factors: Factors) -> Table:
-    """A site's tables with its machines, arrivals and limits multiplied."""
+    """Multiply a site's machines, arrivals and limits in place; return the site."""
     for rule in RULES:
         factor = getattr(factors, rule.factor)
         for table in _tables(site, rule.path):
             _multiply(table, rule.fields, factor)
     for day in site.get("day", []):
-        for trouble in day.get("faults", []):
-            if trouble.get("kind", "").startswith(MACHINE_TROUBLE):
-                _multiply(trouble, ("count",), factors.machines)
+        for fault in day.get("faults", []):
+            if fault.get("kind", "").startswith(MACHINE_FAULT):
+                _multiply(fault, ("count",), factors.machines)
     return site
 
 
 def assign(site: Table, setting: str) -> None:
-    """Set one figure, as in `nodes.cpu_share=1.0`; raises SiteError."""
+    """Set one figure of a site, as in `nodes.cpu_share=1.0`; raises SiteError."""
     path, equals, text = setting.partition("=")
     *names, field = path.split(".")
     try:
@@ -84,7 +84,7 @@
 
 
 def _tables(site: Table, path: tuple[str, ...]) -> Iterable[Table]:
-    """Every table that a path leads to, through arrays of tables too."""
+    """Return every table that a path leads to, through arrays of tables too."""
     found: list[Table] = [site]
     for name in path:
         below = [table[name] for table in found if name in table]
@@ -103,7 +103,7 @@
 
 
 def read(path: Path) -> Table:
-    """The tables of a site file; raises SiteError."""
+    """Return the tables of a site file; raises SiteError."""
     try:
         return tomllib.loads(path.read_text())
     except (OSError, tomllib.TOMLDecodeError) as error:
@@ -111,7 +111,7 @@
 
 
 def scaled_text(source: Path, out: Path, factors: Factors, settings: Iterable[str]) -> str:
-    """The text of the scaled site file; raises SiteError."""
+    """Return the text of the scaled site file; raises SiteError."""
     site = scale(read(source), factors)
     for setting in settings:
         assign(site, setting)
--- a/pitchtally/config/settings.py
+++ b/pitchtally/config/settings.py
@@ -1,4 +1,8 @@
-"""The platform's settings file: read, checked, and named in the field's terms."""
+"""The platform's settings file, as typed records that were checked on reading.
+
+Unknown fields are ignored, so that a later platform can add some. Units are part of the
+names: `_s` seconds, `_ms` milliseconds, `_kb` kibibytes, `rps` requests per second.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +33,7 @@
 
 
 class Team(Struct, frozen=True):
-    """A team's guarantee and limit; 0: none."""
+    """A team's quota: guaranteed and highest use; 0: none."""
 
     name: str
     cpus: float = 0.0
@@ -39,7 +43,7 @@
 
 
 class Objective(Struct, frozen=True):
-    """An aim of the users."""
+    """A service-level objective: what the users expect of one class of jobs, or of all."""
 
     kind: str
     job_class: str | None = field(name="class", default=None)
@@ -51,7 +55,7 @@
 
 
 class AgentTimes(Struct, frozen=True):
-    """Intervals, leases and patience of the agents, in seconds."""
+    """Intervals, leases and timeouts of the agents, in seconds."""
 
     report_s: float
     lease_s: float
@@ -61,7 +65,7 @@
 
 
 class NextStateLimits(Struct, frozen=True):
-    """Limits that the state store will have from an unknown moment on; None: as today."""
+    """Limits announced for the state store, in force from an unknown time on; None: as today."""
 
     rps: float | None = None
     write_rps: float | None = None
@@ -70,7 +74,7 @@
 
 
 class StateLimits(Struct, frozen=True):
-    """Limits of the state store, for all nodes together."""
+    """Limits of the state store, for all controllers together."""
 
     rps: float = 100.0
     write_rps: float = 20.0
@@ -79,9 +83,9 @@
     next: NextStateLimits | None = None
 
     def to_keep(self) -> StateLimits:
-        """The smaller of today's limits and the announced ones, figure by figure.
+        """Return the smaller of today's limits and the announced ones, figure by figure.
 
-        Nobody is told when the announced ones begin, so they hold from our start.
+        It isn't known when the announced ones begin, so they are kept from the start on.
         """
         if self.next is None:
             return self
@@ -94,14 +98,14 @@
 
 
 class CloudLimits(Struct, frozen=True):
-    """Limits of the cloud's interface, for all nodes together."""
+    """Limits of the cloud's interface, for all controllers together."""
 
     rps: float = 2.0
     list_lag_s: float = 10.0
 
 
 class MachineLimits(Struct, frozen=True):
-    """What the machine that runs a controller allows it."""
+    """Resources of the machine that runs a controller."""
 
     cores: float = 1.0
     mem_mb: float = 256.0
@@ -109,7 +113,7 @@
 
 
 class Deployment(Struct, frozen=True):
-    """All that is alike for every controller of a deployment."""
+    """What all controllers of a deployment have in common."""
 
     count: int
     workers: AgentTimes
@@ -123,7 +127,7 @@
 
     @property
     def state_to_keep(self) -> StateLimits:
-        """The state store's limits that every request has to keep."""
+        """The limits of the state store that every request has to keep."""
         return self.state.to_keep()
 
 
@@ -140,12 +144,12 @@
 
     @property
     def nodes(self) -> list[str]:
-        """Every node's name, in the order all nodes agree on."""
+        """The names of all controllers, in the order that all of them agree on."""
         return sorted({self.name, *(m.name for m in self.members)})
 
 
 def host_port(text: str) -> tuple[str, int]:
-    """An address as host and port; ValueError if it isn't one."""
+    """Split an address into host and port; raises ValueError."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise ValueError(f"{text!r} is not host:port")
@@ -163,7 +167,7 @@
 
 
 def load(path: str | Path) -> Settings:
-    """Read and check a settings file; any fault becomes a one-line SettingsError."""
+    """Read and check a settings file; raises SettingsError."""
     try:
         raw = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as error:
@@ -179,41 +183,51 @@
 
 
 def _check(path: str | Path, settings: Settings) -> None:
+    """Refuse figures and addresses that the program can't run with; raises SettingsError."""
     for section, names in _POSITIVE.items():
-        part: object = settings
+        table: object = settings
         for step in section.split("."):
-            part = getattr(part, step)
+            table = getattr(table, step)
         for name in names:
-            value = getattr(part, name)
-            if not 0 < value < float("inf"):
-                raise SettingsError(f"{path}: {section}.{name}: must be above 0, is {value}")
-    _check_next_limits(path, settings.deployment.state.next)
+            _check_positive(f"{path}: {section}.{name}", getattr(table, name))
+    _check_announced_limits(path, settings.deployment.state.next)
+    _check_addresses(path, settings)
+    _check_teams(path, settings.deployment.teams)
+
+
+def _check_positive(where: str, value: float) -> None:
+    if not 0 < value < float("inf"):
+        raise SettingsError(f"{where}: must be above 0, is {value}")
+
+
+def _check_announced_limits(path: str | Path, limits: NextStateLimits | None) -> None:
+    if limits is None:
+        return
+    for name in NextStateLimits.__struct_fields__:
+        value = getattr(limits, name)
+        if value is not None:
+            _check_positive(f"{path}: deployment.state.next.{name}", value)
+
+
+def _check_addresses(path: str | Path, settings: Settings) -> None:
     addresses = {
         "public_addr": settings.public_addr,
         "peer_bind": settings.peer_bind,
         "endpoints.cloud": settings.endpoints.cloud,
         "endpoints.state": settings.endpoints.state,
-        **{f"members.{m.name}.address": m.address for m in settings.members},
+        **{f"members.{member.name}.address": member.address for member in settings.members},
     }
     for name, text in addresses.items():
         try:
             host_port(text)
         except ValueError as error:
             raise SettingsError(f"{path}: {name}: {error}") from error
-    for team in settings.deployment.teams:
+
+
+def _check_teams(path: str | Path, teams: list[Team]) -> None:
+    for team in teams:
         for name in ("cpus", "cpus_max", "gpus", "gpus_max"):
             if not 0 <= getattr(team, name) < float("inf"):
                 raise SettingsError(
                     f"{path}: deployment.teams.{team.name}.{name}: must be 0 or more"
                 )
-
-
-def _check_next_limits(path: str | Path, limits: NextStateLimits | None) -> None:
-    if limits is None:
-        return
-    for name in NextStateLimits.__struct_fields__:
-        value = getattr(limits, name)
-        if value is not None and not 0 < value < float("inf"):
-            raise SettingsError(
-                f"{path}: deployment.state.next.{name}: must be above 0, is {value}"
-            )
--- a/pitchtally/http/client.py
+++ b/pitchtally/http/client.py
@@ -116,9 +116,9 @@
         head_end = data.find(b"\r\n\r\n") + 4
         if head_end >= 4:
             headers, length = HeaderCache.without_length(data, 0, head_end)
-            known = self._response_heads.get(headers)
-            if known is not None and length is not None and length <= self.max_body:
-                return await _read_body(sock, known, data, head_end, length)
+            cached = self._response_heads.get(headers)
+            if cached is not None and length is not None and length <= self.max_body:
+                return await _read_body(sock, cached, data, head_end, length)
         return await self._read_with_h11(sock, method, address, data, head_end)
 
     async def _read_with_h11(
@@ -145,7 +145,7 @@
             elif isinstance(event, h11.ConnectionClosed):
                 raise h11.RemoteProtocolError("connection closed")
         headers = [(n.decode("latin-1"), v.decode("latin-1")) for n, v in head.headers]
-        # h11 may have been told a body of another length than was sent, but it isn't asked
+        # The request that h11 wrote here has another length than the one sent, but it isn't asked
         # for more than the answer.
         reusable = connection.their_state is h11.DONE and not connection.trailing_data[0]
         if reusable and 4 <= head_end <= HeaderCache.MAX_HEAD_BYTES:
@@ -162,8 +162,8 @@
             return
         key, length = HeaderCache.without_length(data, 0, len(data))
         if length == body_length:
-            known = _ResponseHead(head.status_code, tuple(headers))
-            put_bounded(self._response_heads, key, known)
+            cached = _ResponseHead(head.status_code, tuple(headers))
+            put_bounded(self._response_heads, key, cached)
 
 
 async def _open(address: Address) -> Connection:
--- a/pitchtally/http/sockets.py
+++ b/pitchtally/http/sockets.py
@@ -11,13 +11,13 @@
 
 async def send_all(sock: socket.socket, data: bytes) -> None:
     """Send all bytes; waits only if the socket doesn't take them at once."""
-    sent = 0
+    offset = 0
     while True:
         try:
-            sent += sock.send(data[sent:] if sent else data)
+            offset += sock.send(data[offset:] if offset else data)
         except BlockingIOError:
             pass
-        if sent == len(data):
+        if offset == len(data):
             return
         await trio.lowlevel.wait_writable(sock)
 
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -11,7 +11,7 @@
 
 import trio
 
-from pitchtally.http import Client, Request, Response, Server
+from pitchtally.http import Client, Handler, Response, Server
 
 from .cloud import World
 from .network import Network
@@ -162,12 +162,8 @@
     world.rules.specs = JobSpecs(state_store)
     world.host = HOST
 
-    async def serve(handler: Any, port: int) -> None:
-        async def safe(request: Request) -> Response:
-            answer: Response = await handler(request)
-            return answer
-
-        await Server(safe, max_connections=200, idle_timeout=60, request_timeout=30).serve(
+    async def serve(handler: Handler, port: int) -> None:
+        await Server(handler, max_connections=200, idle_timeout=60, request_timeout=30).serve(
             "127.0.0.1", port
         )
 
--- a/standins/network.py
+++ b/standins/network.py
@@ -248,7 +248,7 @@
         network = self
 
         async def call(
-            self: Client,
+            _client: Client,
             address: Address,
             method: str,
             target: str,
--- a/tests/ci/test_known_red.py
+++ b/tests/ci/test_known_red.py
@@ -16,7 +16,8 @@
 
 def _load() -> ModuleType:
     spec = importlib.util.spec_from_file_location("known_red", PATH)
-    assert spec is not None and spec.loader is not None
+    assert spec is not None
+    assert spec.loader is not None
     module = importlib.util.module_from_spec(spec)
     sys.modules[spec.name] = module
     spec.loader.exec_module(module)
@@ -26,10 +27,10 @@
 known_red = _load()
 
 
-class Pytest:
+class FakePytest:
     """Stands for pytest: ends with a given code for the listed test, 0 for all others."""
 
-    def __init__(self, code: int):
+    def __init__(self, code: int) -> None:
         self.code = code
         self.calls: list[Sequence[str]] = []
 
@@ -41,14 +42,14 @@
 def test_listed_test_that_fails_is_passed_over_and_printed(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    fake = Pytest(1)
+    fake = FakePytest(1)
     assert known_red.run(ENTRY, ["-q"], fake) == 0
     assert fake.calls[1] == ["-q", "--deselect=tests/test_a.py::test_b"]
     assert "tests/test_a.py::test_b: a stale result (issue 1)" in capsys.readouterr().out
 
 
 def test_empty_list_passes_over_nothing() -> None:
-    fake = Pytest(1)
+    fake = FakePytest(1)
     assert known_red.run("# nothing\n\n", ["-q"], fake) == 1
     assert fake.calls == [["-q"]]
 
@@ -68,4 +69,4 @@
 )
 def test_list_that_is_not_true_fails(text: str, code: int, reason: str) -> None:
     with pytest.raises(known_red.ListError, match=reason):
-        known_red.run(text, ["-q"], Pytest(code))
+        known_red.run(text, ["-q"], FakePytest(code))
--- a/tests/config/test_policy.py
+++ b/tests/config/test_policy.py
@@ -1,7 +1,8 @@
-"""Settings and policy: what is wrong is told in one line that names it."""
+"""Settings and policy: each fault is reported in one line that names it."""
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from pathlib import Path
 
 import pytest
@@ -32,6 +33,21 @@
 """
 
 
+WriteSettings = Callable[[str], Path]
+
+
+@pytest.fixture
+def write_settings(tmp_path: Path) -> WriteSettings:
+    """Write a settings file and return its path."""
+
+    def write(text: str) -> Path:
+        file = tmp_path / "s.toml"
+        file.write_text(text)
+        return file
+
+    return write
+
+
 @pytest.mark.parametrize(
     ("old", "new", "word"),
     [
@@ -44,12 +60,12 @@
         ('"10.0.0.2:8081"', '"nowhere"', "members.c-1.address"),
     ],
 )
-def test_bad_settings(tmp_path: Path, old: str, new: str, word: str) -> None:
-    file = tmp_path / "s.toml"
-    file.write_text(GOOD.replace(old, new))
+def test_bad_settings(write_settings: WriteSettings, old: str, new: str, word: str) -> None:
+    file = write_settings(GOOD.replace(old, new))
     with pytest.raises(SettingsError) as caught:
         load(file)
-    assert word in str(caught.value) and "\n" not in str(caught.value)
+    assert word in str(caught.value)
+    assert "\n" not in str(caught.value)
     assert str(file) in str(caught.value)
 
 
@@ -67,27 +83,24 @@
         ("txn_ops = 2.5", "txn_ops"),
     ],
 )
-def test_bad_announced_limits(tmp_path: Path, text: str, word: str) -> None:
-    file = tmp_path / "s.toml"
-    file.write_text(f"{GOOD}{NEXT}{text}\n")
+def test_bad_announced_limits(write_settings: WriteSettings, text: str, word: str) -> None:
+    file = write_settings(f"{GOOD}{NEXT}{text}\n")
     with pytest.raises(SettingsError) as caught:
         load(file)
-    assert word in str(caught.value) and "\n" not in str(caught.value)
+    assert word in str(caught.value)
+    assert "\n" not in str(caught.value)
 
 
-def test_check_prints_the_limits_that_are_kept(tmp_path: Path) -> None:
-    file = tmp_path / "s.toml"
-    file.write_text(f"{GOOD}{NEXT}value_kb = 2\ntxn_ops = 80\nlater_field = 1\n")
+def test_check_prints_the_limits_that_are_kept(write_settings: WriteSettings) -> None:
+    file = write_settings(f"{GOOD}{NEXT}value_kb = 2\ntxn_ops = 80\nlater_field = 1\n")
     found = CliRunner().invoke(main, ["check", "--config", str(file)])
     assert found.exit_code == 0
     assert "state.value_kb = 2 (today 8)" in found.output
     assert "state.txn_ops = 8 (today 8)" in found.output
 
 
-def test_good_settings(tmp_path: Path) -> None:
-    file = tmp_path / "s.toml"
-    file.write_text(GOOD)
-    assert load(file).nodes == ["c-0", "c-1"]
+def test_good_settings(write_settings: WriteSettings, tmp_path: Path) -> None:
+    assert load(write_settings(GOOD)).nodes == ["c-0", "c-1"]
     with pytest.raises(SettingsError):
         load(tmp_path / "absent.toml")
 
@@ -133,4 +146,5 @@
 def test_bad_expressions(text: str, word: str) -> None:
     with pytest.raises(policy.PolicyError) as caught:
         policy.parse(text, settings("n0"), "p.conf")
-    assert word in str(caught.value) and "\n" not in str(caught.value)
+    assert word in str(caught.value)
+    assert "\n" not in str(caught.value)
--- a/tests/harness/http_stub.py
+++ b/tests/harness/http_stub.py
@@ -27,7 +27,7 @@
     """Let a function answer every call of every client; it may raise HttpError."""
 
     async def call(
-        self: Client,
+        _client: Client,
         address: tuple[str, int],
         method: str,
         target: str,
--- a/tests/harness/simulation.py
+++ b/tests/harness/simulation.py
@@ -4,6 +4,7 @@
 
 import json
 import types
+from collections.abc import Awaitable, Callable
 from typing import Any
 
 import pytest
@@ -84,7 +85,7 @@
     )
 
 
-def job(number: int, **more: Any) -> dict[str, Any]:
+def job(number: int, **more: object) -> dict[str, Any]:
     return {
         "ref": f"wk-{number:06d}",
         "vintage": "c",
@@ -182,7 +183,7 @@
             self.network.crashed.add(name)
             self.scopes[name].cancel()
 
-    async def call(self, node: int, method: str, path: str, body: Any = None) -> Response:
+    async def call(self, node: int, method: str, path: str, body: object = None) -> Response:
         data = json.dumps(body).encode() if body is not None else b""
         return await self.network.call((f"10.0.0.{node}", 8080), method, path, data, timeout=5.0)
 
@@ -191,7 +192,7 @@
         node: int,
         method: str,
         path: str,
-        body: Any = None,
+        body: object = None,
         *,
         about: str,
         repeat: bool = False,
@@ -294,7 +295,7 @@
 
 def run(
     monkeypatch: pytest.MonkeyPatch,
-    body: Any,
+    body: Callable[[Simulation], Awaitable[None]],
     seed: int = 1,
     times: AgentTimes = TIMES,
     teams: list[Team] | None = None,
--- a/tests/harness/test_invariants.py
+++ b/tests/harness/test_invariants.py
@@ -4,20 +4,22 @@
 
 from collections.abc import Callable
 from types import SimpleNamespace
-from typing import Any
+from typing import Any, cast
 
 import pytest
 import trio
 import trio.testing
 
+from standins.agent import Agent
 from standins.rules import Rules
 
 from .invariants import InvariantChecker
 from .simulation import TYPES, job
 
 
-def agent(name: str, zone: str = "a", *, spot: bool = False, type: str = "big") -> Any:
-    return SimpleNamespace(
+def agent(name: str, zone: str = "a", *, spot: bool = False, type: str = "big") -> Agent:
+    """Return what the invariants look at of an agent."""
+    stand_in: Any = SimpleNamespace(
         name=name,
         zone=zone,
         spot=spot,
@@ -28,16 +30,17 @@
         preemption_at=None,
         free_cpus=lambda: 8.0,
     )
+    return cast(Agent, stand_in)
 
 
-def accepted(invariants: InvariantChecker, **more: Any) -> str:
+def accepted(invariants: InvariantChecker, **more: object) -> str:
     spec = job(1, **more)
     invariants.rules.specs[spec["ref"]] = spec
     invariants.observe(0.0, 0.1, spec["ref"], 201, "pending")
     return str(spec["ref"])
 
 
-def start(invariants: InvariantChecker, task: int, where: Any) -> None:
+def start(invariants: InvariantChecker, task: int, where: Agent) -> None:
     invariants.rules.start(where, f"wk-000001/{task}")
 
 
@@ -47,7 +50,7 @@
     start(invariants, 0, agent("i-2"))
 
 
-async def quota(invariants: InvariantChecker) -> None:
+async def over_quota(invariants: InvariantChecker) -> None:
     accepted(invariants, crew="tight", vcpus=4.0)
     start(invariants, 0, agent("i-1"))
     start(invariants, 1, agent("i-2"))
@@ -75,7 +78,7 @@
     start(invariants, 0, agent("i-1"))
 
 
-async def wrong_kind(invariants: InvariantChecker) -> None:
+async def wrong_purchase_option(invariants: InvariantChecker) -> None:
     accepted(invariants, gleaning=False)
     start(invariants, 0, agent("i-1", spot=True))
 
@@ -89,7 +92,7 @@
     invariants.rules.check()
 
 
-async def started_cancelled(invariants: InvariantChecker) -> None:
+async def started_after_cancel(invariants: InvariantChecker) -> None:
     id = accepted(invariants)
     invariants.cancel_requested.add(id)
     invariants.observe(1.0, 1.1, id, 200, "withdrawn")
@@ -97,28 +100,28 @@
     start(invariants, 0, agent("i-1"))
 
 
-async def forgotten(invariants: InvariantChecker) -> None:
+async def accepted_job_unknown(invariants: InvariantChecker) -> None:
     invariants.observe(5.0, 5.1, accepted(invariants), 404, "")
 
 
-async def forgotten_repeat(invariants: InvariantChecker) -> None:
+async def accepted_job_refused_on_repeat(invariants: InvariantChecker) -> None:
     invariants.observe(5.0, 5.1, accepted(invariants), 400, "", repeat=True)
 
 
-async def silent(invariants: InvariantChecker) -> None:
+async def job_without_answers(invariants: InvariantChecker) -> None:
     accepted(invariants)
     invariants.check_jobs_answer(100.0, calm_since=20.0)
 
 
-async def invented(invariants: InvariantChecker) -> None:
+async def job_never_submitted(invariants: InvariantChecker) -> None:
     invariants.observe(0.0, 0.1, "wk-000009", 200, "pending")
 
 
-async def not_done(invariants: InvariantChecker) -> None:
+async def done_too_early(invariants: InvariantChecker) -> None:
     invariants.observe(5.0, 5.1, accepted(invariants), 200, "done")
 
 
-async def went_back(invariants: InvariantChecker) -> None:
+async def stage_went_back(invariants: InvariantChecker) -> None:
     id = accepted(invariants, rows=1)
     invariants.rules.done.add(f"{id}/0")
     invariants.observe(5.0, 5.1, id, 200, "done")
@@ -129,49 +132,55 @@
     invariants.observe(5.0, 5.1, accepted(invariants), 200, "withdrawn")
 
 
-async def waits(invariants: InvariantChecker) -> None:
+async def startable_job_waits(invariants: InvariantChecker) -> None:
     accepted(invariants, rows=1)
     world: Any = SimpleNamespace(types=TYPES, agents={"i-1": agent("i-1")})
     invariants.check_startable_jobs_start(0.0, world)
     invariants.check_startable_jobs_start(91.0, world)
 
 
-BREAKS: list[tuple[Callable[[InvariantChecker], Any], str]] = [
+VIOLATIONS: list[tuple[Callable[[InvariantChecker], Any], str]] = [
     (ran_twice, "ran_twice"),
-    (quota, "quota"),
+    (over_quota, "quota"),
     (wrong_zone, "wrong_place zone"),
     (wrong_parcel, "wrong_place parcel"),
     (wrong_spread, "wrong_place spread"),
     (wrong_type, "wrong_place type"),
-    (wrong_kind, "wrong_place spot"),
+    (wrong_purchase_option, "wrong_place spot"),
     (ran_cancelled, "ran_cancelled"),
-    (started_cancelled, "ran_cancelled"),
-    (forgotten, "forgotten"),
-    (forgotten_repeat, "forgotten"),
-    (silent, "forgotten"),
-    (invented, "invented"),
-    (not_done, "not_done"),
-    (went_back, "went_back"),
+    (started_after_cancel, "ran_cancelled"),
+    (accepted_job_unknown, "forgotten"),
+    (accepted_job_refused_on_repeat, "forgotten"),
+    (job_without_answers, "forgotten"),
+    (job_never_submitted, "invented"),
+    (done_too_early, "not_done"),
+    (stage_went_back, "went_back"),
     (cancelled_by_nobody, "went_back"),
-    (waits, "waits"),
+    (startable_job_waits, "waits"),
 ]
 
 
-@pytest.mark.parametrize(("breaks", "rule"), BREAKS, ids=[b.__name__ for b, _ in BREAKS])
-def test_each_rule_is_watched(breaks: Callable[[InvariantChecker], Any], rule: str) -> None:
+@pytest.mark.parametrize(
+    ("violate", "violation"), VIOLATIONS, ids=[violate.__name__ for violate, _ in VIOLATIONS]
+)
+def test_each_violation_is_caught(
+    violate: Callable[[InvariantChecker], Any], violation: str
+) -> None:
     async def main() -> None:
         rules = Rules(25.0)
         rules.limits = {"tight": 6.0}
         invariants = InvariantChecker(rules)
-        await breaks(invariants)
-        assert any(text.startswith(rule) for text in [*rules.violations, *invariants.violations])
+        await violate(invariants)
+        assert any(
+            text.startswith(violation) for text in [*rules.violations, *invariants.violations]
+        )
         with pytest.raises(AssertionError):
             invariants.check()
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def test_what_is_allowed_is_not_told() -> None:
+def test_allowed_behaviour_is_no_violation() -> None:
     """An answer under way when a later one came; a job at its team's limit; no room."""
 
     async def main() -> None:
--- a/tests/harness/workload.py
+++ b/tests/harness/workload.py
@@ -44,11 +44,11 @@
 
 async def users(sim: Simulation) -> None:
     """Poll every job; now and then repeat one, ask for an unknown one, submit an invalid one."""
-    luck = random.Random(7)
+    rng = random.Random(7)
     while True:
         for spec in [sim.world.rules.specs[id] for id in list(sim.invariants.accepted)]:
-            node = luck.randrange(3)
-            roll = luck.random()
+            node = rng.randrange(3)
+            roll = rng.random()
             if roll < 0.1 and spec["ref"] in sim.invariants.accepted:
                 await sim.ask(
                     node, "POST", "/api/jobs", submission(spec), about=spec["ref"], repeat=True
@@ -56,7 +56,7 @@
             elif roll < 0.15:
                 await sim.ask(node, "GET", "/api/jobs/wk-999999", about="wk-999999")
             elif roll < 0.2:
-                invalid = luck.choice(INVALID)
+                invalid = rng.choice(INVALID)
                 await sim.ask(node, "POST", "/api/jobs", invalid, about="wk-888888")
             else:
                 with trio.move_on_after(2.0):
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -1,7 +1,9 @@
-"""The server on real sockets: rubbish, halves and giants end in an answer or a close."""
+"""Server and client on real sockets: whatever arrives ends in an answer or a close."""
 
 from __future__ import annotations
 
+from collections.abc import Awaitable, Callable
+
 import pytest
 import trio
 
@@ -14,7 +16,7 @@
     return Response(200, request.body)
 
 
-async def with_server(port_box: list[int], body: object) -> None:
+async def with_server(body: Callable[[int], Awaitable[None]]) -> None:
     server = Server(
         handler, max_connections=10, idle_timeout=0.5, request_timeout=0.3, max_body=1000
     )
@@ -22,16 +24,15 @@
     await probe.bind(("127.0.0.1", 0))
     port = probe.getsockname()[1]
     probe.close()
-    port_box.append(port)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(server.serve, "127.0.0.1", port)
         await trio.sleep(0.05)
-        await body(port)  # type: ignore[operator]
+        await body(port)
         nursery.cancel_scope.cancel()
 
 
 @pytest.mark.parametrize(
-    ("sent", "status"),
+    ("data", "status"),
     [
         (b"GET / HTTP/1.1\r\nHost: x\r\n\r\n", b"200"),
         (b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 2000\r\n\r\n", b"400"),
@@ -48,29 +49,29 @@
         (b"", b""),
     ],
 )
-def test_raw(sent: bytes, status: bytes) -> None:
+def test_any_input_ends_in_an_answer_or_a_close(data: bytes, status: bytes) -> None:
     async def body(port: int) -> None:
         stream = await trio.open_tcp_stream("127.0.0.1", port)
-        await stream.send_all(sent)
+        await stream.send_all(data)
         answer = b""
         with trio.move_on_after(3):
             answer = await stream.receive_some(4096)
         assert answer.split(b" ")[1:2] == ([status] if status else [])
-        # Whatever came, the next caller is served.
+        # Whatever arrived, the next caller is served.
         good = await Client().call(("127.0.0.1", port), "POST", "/x", b"ok", timeout=1)
         assert (good.status, good.body) == (200, b"ok")
 
-    trio.run(with_server, [], body)
+    trio.run(with_server, body)
 
 
 def test_client_gives_up_in_time_and_reuses() -> None:
-    async def silent(stream: trio.SocketStream) -> None:
+    async def never_answer(_stream: trio.SocketStream) -> None:
         await trio.sleep(10)
 
     async def main() -> None:
         async with trio.open_nursery() as nursery:
             listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
-            nursery.start_soon(trio.serve_listeners, silent, listeners)
+            nursery.start_soon(trio.serve_listeners, never_answer, listeners)
             port = listeners[0].socket.getsockname()[1]
             with pytest.raises(HttpError):
                 await Client().call(("127.0.0.1", port), "GET", "/", timeout=0.2)
--- a/tests/observability/test_decision_log.py
+++ b/tests/observability/test_decision_log.py
@@ -1,8 +1,9 @@
-"""What a controller logs of its decisions, and loops that begin anew."""
+"""What a controller logs of its decisions, and loops that are restarted."""
 
 from __future__ import annotations
 
 import logging
+from collections.abc import Awaitable, Callable
 
 import pytest
 import trio
@@ -27,12 +28,12 @@
     return DecisionLog(lambda: context, lambda: counters, lambda: None)
 
 
-def _on_mock_clock(body: object) -> None:
-    trio.run(body, clock=trio.testing.MockClock(autojump_threshold=0))  # type: ignore[arg-type]
+def _on_mock_clock(body: Callable[[], Awaitable[None]]) -> None:
+    trio.run(body, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def test_debug_line_holds_the_grounds(caplog: pytest.LogCaptureFixture) -> None:
-    """Enough to tell a stale confirmation from an old answer and from a gap in the copy."""
+def test_debug_line_holds_reason_and_context(caplog: pytest.LogCaptureFixture) -> None:
+    """Enough to tell a stale read from an old answer and from a gap in the replica."""
 
     async def main() -> None:
         with caplog.at_level(logging.DEBUG, "decision_log"):
@@ -71,7 +72,7 @@
     assert not any(field.startswith(("found=", "timed_out=")) for field in second)
 
 
-def test_loop_that_ends_by_a_fault_begins_anew_and_is_counted(
+def test_loop_that_raises_is_restarted_and_counted(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def main() -> None:
@@ -98,7 +99,7 @@
     ]
 
 
-def test_answers_starts_stops_and_ends_are_told(
+def test_answers_starts_stops_and_ends_are_logged(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     """A controller whose components don't report their decisions would log nothing of them."""
@@ -114,10 +115,10 @@
 
     with caplog.at_level(logging.DEBUG, "decision_log"):
         run(monkeypatch, day)
-    told = {
+    logged = {
         field
         for record in caplog.records
         for field in record.getMessage().split()
         if field.startswith("decided=")
     }
-    assert told == {f"decided={decision}" for decision in Decision}
+    assert logged == {f"decided={decision}" for decision in Decision}
