--- a/pitchtally/agents/manager.py
+++ b/pitchtally/agents/manager.py
@@ -21,7 +21,8 @@
 from ..config.timing import lease_expired_at
 from ..http import Request, Response
 from ..jobs.index import JobIndex
-from ..membership.membership import Membership, shard_of
+from ..membership.membership import Membership
+from ..membership.shards import shard_of
 from ..observability.decision_log import Decision, DecisionListener, DecisionReason, ignore_decision
 from ..protocol import agent_api, cloud_api
 from ..state_store.replica import Replica
--- a/tests/cluster/test_cancellation_freshness.py
+++ b/tests/cluster/test_cancellation_freshness.py
@@ -16,13 +16,13 @@
 from pitchtally.config.settings import AgentTimes
 from pitchtally.config.timing import lease_expired_at, max_freshness_bound
 from pitchtally.membership.freshness import (
-    NEVER,
+    NEVER_READ,
     PeerReply,
     cancellations_verified,
     leadership_verified,
 )
 from pitchtally.membership.messages import Cancellation, PeerHeartbeat
-from pitchtally.membership.peer import Peer
+from pitchtally.membership.peers.peer import Peer
 
 from ..harness.simulation import Simulation, job, run, settings
 
@@ -212,7 +212,8 @@
     (10.0, [A(99.0, 1.0, 1.0), None], 98.0, 10.0),  # a peer that reads the store passes on
     (10.0, [A(99.0, 60.0, 2.0), None], 97.0, 10.0),  # or one that hears all of its own
     (10.0, [A(99.0, 60.0, 60.0), A(98.0, 50.0, 50.0)], 98.0, 98.0),  # all asked, in an outage
-    (10.0, [A(99.0, NEVER, NEVER), A(98.0, 50.0, 50.0)], 48.0, 10.0),  # one has read nothing
+    # one has read nothing
+    (10.0, [A(99.0, NEVER_READ, NEVER_READ), A(98.0, 50.0, 50.0)], 48.0, 10.0),
     (10.0, [A(99.0, 60.0, 60.0), A(20.0, 1.0, 1.0)], 39.0, 20.0),  # one is silent since
     (95.0, [A(99.0, 60.0, 60.0), A(98.0, 50.0, 50.0)], 98.0, 98.0),
     (99.5, [A(99.0, 60.0, 60.0), A(98.0, 50.0, 50.0)], 99.5, 99.5),
@@ -279,7 +280,7 @@
         start = trio.current_time()
         for incarnation, number, asked in heartbeats:
             asked_at = None if asked is None else start + asked
-            found.append(peer.renews(_beat(incarnation, number), asked_at, listed))
+            found.append(peer.accept_newer(_beat(incarnation, number), asked_at, listed))
             await trio.sleep(1.0)
         assert found == taken
 
