--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -11,9 +11,10 @@
 
 import trio
 
+from pitchtally.config.settings import AgentTimes
 from pitchtally.http import Client, Handler, Response, Server
 
-from .cloud import World
+from .cloud import ControllerAddress, World
 from .network import Network
 from .state_store import StateStore
 
@@ -45,6 +46,8 @@
 HOST = "127.0.0.1"
 ZONES = ("a", "b")
 
+TIMES = AgentTimes(report_s=1.0, lease_s=10.0, gang_wait_s=12.0, gang_peer_s=3.0, cancel_s=25.0)
+
 SETTINGS = """\
 node_name = "node-{n}"
 domain = "a"
@@ -66,11 +69,11 @@
 cpus_max = 64.0
 
 [deployment.workers]
-report_s = 1.0
-lease_s = 10.0
-gang_wait_s = 12.0
-gang_peer_s = 3.0
-cancel_s = 25.0
+report_s = {times.report_s}
+lease_s = {times.lease_s}
+gang_wait_s = {times.gang_wait_s}
+gang_peer_s = {times.gang_peer_s}
+cancel_s = {times.cancel_s}
 """
 
 
@@ -140,6 +143,7 @@
             members=members,
             cloud=CLOUD_PORT,
             state=STATE_PORT,
+            times=TIMES,
         )
         (folder / f"node-{n}.toml").write_text(text)
 
@@ -148,15 +152,14 @@
     """Serve the stand-ins until ended."""
     write_settings(folder)
     network, state_store = LoopbackNetwork(), StateStore()
-    nodes = [(f"node-{n}", (HOST, controller_port(n))) for n in range(CONTROLLERS)]
+    controllers = [
+        ControllerAddress(f"node-{n}", (HOST, controller_port(n))) for n in range(CONTROLLERS)
+    ]
     world = World(
         network,
-        nodes,
+        controllers,
         TYPES,
-        report_s=1.0,
-        lease_s=10.0,
-        cancel_s=25.0,
-        gang_wait_s=12.0,
+        TIMES,
         capacity=12,
     )
     world.rules.specs = JobSpecs(state_store)
--- a/standins/agent.py
+++ b/standins/agent.py
@@ -36,7 +36,7 @@
         self.executor = MachineTasks(self)
         self.tasks = self.executor.tasks
         self.launched_at = self.lease_renewed_at = trio.current_time()
-        self.controller = world.random.randrange(len(world.nodes))  # that gets the heartbeats
+        self.controller = world.random.randrange(len(world.controllers))  # that gets the heartbeats
         self.terminated = False
         self.fails_tasks = False  # every task that starts ends with an error
         self.preemption_at: float | None = None  # when the cloud takes the machine back
@@ -85,7 +85,9 @@
                 await self._while_hung()
                 await self._exchange_heartbeat()
                 await trio.sleep(MIN_HEARTBEAT_INTERVAL_S)
-                with trio.move_on_after(max(0.0, self.world.report_s - MIN_HEARTBEAT_INTERVAL_S)):
+                with trio.move_on_after(
+                    max(0.0, self.world.times.report_s - MIN_HEARTBEAT_INTERVAL_S)
+                ):
                     await self.changed.wait()
                 self.changed = trio.Event()
             nursery.cancel_scope.cancel()
@@ -124,12 +126,12 @@
             self._handle_reply(json.loads(response.body), sent_at)
         elif not self._was_redirected(response):
             await trio.sleep(RETRY_PAUSE_S)
-            self.controller = (self.controller + 1) % len(self.world.nodes)
+            self.controller = (self.controller + 1) % len(self.world.controllers)
             self.changed.set()
 
     async def _send_heartbeat(self) -> Response:
         body = json.dumps(self.heartbeat()).encode()
-        _, address = self.world.nodes[self.controller]
+        address = self.world.controllers[self.controller].address
         try:
             return await self.world.network.call(
                 address, "POST", AGENT_HEARTBEAT_PATH, body, timeout=HEARTBEAT_TIMEOUT_S
@@ -149,7 +151,7 @@
         if response.status != 421:
             return False
         target = json.loads(response.body).get("steward")
-        names = [name for name, _ in self.world.nodes]
+        names = [controller.name for controller in self.world.controllers]
         if target not in names or names.index(target) == self.controller:
             return False
         self.controller = names.index(target)
@@ -194,7 +196,7 @@
 
     def _check_lease(self) -> None:
         now = trio.current_time()
-        if now - self.lease_renewed_at <= self.world.lease_s:
+        if now - self.lease_renewed_at <= self.world.times.lease_s:
             return
         lost = sum(1 for task in self.tasks.values() if task.active)
         self.world.rules.tasks_lost_to_lease_expiry += lost
--- a/standins/cloud.py
+++ b/standins/cloud.py
@@ -5,10 +5,11 @@
 import json
 import random
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
 import trio
 
+from pitchtally.config.settings import AgentTimes
 from pitchtally.http import Address, Request, Response
 
 from .agent import Agent
@@ -20,31 +21,35 @@
 LISTED_AGE_S = 60.0  # the age that the list gives for every machine
 
 
+class ControllerAddress(NamedTuple):
+    """Where a controller serves users and agents."""
+
+    name: str
+    address: Address
+
+
 class World:
     """Machines by name, launched and terminated by the controllers' requests.
 
-    Besides the constructor's arguments, which are the deployment's times in seconds, tests set
-    `capacity`, `list_lag_s` and `down` at any time.
+    `times` are those of the deployment. Tests set `capacity`, `list_lag_s` and `down` at any
+    time.
     """
 
     def __init__(
         self,
         network: Network,
-        nodes: list[tuple[str, Address]],
+        controllers: list[ControllerAddress],
         types: dict[str, dict[str, Any]],
+        times: AgentTimes,
         *,
-        report_s: float,
-        lease_s: float,
-        cancel_s: float,
-        gang_wait_s: float,
         capacity: int = 6,
         seed: int = 1,
     ) -> None:
         self.network = network
-        self.nodes = nodes
+        self.controllers = controllers
         self.types = types
-        self.report_s, self.lease_s, self.gang_wait_s = report_s, lease_s, gang_wait_s
-        self.rules = Rules(cancel_s)
+        self.times = times
+        self.rules = Rules(times.cancel_s)
         self.random = random.Random(seed)
         self.agents: dict[str, Agent] = {}
         self._launches: dict[str, list[str]] = {}  # machines by request id, for repeated requests
--- a/standins/machine_tasks.py
+++ b/standins/machine_tasks.py
@@ -125,7 +125,7 @@
         if present + done >= self.world.rules.specs[job]["rows"]:
             task.state, task.since = RUNNING, now
             self.agent.changed.set()
-        elif now - task.since > self.world.gang_wait_s:
+        elif now - task.since > self.world.times.gang_wait_s:
             self._end(name, "incomplete")
 
     def _run(self, name: str, task: HeldTask) -> None:
--- a/standins/network.py
+++ b/standins/network.py
@@ -26,6 +26,9 @@
 
 ANY_HOST = "*"
 
+# A direction of traffic: from the first host to the second.
+Link = tuple[str, str]
+
 # The host on whose behalf the present task runs, and the host that called it.
 HERE: contextvars.ContextVar[str] = contextvars.ContextVar("here", default="user")
 CALLER: contextvars.ContextVar[str] = contextvars.ContextVar("caller", default="user")
@@ -59,22 +62,19 @@
 
 
 class Network:
-    """Carries calls between hosts; hosts listen at addresses, faults are by host name.
-
-    A pair of names is a link in one direction: from the first host to the second.
-    """
+    """Carries calls between hosts; hosts listen at addresses, faults are by host name."""
 
     def __init__(self, seed: int = 1) -> None:
         self.hosts: dict[Address, tuple[str, Handler]] = {}
-        self.partitions: set[tuple[str, str]] = set()  # links that lose all packets
+        self.partitions: set[Link] = set()  # links that lose all packets
         self.crashed: set[str] = set()
-        self.duplicate_after: dict[tuple[str, str], float] = {}  # seconds
-        self.reply_loss: dict[tuple[str, str], float] = {}  # share of replies that are lost
-        self.refused_connections: set[tuple[str, str]] = set()  # at once
+        self.duplicate_after: dict[Link, float] = {}  # seconds
+        self.reply_loss: dict[Link, float] = {}  # share of replies that are lost
+        self.refused_connections: set[Link] = set()  # at once
         self.partitioned_outbound: set[str] = set()  # hosts whose calls are lost
-        self.reply_delay: dict[tuple[str, str], float] = {}  # seconds
+        self.reply_delay: dict[Link, float] = {}  # seconds
         # Links that hold requests back: they arrive in order once `release_held_back` is called.
-        self.held_back_links: set[tuple[str, str]] = set()
+        self.held_back_links: set[Link] = set()
         self.held_back: list[Packet] = []
         self.delayed_commits = 0.0  # share carried out late and not answered
         self.lost_commit_replies = 0.0  # share whose reply is lost
--- a/tests/harness/simulation.py
+++ b/tests/harness/simulation.py
@@ -26,7 +26,7 @@
 from pitchtally.controller import Controller
 from pitchtally.http import HttpError, Response
 from pitchtally.scheduling import priorities
-from standins.cloud import World
+from standins.cloud import ControllerAddress, World
 from standins.network import HERE, Network
 from standins.state_store import StateStore
 
@@ -133,15 +133,14 @@
         self.policy_text = ""  # what operators set, in force from each start on
         self.network = Network(seed)
         self.state_store = StateStore()
-        nodes = [(n, (f"10.0.0.{i}", 8080)) for i, n in enumerate(NODES)]
+        controllers = [
+            ControllerAddress(name, (f"10.0.0.{i}", 8080)) for i, name in enumerate(NODES)
+        ]
         self.world = World(
             self.network,
-            nodes,
+            controllers,
             TYPES,
-            report_s=times.report_s,
-            lease_s=times.lease_s,
-            cancel_s=times.cancel_s,
-            gang_wait_s=times.gang_wait_s,
+            times,
             seed=seed,
         )
         self.world.rules.limits = {team.name: team.cpus_max for team in self.teams}
