--- a/pitchtally/http/header_cache.py
+++ b/pitchtally/http/header_cache.py
@@ -60,7 +60,7 @@
     def without_length(cls, data: bytes, start: int, end: int) -> tuple[bytes, int | None]:
         """Return headers without the digits of their length, and the length.
 
-        Nothing else in a head depends on the length.
+        Nothing else in a head depends on the length. A plain tuple, as `CachedRequest`.
         """
         found = cls._LENGTH.search(data, start, end)
         if found is None:
--- a/pitchtally/http/messages.py
+++ b/pitchtally/http/messages.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 MAX_BODY = 64 * 1024  # bytes
 
@@ -46,14 +47,21 @@
 Handler = Callable[[Request], Awaitable[Response]]
 
 
-def split_target(target: bytes) -> tuple[str, dict[str, str]]:
-    """Return path and query of a request target."""
+class Target(NamedTuple):
+    """A request target, taken apart."""
+
+    path: str
+    query: dict[str, str]
+
+
+def split_target(target: bytes) -> Target:
+    """Return path and query of a request target; of a repeated name the last value counts."""
     path, _, query_text = target.decode("latin-1").partition("?")
     query = {}
     for piece in query_text.split("&") if query_text else ():
         name, _, value = piece.partition("=")
         query[name] = value
-    return path, query
+    return Target(path, query)
 
 
 def error_response(
--- /dev/null
+++ b/tests/cli/test_entry.py
@@ -0,0 +1,25 @@
+"""The platform's way in: what it loads, and how it reports an unusable configuration."""
+
+from __future__ import annotations
+
+import subprocess
+import sys
+from pathlib import Path
+
+PROGRAM = """
+import sys
+from pitchtally.cli.entry import entry
+try:
+    entry(["--config", sys.argv[1]])
+except SystemExit as end:
+    print(end.code, "click" in sys.modules, "pitchtally.controller" in sys.modules)
+"""
+
+
+def test_platform_call_loads_no_click_and_names_the_fault(tmp_path: Path) -> None:
+    """Loading click would delay each start; exit code and message are what operators see."""
+    absent = tmp_path / "absent.toml"
+    command = [sys.executable, "-c", PROGRAM, str(absent)]
+    found = subprocess.run(command, capture_output=True, text=True, check=True)
+    assert found.stdout.split() == ["2", "False", "False"]
+    assert found.stderr == f"pitchtally: {absent}: cannot be read: No such file or directory\n"
--- a/tests/cluster/test_services.py
+++ b/tests/cluster/test_services.py
@@ -25,15 +25,17 @@
 from ..harness.fault_scenarios import (
     agents_cannot_call,
     all_controllers_down_beyond_lease,
-    delayed_commands_and_hung_agents,
-    delayed_commits,
-    duplicated_heartbeats_after_newer_ones,
     leader_crash_with_partitioned_agents,
     leader_partitioned_from_store_and_peers,
     slow_store_then_refusal_then_outage,
     ten_failovers_with_store_outage,
     zone_partitioned_beyond_lease,
 )
+from ..harness.message_scenarios import (
+    delayed_commands_and_hung_agents,
+    delayed_commits,
+    duplicated_heartbeats_after_newer_ones,
+)
 from ..harness.simulation import TIMES, Simulation, job, run, settings, submission
 from ..harness.workload import CANCELLED, users
 
