--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -15,6 +15,7 @@
 from .formats.gate import FormatGate
 from .http import Request, Response, Server
 from .jobs.cleanup import Cleanup
+from .jobs.commits import JobCommits
 from .jobs.index import JobIndex
 from .jobs.layout import JobLayout
 from .jobs.migration import JobMigration
@@ -50,12 +51,12 @@
 
     def shard_acquired(self, shard: ShardId, token: FencingToken) -> None:
         """The agents' side first: the scheduler asks it for the shard's machines."""
-        self._agents.acquired(shard, token)
+        self._agents.shard_acquired(shard, token)
         self._scheduler.shards.shard_acquired(shard)
 
     def shard_lost(self, shard: ShardId) -> None:
         """The agents' side tells the scheduler."""
-        self._agents.release_shard(shard)
+        self._agents.shard_lost(shard)
 
 
 class _PeerMessages:
@@ -118,24 +119,42 @@
             self.gate,
             policy.heartbeat_interval,
         )
-        self.job_index = JobIndex(self.state_store, self.replica, self.gate, self.membership.token)
+        self.job_index = JobIndex(self.replica, self.gate)
+        self.commits = JobCommits(self.state_store, self.replica, self.membership.token)
         self.layout = JobLayout(self.gate, limits.state_to_keep)
-        self.migration = JobMigration(self.job_index, self.layout, policy.heartbeat_interval)
-        self.cleanup = Cleanup(self.job_index, self._leader_precondition, policy.period)
-        self.progress = ProgressWriter(self.job_index, self.layout, self.migration, policy.period)
+        self.migration = JobMigration(
+            self.job_index, self.commits, self.layout, policy.heartbeat_interval
+        )
+        self.cleanup = Cleanup(
+            self.job_index, self.commits, self._leader_precondition, policy.period
+        )
+        self.decisions = DecisionLog(
+            self._decision_context, self._counters, lambda: self.api.read_barrier.last
+        )
+        self.progress = ProgressWriter(
+            self.job_index,
+            self.commits,
+            self.layout,
+            self.migration,
+            policy.period,
+            lambda: self.api.line.waiting,
+            self.decisions.on_decision,
+        )
         self.agents = AgentManager(
             settings,
             policy,
             self.membership,
             self.job_index,
-            self.replica,
+            self.commits,
             lambda: self.autoscaler.types,
+            self.decisions.on_decision,
         )
         self.scheduler = Scheduler(
             settings,
             policy,
             self.membership,
             self.job_index,
+            self.commits,
             self.agents,
             self.replica,
             self.migration,
@@ -163,11 +182,7 @@
             self.layout,
             lambda: self.autoscaler.types,
         )
-        self.progress.submissions_wait = lambda: self.api.line.waiting
         self.loops = LoopSupervisor()
-        self.decisions = DecisionLog(
-            self._decision_context, self._counters, lambda: self.api.read_barrier.last
-        )
         self._connect()
 
     def _connect(self) -> None:
@@ -178,8 +193,6 @@
         )
         agents.connect(scheduler.shards, scheduler.placer)
         self.api.on_decision = self.decisions.on_decision
-        agents.on_decision = self.decisions.on_decision
-        self.progress.on_decision = self.decisions.on_decision
 
     def _leader_precondition(self) -> Precondition | None:
         """What a cluster leader's write rests on, None if this node is not the leader."""
@@ -198,7 +211,7 @@
     def _counters(self) -> dict[str, int]:
         """Totals that other components count."""
         faults = {f"fault_{name}": count for name, count in self.loops.faults.items()}
-        return {**self.api.read_barrier.counts, **self.agents.answered, **faults}
+        return {**self.api.read_barrier.counts, **self.agents.endpoint.responses, **faults}
 
     async def run(self) -> None:
         """Serve and run every loop until cancelled."""
@@ -259,9 +272,9 @@
             ("format", self.format_upgrade.run),
             ("migration", self.migration.run),
             ("cleanup", self.cleanup.run),
-            ("expiry", self.agents.run_expiry),
+            ("expiry", self.agents.lease_expiry.run),
             ("direct_commands", self.agents.command_sender.run),
-            ("reachability", self.agents.command_sender.run_reachability),
+            ("reachability", self.agents.reachability.run),
             ("records", self.agents.records.run),
             ("planning", self.scheduler.run),
             ("splitting", self.scheduler.run_global_scheduling),
--- a/pitchtally/jobs/cleanup.py
+++ b/pitchtally/jobs/cleanup.py
@@ -11,22 +11,28 @@
 from ..state_store.client import Write
 from ..state_store.errors import StoreUnavailable
 from ..state_store.rate_limits import Priority
+from .commits import JobCommits
 from .index import JobIndex
 
-log = logging.getLogger("cleanup")
+log = logging.getLogger(__name__)
 
 
 class Cleanup:
     """The cluster leader removes what ended jobs have left besides their records."""
 
     def __init__(
-        self, job_index: JobIndex, precondition: Callable[[], Precondition | None], pause: float
+        self,
+        job_index: JobIndex,
+        commits: JobCommits,
+        precondition: Callable[[], Precondition | None],
+        pause: float,
     ):
         """`precondition`: what a cluster leader's write rests on, None if this node is not it.
 
         `pause`: seconds between two attempts.
         """
         self.job_index = job_index
+        self.commits = commits
         self.precondition = precondition
         self.pause = pause
 
@@ -42,13 +48,13 @@
 
     async def _remove_some(self) -> bool:
         precondition = self.precondition()
-        left_over = self.left_over(self.job_index.state_store.limits.txn_ops)
+        left_over = self.left_over(self.commits.max_writes)
         if precondition is None or not left_over:
             return False
-        expected_versions = {key: self.job_index.replica.version(key) for key in left_over}
+        expected_versions = {key: self.commits.replica.version(key) for key in left_over}
         expected_versions[precondition.key] = precondition.version
         changes = [Write(key, None) for key in left_over]
-        return await self.job_index.commit(expected_versions, changes, priority=Priority.PROGRESS)
+        return await self.commits.commit(expected_versions, changes, priority=Priority.PROGRESS)
 
     def left_over(self, most: int) -> list[str]:
         """Keys of jobs that are over, at most so many."""
--- a/pitchtally/scheduling/scheduler.py
+++ b/pitchtally/scheduling/scheduler.py
@@ -21,6 +21,7 @@
 from ..agents.manager import AgentManager
 from ..config.policy import Policy
 from ..config.settings import Settings
+from ..jobs.commits import JobCommits
 from ..jobs.index import Job, JobIndex
 from ..jobs.job_record import JobRecord, TaskRange, merge
 from ..jobs.migration import JobMigration
@@ -77,6 +78,7 @@
         policy: Policy,
         membership: Membership,
         job_index: JobIndex,
+        commits: JobCommits,
         agents: AgentManager,
         replica: Replica,
         migration: JobMigration,
@@ -88,6 +90,7 @@
         self.policy = policy
         self.membership = membership
         self.job_index = job_index
+        self.commits = commits
         self.agents = agents
         self.types = types
         self.count = settings.deployment.count
@@ -273,7 +276,7 @@
         if not self.layout.record_fits(value):
             return False  # too many pieces for a record: the tasks stay where they are
         try:
-            return await self.job_index.commit(
+            return await self.commits.commit(
                 {key: job.version, **guard}, [Write(key, value)], priority=priority
             )
         except InvalidTransaction as error:
@@ -308,7 +311,7 @@
             self.replica.version(name) == version for name, version in versions.items()
         ):
             try:
-                await self.job_index.commit(
+                await self.commits.commit(
                     {**versions, keys.shard(shard): token},
                     [Write(key, value())],
                     priority=Priority.SUBMISSIONS,
