--- a/pitchtally/http/server.py
+++ b/pitchtally/http/server.py
@@ -13,7 +13,7 @@
 from .messages import MAX_BODY, BadRequestError, Handler, Request, Response, error_response
 from .sockets import receive
 
-log = logging.getLogger("http.server")
+log = logging.getLogger(__name__)
 
 # Hundreds of agents connect at once when another controller ends.
 BACKLOG = 1024
--- a/pitchtally/observability/decision_log.py
+++ b/pitchtally/observability/decision_log.py
@@ -18,7 +18,7 @@
 
 from ..state_store.replica import Refresh
 
-log = logging.getLogger("decision_log")
+log = logging.getLogger(__name__)
 
 
 class Decision(StrEnum):
--- a/pitchtally/observability/supervision.py
+++ b/pitchtally/observability/supervision.py
@@ -8,7 +8,7 @@
 
 import trio
 
-log = logging.getLogger("supervision")
+log = logging.getLogger(__name__)
 
 RESTART_PAUSE_S = 0.5
 
--- a/tests/observability/test_decision_log.py
+++ b/tests/observability/test_decision_log.py
@@ -9,6 +9,7 @@
 import trio
 import trio.testing
 
+from pitchtally.observability import decision_log, supervision
 from pitchtally.observability.decision_log import (
     Decision,
     DecisionContext,
@@ -36,7 +37,7 @@
     """Enough to tell a stale read from an old answer and from a gap in the replica."""
 
     async def main() -> None:
-        with caplog.at_level(logging.DEBUG, "decision_log"):
+        with caplog.at_level(logging.DEBUG, decision_log.__name__):
             _log({}).on_decision(Decision.UNKNOWN_JOB, "wk-000001", DecisionReason(read=READ))
             _log({}).on_decision(Decision.START, "wk-000001/0", DecisionReason(5, token=17))
 
@@ -64,7 +65,7 @@
             await trio.sleep(5.0)
             nursery.cancel_scope.cancel()
 
-    with caplog.at_level(logging.INFO, "decision_log"):
+    with caplog.at_level(logging.INFO, decision_log.__name__):
         _on_mock_clock(main)
     first, second = (record.getMessage().split() for record in caplog.records)
     assert {"leader=n0", "token=17", "found=1000", "confirmed=1000", "timed_out=3"} <= set(first)
@@ -91,7 +92,7 @@
         assert begun == 3
         assert loops.faults == {"records": 2}
 
-    with caplog.at_level(logging.ERROR, "supervision"):
+    with caplog.at_level(logging.ERROR, supervision.__name__):
         _on_mock_clock(main)
     assert [r.getMessage() for r in caplog.records] == [
         "loop fault loop=records faults=1",
@@ -113,7 +114,7 @@
         await sim.cancel("wk-000002")
         await sim.finish(["wk-000001", "wk-000002"])
 
-    with caplog.at_level(logging.DEBUG, "decision_log"):
+    with caplog.at_level(logging.DEBUG, decision_log.__name__):
         run(monkeypatch, day)
     logged = {
         field
