--- a/pitchtally/membership/membership.py
+++ b/pitchtally/membership/membership.py
@@ -10,10 +10,10 @@
 from ..state_store.identifiers import FencingToken
 from ..state_store.replica import Replica
 from .failover import Failover
-from .freshness_tracker import FreshnessTracker
 from .leadership import ShardLeadership, ShardListener
 from .nodes import LiveNodes, NodeIdentity
 from .pause_detector import PauseDetector
+from .peers.freshness_tracker import FreshnessTracker
 from .peers.heartbeats import HeartbeatComposer, HeartbeatExchange, HeartbeatReceiver
 from .peers.listener import PeerListener, PeerRequestHandler, PeerUpdates
 from .peers.peer import PeerGroup
--- a/pitchtally/membership/freshness_tracker.py
+++ b/pitchtally/membership/peers/freshness_tracker.py
@@ -6,11 +6,11 @@
 
 import trio
 
-from ..config.policy import Policy
-from ..state_store.client import LONG_AGO
-from ..state_store.replica import Replica
-from .freshness import PeerReply, cancellations_verified, leadership_verified
-from .peers.peer import Peer
+from ...config.policy import Policy
+from ...state_store.client import LONG_AGO
+from ...state_store.replica import Replica
+from ..freshness import PeerReply, cancellations_verified, leadership_verified
+from .peer import Peer
 
 
 class FreshnessTracker:
--- a/pitchtally/membership/peers/heartbeats.py
+++ b/pitchtally/membership/peers/heartbeats.py
@@ -6,10 +6,10 @@
 
 from ...state_store.replica import Replica
 from ..freshness import NEVER_READ, PeerReply
-from ..freshness_tracker import FreshnessTracker
 from ..leadership import ShardLeadership
 from ..messages import PeerHeartbeat, ShardToken
 from ..nodes import LiveNodes
+from .freshness_tracker import FreshnessTracker
 from .listener import NoPeerListener, NoPeerUpdates, PeerListener, PeerUpdates
 from .peer import Peer, PeerGroup
 from .transport import PeerTransport
