--- a/pitchtally/agents/commands/agent_client.py
+++ b/pitchtally/agents/commands/agent_client.py
@@ -23,7 +23,9 @@
     def __init__(self, limits: MachineLimits, call_timeout: float):
         self.max_calls = max(MIN_CALLS, limits.max_connections // SOCKETS_PER_CALL)
         self._call_timeout = call_timeout
-        self._client = Client(keep=1, most=self.max_calls, idle=KEEP_ALIVE_S)
+        self._client = Client(
+            max_idle_per_address=1, max_idle=self.max_calls, idle_timeout=KEEP_ALIVE_S
+        )
 
     async def post_commands(self, address: str, request: agent_api.CommandRequest) -> Response:
         """Send commands; raises HttpError, and ValueError for an address that isn't one."""
--- a/pitchtally/autoscaling/cloud_client.py
+++ b/pitchtally/autoscaling/cloud_client.py
@@ -59,7 +59,7 @@
         self._timeout = policy.cloud_timeout
         rate = settings.deployment.cloud.rps * RATE_SHARE
         self._requests = TokenBucket(rate, rate)
-        self._client = Client(keep=2)
+        self._client = Client(max_idle_per_address=2)
 
     async def machine_types(self) -> list[cloud_api.MachineType]:
         """Every machine type on offer; may raise `InsufficientCapacity` too."""
--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -28,8 +28,8 @@
 from .membership.membership import Membership
 from .membership.messages import Cancellation, PeerHeartbeat, ScheduleReply
 from .membership.shards import CLUSTER_LEADER_SHARD
-from .observability.decision_log import DecisionLog, Evidence
-from .observability.supervision import Loop, Loops
+from .observability.decision_log import DecisionContext, DecisionLog
+from .observability.supervision import Loop, LoopSupervisor
 from .protocol import user_api
 from .protocol.state_store_api import Precondition
 from .scheduling.scheduler import Scheduler
@@ -132,7 +132,7 @@
             self.job_index, self.commits, self._leader_precondition, policy.period
         )
         self.decisions = DecisionLog(
-            self._evidence, self._counters, lambda: self.api.read_barrier.last_read
+            self._decision_context, self._counters, lambda: self.api.read_barrier.last_read
         )
         self.progress = ProgressWriter(
             self.job_index,
@@ -164,7 +164,7 @@
             lambda: self.autoscaler.types,
         )
         self.autoscaler = self._build_autoscaler()
-        self.loops = Loops()
+        self.loops = LoopSupervisor()
         self._nursery: trio.Nursery | None = None  # while this controller runs
         self.api = self._build_api()
         self._connect()
@@ -234,9 +234,9 @@
         token = self.membership.cluster_leader_token
         return None if token is None else Precondition(keys.shard(CLUSTER_LEADER_SHARD), token)
 
-    def _evidence(self) -> Evidence:
+    def _decision_context(self) -> DecisionContext:
         lease = self.membership.leadership.leaders.get(CLUSTER_LEADER_SHARD)
-        return Evidence(
+        return DecisionContext(
             self.replica.revision,
             self.membership.cancellations_verified_at(),
             self.membership.leader(CLUSTER_LEADER_SHARD),
@@ -257,28 +257,30 @@
         users = Server(
             self.api.serve,
             max_connections=int(connections * (1 - OUTWARD - PEERS)),
-            idle=times.lease_s * 3,
-            request_time=times.report_s * 2,
-            vital=frozenset({HEARTBEATS}),
+            idle_timeout=times.lease_s * 3,
+            request_timeout=times.report_s * 2,
+            priority_paths=frozenset({HEARTBEATS}),
         )
         peers = Server(
             self._serve_peer,
             max_connections=int(connections * PEERS),
-            idle=times.lease_s,
-            request_time=times.report_s,
+            idle_timeout=times.lease_s,
+            request_timeout=times.report_s,
             max_body=1 << 22,
         )
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             host, port = host_port(self.settings.public_addr)
-            nursery.start_soon(self.loops.keep, "users", lambda: users.serve(host, port))
+            nursery.start_soon(self.loops.supervise, "users", lambda: users.serve(host, port))
             peer_host, peer_port = host_port(self.settings.peer_bind)
-            nursery.start_soon(self.loops.keep, "peers", lambda: peers.serve(peer_host, peer_port))
+            nursery.start_soon(
+                self.loops.supervise, "peers", lambda: peers.serve(peer_host, peer_port)
+            )
             for name, loop in self._own_loops():
-                nursery.start_soon(self.loops.keep, name, loop)
+                nursery.start_soon(self.loops.supervise, name, loop)
             for peer in self.membership.peers.values():
                 nursery.start_soon(
-                    self.loops.keep,
+                    self.loops.supervise,
                     f"heartbeats_{peer.name}",
                     lambda p=peer: self.membership.heartbeats.run(p),
                 )
--- a/pitchtally/state_store/client.py
+++ b/pitchtally/state_store/client.py
@@ -87,7 +87,7 @@
         self.failing_since: float | None = None
         self._address = host_port(address)
         self._timeout = timeout
-        self._client = Client(keep=_CONNECTIONS)
+        self._client = Client(max_idle_per_address=_CONNECTIONS)
         self._replied_at = LONG_AGO  # when the newest request that was replied to was sent
         self._logged_causes: set[str] = set()  # of unusable replies, each logged once
 
--- a/tests/autoscaling/cluster_views.py
+++ b/tests/autoscaling/cluster_views.py
@@ -19,7 +19,7 @@
 from pitchtally.protocol import cloud_api
 from pitchtally.protocol.user_api import JobSpec
 
-from ..harness.simulation import job, sent, settings
+from ..harness.simulation import job, settings, submission
 
 BIG = cloud_api.MachineType("big", 8.0, 32.0, price=1.0, spot_price=0.3, boot=3.0, zones=["a"])
 SMALL = cloud_api.MachineType("small", 4.0, 32.0, price=0.4, boot=3.0, zones=["a"])
@@ -33,7 +33,7 @@
 
 def open_job(number: int, **more: Any) -> Job:
     """An open job without any task assigned to a shard."""
-    spec = msgspec.convert(sent(job(number, **more)), JobSpec)
+    spec = msgspec.convert(submission(job(number, **more)), JobSpec)
     return Job(spec.id, JobRecord(OPEN, spec.tasks, spec), 1, 10_000)
 
 
--- a/tests/cluster/test_large_fleet.py
+++ b/tests/cluster/test_large_fleet.py
@@ -217,7 +217,11 @@
 
     async def main() -> None:
         server = Server(
-            _echo, max_connections=6, idle=30, request_time=2, vital=frozenset({"/v1/report"})
+            _echo,
+            max_connections=6,
+            idle_timeout=30,
+            request_timeout=2,
+            priority_paths=frozenset({"/v1/report"}),
         )
         async with trio.open_nursery() as nursery:
             port = await _listening(nursery, server)
@@ -234,7 +238,7 @@
                 assert await users[0].receive_some(10) == b""  # idle longest
             for agent in agents:
                 assert (await _ask(agent, VITAL)).startswith(b"HTTP/1.1 200")
-            assert len(server.links) <= 6
+            assert len(server.connections) <= 6
             nursery.cancel_scope.cancel()
 
     trio.run(main)
@@ -244,7 +248,7 @@
     """Clients that open sockets and send nothing are the first to go."""
 
     async def main() -> None:
-        server = Server(_echo, max_connections=20, idle=30, request_time=2)
+        server = Server(_echo, max_connections=20, idle_timeout=30, request_timeout=2)
         async with trio.open_nursery() as nursery:
             port = await _listening(nursery, server)
             silent = [await trio.open_tcp_stream("127.0.0.1", port) for _ in range(60)]
@@ -253,7 +257,7 @@
                 answer = await client.call(("127.0.0.1", port), "POST", "/x", b"1", timeout=1)
                 assert answer.status == 200
                 client.drop(("127.0.0.1", port))
-            assert len(server.links) <= 20
+            assert len(server.connections) <= 20
             for stream in silent:
                 await trio.aclose_forcefully(stream)
             nursery.cancel_scope.cancel()
@@ -266,7 +270,11 @@
 
     async def main() -> None:
         server = Server(
-            _echo, max_connections=500, idle=30, request_time=2, vital=frozenset({"/v1/report"})
+            _echo,
+            max_connections=500,
+            idle_timeout=30,
+            request_timeout=2,
+            priority_paths=frozenset({"/v1/report"}),
         )
         answered = 0
 
@@ -298,14 +306,14 @@
 
     async def main() -> None:
         async with trio.open_nursery() as nursery:
-            client, ports = Client(keep=1, most=4, idle=30), []
+            client, ports = Client(max_idle_per_address=1, max_idle=4, idle_timeout=30), []
             for _ in range(12):
-                server = Server(_echo, max_connections=5, idle=30, request_time=2)
+                server = Server(_echo, max_connections=5, idle_timeout=30, request_timeout=2)
                 ports.append(await _listening(nursery, server))
                 await client.call(("127.0.0.1", ports[-1]), "GET", "/", timeout=1)
-            assert sum(len(pending) for pending in client._idle.values()) <= 4
-            assert len(client._idle) <= 4
-            assert ("127.0.0.1", ports[-1]) in client._idle
+            assert sum(len(pending) for pending in client.pool.idle.values()) <= 4
+            assert len(client.pool.idle) <= 4
+            assert ("127.0.0.1", ports[-1]) in client.pool.idle
             nursery.cancel_scope.cancel()
 
     trio.run(main)
@@ -327,7 +335,7 @@
 @pytest.mark.parametrize(("sent", "answers"), LATER_REQUESTS)
 def test_known_heads_are_read_as_h11_reads_them(sent: list[bytes], answers: list[bytes]) -> None:
     async def main() -> None:
-        server = Server(_echo, max_connections=6, idle=5, request_time=0.3)
+        server = Server(_echo, max_connections=6, idle_timeout=5, request_timeout=0.3)
         async with trio.open_nursery() as nursery:
             port = await _listening(nursery, server)
             for _ in range(2):  # heads are learned on the first connection
@@ -396,7 +404,7 @@
         mine = [m for m in old.machines.values() if m.placements]
         assert mine
         for other in ("state", "n0", "n2", *(m.name for m in mine)):
-            sim.network.cut("n1", other)
+            sim.network.partition("n1", other)
         placed = {m.name: len(m.placements) for m in mine}
         await trio.sleep(TIMES.lease_s * 2)
         new = next(
@@ -422,7 +430,7 @@
         for number, team in ((1, "free"), (2, "free"), (3, "tight")):
             await sim.submit(job(number, rows=6, vcpus=1.0, crew=team, realS=400.0, ripenS=400.0))
         with trio.fail_after(10):
-            while len(sim.world.rules.places) < 18:
+            while len(sim.world.rules.placements) < 18:
                 await trio.sleep(0.1)
         sim.kill("n1", "n2")
         await trio.sleep(gap)
@@ -430,7 +438,7 @@
         await sim.cancel("wk-000003")
         await sim.submit(job(4, rows=6, vcpus=1.0, crew="tight"))
         await trio.sleep(TIMES.cancel_s + 2)
-        left = {task.rpartition("/")[0] for task in sim.world.rules.places}
+        left = {task.rpartition("/")[0] for task in sim.world.rules.placements}
         assert left <= {"wk-000002"}
         sim.check()  # the team's limit too: six tasks at once
 
@@ -548,7 +556,7 @@
         await sim.submit(job(1, rows=60, vcpus=4.0, realS=20.0, ripenS=20.0))
         await trio.sleep(1)
         for other in ("state", "n1", "n2", *sim.world.agents):
-            sim.network.cut("n0", other)
+            sim.network.partition("n0", other)
         at = trio.current_time()
         await trio.sleep(60)
         late = [who for when, who in asked if when > at + TIMES.lease_s / 4 + 1]
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -26,7 +26,7 @@
 from pitchtally.state_store.client import Write
 
 from ..harness.earlier_version import EarlierVersion, with_present_names
-from ..harness.simulation import job, sent, settings
+from ..harness.simulation import job, settings, submission
 
 STATE = StateLimits(
     rps=300, write_rps=100, value_kb=2, txn_ops=16, next=NextStateLimits(value_kb=1, txn_ops=4)
@@ -159,7 +159,7 @@
 
 def test_messages_are_read_in_both_directions(earlier: EarlierVersion) -> None:
     theirs = earlier.module("control.messages")
-    spec = parse_job(json.dumps(sent(job(1))).encode())
+    spec = parse_job(json.dumps(submission(job(1))).encode())
     told = messages.PeerHeartbeat(
         "n0",
         "i",
