--- a/pitchtally/autoscaling/autoscaler.py
+++ b/pitchtally/autoscaling/autoscaler.py
@@ -300,7 +300,7 @@
     def _is_fresh(self, machine: str, now: float) -> bool:
         """Whether the status of the machine's part is our own or was heard of late."""
         shard = shard_of(machine, self.settings.deployment.count)
-        if shard in self.scheduler.shards.work:
+        if shard in self.scheduler.shards.states:
             return True
         return now - self.scheduler.statuses.received_at.get(shard, -1e9) < self.policy.session_ttl
 
@@ -331,7 +331,7 @@
         """What waits and its team's limit allows: each shape of need once."""
         found: dict[tuple[object, ...], user_api.JobSpec] = {}
         for shard in self.scheduler.statuses.newest.values():
-            for id in shard.waiting:
+            for id in shard.pending:
                 job = self.job_index.open.get(id)
                 if job is not None:
                     spec = job.spec
--- a/pitchtally/autoscaling/scale_out.py
+++ b/pitchtally/autoscaling/scale_out.py
@@ -125,7 +125,7 @@
         """What waits, assigned to a shard or not yet, by shape."""
         waiting: dict[str, int] = {}
         for shard in self.scheduler.statuses.newest.values():
-            for id, count in shard.waiting.items():
+            for id, count in shard.pending.items():
                 waiting[id] = waiting.get(id, 0) + count
         for job in self.autoscaler.job_index.open.values():
             unassigned = job.record.tasks - sum(r.tasks for r in job.record.ranges)
@@ -183,7 +183,7 @@
         if spec.is_service:
             # It never makes room for what waits behind it: only free machines help.
             yielding = sum(
-                count_fitting(resources, status.yielding)
+                count_fitting(resources, status.preemptible)
                 for status in statuses.values()
                 if status.flag == MachineFlag.USABLE
                 and self._slots(spec, MachineGroupKey(status.type, status.zone, status.spot))
--- a/pitchtally/membership/messages.py
+++ b/pitchtally/membership/messages.py
@@ -45,12 +45,12 @@
     zone: str
     spot: bool
     free: Resources
-    yielding: Resources  # used by tasks of the lowest rank
+    preemptible: Resources  # used by tasks of the lowest rank
     tasks: int
     idle_for: float  # seconds
     flag: str  # a `MachineFlag`, or one of a later version
     slow: float = 1.0
-    over: Resources = NO_RESOURCES  # used by teams over their guarantee
+    over_guarantee: Resources = NO_RESOURCES  # used by teams over their guarantee
 
 
 class ShardStatus(Struct, array_like=True):
@@ -59,16 +59,16 @@
     shard: int
     token: int
     reconciled: bool
-    queued: float  # machine-seconds of pending tasks
+    queued_seconds: float  # machine-seconds of pending tasks
     stretch: float  # the lowest of its machines
     machines: list[MachineStatus]
     matrix: list[tuple[str, list[list[list[int]]]]] = []
-    waiting: dict[str, int] = {}  # job -> pending tasks
-    reserved: list[str] = []  # jobs that machines are kept free for
+    pending: dict[str, int] = {}  # job -> pending tasks
+    reserved_jobs: list[str] = []  # jobs that machines are kept free for
     running: dict[str, int] = {}  # job -> tasks running
-    kept: list[str] = []  # machines kept free
-    ready: list[str] = []  # gangs over several shards whose share fits here
-    use: dict[str, tuple[float, float]] = {}  # team -> CPUs and GPUs in use in this shard
+    reserved_machines: list[str] = []  # machines kept free
+    ready_gangs: list[str] = []  # gangs over several shards whose share fits here
+    usage: dict[str, tuple[float, float]] = {}  # team -> CPUs and GPUs in use in this shard
 
 
 class Cancellation(Struct, array_like=True, frozen=True):
--- a/pitchtally/scheduling/assignment/admission.py
+++ b/pitchtally/scheduling/assignment/admission.py
@@ -6,7 +6,7 @@
 from ...membership.membership import Membership
 from ...protocol import user_api
 from .. import stretch
-from ..capacity import NOBODY, Plan, stays_in_one_shard
+from ..capacity import UNASSIGNED, Plan, stays_in_one_shard
 from ..context import SchedulingContext
 from ..gangs.planner import GangPlanner
 from ..shards.allocations import ShardState
@@ -35,24 +35,24 @@
         self.split = split
 
     def decide(self, spec: user_api.JobSpec) -> Plan:
-        """On acceptance: keep the job in a shard of ours, or NOBODY to send it to the leader.
+        """On acceptance: keep the job in a shard of ours, or UNASSIGNED to send it to the leader.
 
         A gang's tasks are placed at once wherever there is room for all: it has no
         stretch to compare, and a detour by the leader would only cost time.
         """
         mine = [p for p, w in self.shards.items() if w.loaded and p in self.statuses.newest]
         if not mine:
-            return NOBODY
+            return UNASSIGNED
         if spec.kind == user_api.GANG:
             token = self.membership.token(mine[0])
-            return (token is not None and self.gang_planner.plan(spec, token)) or NOBODY
+            return (token is not None and self.gang_planner.plan(spec, token)) or UNASSIGNED
         if spec.is_service:
             # Rooms are compared, not queues: it goes to the leader only if ours lack it.
-            return self.gang_planner.plan_service(spec, mine) or NOBODY
+            return self.gang_planner.plan_service(spec, mine) or UNASSIGNED
         if stays_in_one_shard(spec):
             best = self.gang_planner.best_shard(spec)
             if best not in mine:
-                return NOBODY
+                return UNASSIGNED
             ranges = [TaskRange(0, spec.tasks, best)]
             return Plan(ranges, self.gang_planner.pick_zone(spec, ranges))
         return Plan(self._keep(spec, mine))
@@ -75,11 +75,11 @@
         return self.split.divide(spec) if self.membership.cluster_leader_token is not None else []
 
     def decide_as_leader(self, spec: user_api.JobSpec) -> Plan:
-        """Where a job goes that no shard of its accepting controller keeps; NOBODY if unknown."""
+        """Place a job that its accepting controller does not keep; UNASSIGNED if unknown."""
         if self.membership.cluster_leader_token is None or spec.kind == user_api.GANG:
-            return NOBODY
+            return UNASSIGNED
         if stays_in_one_shard(spec):
-            return self.gang_planner.plan_whole(spec) or NOBODY
+            return self.gang_planner.plan_whole(spec) or UNASSIGNED
         if spec.is_service:
             plan = self.gang_planner.plan_service(spec, self.statuses.newest)
             if plan is not None:
--- a/pitchtally/scheduling/assignment/job_assignment.py
+++ b/pitchtally/scheduling/assignment/job_assignment.py
@@ -9,10 +9,10 @@
 from ...state_store import keys
 from ..capacity import RANK, stays_in_one_shard
 from ..context import SchedulingContext
-from ..deadlines import Deadlines
 from ..gangs.planner import GangPlanner
 from ..quotas.quotas import Quotas
 from ..range_writer import RangeWriter
+from ..shards.deadlines import Deadlines
 from .proportional_split import ProportionalSplit
 
 
--- a/pitchtally/scheduling/assignment/proportional_split.py
+++ b/pitchtally/scheduling/assignment/proportional_split.py
@@ -11,8 +11,8 @@
 from .. import stretch
 from ..capacity import allows_machine_type, stays_in_one_shard
 from ..context import SchedulingContext
-from ..deadlines import Deadlines
 from ..gangs.planner import GangPlanner
+from ..shards.deadlines import Deadlines
 from ..shards.shard_statuses import ShardStatuses
 
 
--- a/pitchtally/scheduling/capacity.py
+++ b/pitchtally/scheduling/capacity.py
@@ -74,16 +74,16 @@
     caps: list[tuple[int, str, int]] = []
 
 
-NOBODY = Plan([])
+UNASSIGNED = Plan([])
 
 
 class CapacitySource(IntEnum):
     """What a gang may take its room from, in the order in which it is tried."""
 
     FREE = 0
-    YIELDING = 1  # what lower ranks hold as well
+    PREEMPTIBLE = 1  # what lower ranks hold as well
     OVER_GUARANTEE = 2  # what teams beyond their guarantee hold as well
-    KEPT = 3  # after a long wait: whatever comes free first, kept for it meanwhile
+    RESERVED = 3  # after a long wait: whatever comes free first, kept for it meanwhile
 
 
 def plan_gang(
--- a/pitchtally/scheduling/gangs/give_back.py
+++ b/pitchtally/scheduling/gangs/give_back.py
@@ -11,10 +11,10 @@
 from ...state_store.errors import StoreUnavailable
 from ..capacity import is_fully_assigned, may_be_active, stays_in_one_shard
 from ..context import SchedulingContext
-from ..deadlines import Deadlines
 from ..quotas.quotas import Quotas
 from ..range_writer import MOST_RANGES, RangeWriter
 from ..shards.allocations import ShardAllocation, ShardState
+from ..shards.deadlines import Deadlines
 from ..shards.shard_states import ShardStates
 from .reservations import is_reserved_for
 
@@ -42,7 +42,7 @@
 
     async def give_back(self) -> None:
         """Whole jobs that can't start here go back to the leader, for a fresh look."""
-        for shard, work in list(self.shard_states.work.items()):
+        for shard, work in list(self.shard_states.states.items()):
             token = self.membership.token(shard)
             if not work.reconciled or token is None:
                 continue
@@ -84,7 +84,7 @@
             allocation.gang
             and not begun
             and not self.deadlines.late(job)
-            and job.id not in work.ready
+            and job.id not in work.ready_gangs
             and self.quotas.limit_left(job.spec) >= job.spec.tasks
         ):
             # What it was planned on went to others: look elsewhere at once.
@@ -118,7 +118,7 @@
         allocation.since = trio.current_time()
         allocation.moving = True
         version = job.version
-        work.ready.discard(job.id)
+        work.ready_gangs.discard(job.id)
         try:
             await self.range_writer.write_ranges(
                 job,
--- a/pitchtally/scheduling/gangs/planner.py
+++ b/pitchtally/scheduling/gangs/planner.py
@@ -26,15 +26,15 @@
     share_ratio,
 )
 from ..context import SchedulingContext
-from ..deadlines import Deadlines
 from ..quotas.quotas import Quotas
 from ..range_writer import RangeWriter
+from ..shards.deadlines import Deadlines
 from ..shards.shard_statuses import ShardStatuses
 
 log = logging.getLogger("gang_planner")
 
 # Sources that take preemption.
-BY_PREEMPTION = (CapacitySource.YIELDING, CapacitySource.OVER_GUARANTEE)
+BY_PREEMPTION = (CapacitySource.PREEMPTIBLE, CapacitySource.OVER_GUARANTEE)
 # Machines that are expected to be of use again, whether they are heard or not.
 UP_FLAGS = frozenset({MachineFlag.USABLE, MachineFlag.LOST, MachineFlag.UNHEARD})
 
@@ -74,11 +74,11 @@
         under = self.quotas.under(spec)
         sources = [CapacitySource.FREE]
         if spec.rank != user_api.RANKS[-1]:
-            sources.append(CapacitySource.YIELDING)
+            sources.append(CapacitySource.PREEMPTIBLE)
         if under and len(self.quotas.known) > 1:
             sources.append(CapacitySource.OVER_GUARANTEE)
         if job is not None and self.deadlines.late(job) and self._may_keep(job.id, now):
-            sources.append(CapacitySource.KEPT)
+            sources.append(CapacitySource.RESERVED)
         for source in sources:
             capacities = self.free_capacity(spec, source)
             found = plan_gang(capacities, spec.tasks, one_zone=spec.one_zone, spread=spec.spread)
@@ -96,7 +96,7 @@
             if len(shards) > 1:
                 self.counter += 1
                 attempt = (token << 24) + (1 << 23) + self.counter
-            if source is CapacitySource.KEPT:
+            if source is CapacitySource.RESERVED:
                 self.keeping = (spec.id, now)
             zones = {zone for _, zone in found}
             log.info(
@@ -120,7 +120,7 @@
         """One of these shards that has room for every replica of a service, by preemption if
         need be; None if none has, so that the replicas go wherever there is some."""
         now = trio.current_time()
-        for source in (CapacitySource.FREE, CapacitySource.YIELDING):
+        for source in (CapacitySource.FREE, CapacitySource.PREEMPTIBLE):
             capacities = self.free_capacity(spec, source)
             rows = []
             for shard in shards:
@@ -197,12 +197,15 @@
                 if machine.flag:
                     continue
                 available = machine.free
-                if source is CapacitySource.KEPT and machine.name not in status.kept:
+                if (
+                    source is CapacitySource.RESERVED
+                    and machine.name not in status.reserved_machines
+                ):
                     available = capacity_of(machine_type)
-                elif source in BY_PREEMPTION and machine.name not in status.kept:
-                    available = available.plus(machine.yielding)
+                elif source in BY_PREEMPTION and machine.name not in status.reserved_machines:
+                    available = available.plus(machine.preemptible)
                     if source is CapacitySource.OVER_GUARANTEE:
-                        available = available.plus(machine.over)
+                        available = available.plus(machine.over_guarantee)
                 if fits(resources, available):
                     total += count_fitting(resources, available)
             if total:
@@ -324,11 +327,11 @@
                 continue
             queued = sum(
                 count * share_ratio(spec, self.job_index.open.get(id))
-                for id, count in status.waiting.items()
+                for id, count in status.pending.items()
             )
             owed = sum(1 for at, _ in self.statuses.unreported.get(status.shard, ()))
-            now = self.statuses.free_capacity(status, spec, yielding=False) - owed
-            soon = self.statuses.free_capacity(status, spec, yielding=True) - owed
+            now = self.statuses.free_capacity(status, spec, by_preemption=False) - owed
+            soon = self.statuses.free_capacity(status, spec, by_preemption=True) - owed
             rows.append((now < spec.tasks, soon < spec.tasks, queued / able, status.shard))
         if not rows:
             return None
--- a/pitchtally/scheduling/gangs/reservations.py
+++ b/pitchtally/scheduling/gangs/reservations.py
@@ -11,9 +11,9 @@
 from ...agents.machine import Machine, Reservation
 from ...jobs.resources import Resources, fits
 from ..context import SchedulingContext
-from ..deadlines import Deadlines
 from ..quotas.quotas import Quotas
 from ..shards.allocations import ShardAllocation, ShardState
+from ..shards.deadlines import Deadlines
 from ..shards.eligibility import is_ready, machine_ok
 
 log = logging.getLogger("reservations")
--- a/pitchtally/scheduling/gangs/starter.py
+++ b/pitchtally/scheduling/gangs/starter.py
@@ -59,7 +59,7 @@
             allocation = work.allocations[id]
             plan = self._machines(allocation, shard, now)
             if plan is None:
-                work.ready.discard(id)
+                work.ready_gangs.discard(id)
                 continue
             job = allocation.job
             shared = job.record.attempt
@@ -84,19 +84,19 @@
         for room, and end as incomplete. A part that isn't heard of late can't tell.
         """
         id, shard = allocation.job.id, allocation.shard
-        work.ready.add(id)
+        work.ready_gangs.add(id)
         fresh = now - self.policy.heartbeat_interval * 4
         for other in {p for _, _, p in allocation.job.record.ranges if p != shard}:
             theirs = self.shards.get(other)
             if theirs is not None:
-                ready = id in theirs.ready
+                ready = id in theirs.ready_gangs
             elif (
                 self.statuses.received_at.get(other, -1e9) < fresh
                 or other not in self.statuses.newest
             ):
                 ready = True
             else:
-                ready = id in self.statuses.newest[other].ready
+                ready = id in self.statuses.newest[other].ready_gangs
             if not ready:
                 for machine in plan:
                     machine.reservation = Reservation(id, now + self.policy.heartbeat_interval * 4)
--- a/pitchtally/scheduling/placement/preemption.py
+++ b/pitchtally/scheduling/placement/preemption.py
@@ -14,13 +14,13 @@
 from ...protocol import user_api
 from ..capacity import is_gang
 from ..context import SchedulingContext
-from ..deadlines import Deadlines
 from ..gangs.reservations import is_reserved_for
 from ..quotas.quotas import Quotas
 from ..shards.allocations import ShardAllocation, ShardState
+from ..shards.deadlines import Deadlines
 from ..shards.eligibility import is_ready, machine_ok
 
-log = logging.getLogger("preemption")
+log = logging.getLogger(__name__)
 
 
 class Step(NamedTuple):
--- a/pitchtally/scheduling/placement/status_publisher.py
+++ b/pitchtally/scheduling/placement/status_publisher.py
@@ -18,7 +18,7 @@
 from ..shards.machine_queues import machine_queue
 from ..shards.shard_statuses import ShardStatuses
 
-log = logging.getLogger("status_publisher")
+log = logging.getLogger(__name__)
 
 
 class StatusPublisher:
@@ -71,15 +71,17 @@
             shard, hold.token if hold else 0, work.reconciled, queued, 0.0, machines, [], waiting
         )
         status.running = self.agents.placements.running(shard)
-        status.kept = [machine.name for machine in kept]
-        status.reserved = [machine.reservation.job_id for machine in kept if machine.reservation]
-        work.ready = {
+        status.reserved_machines = [machine.name for machine in kept]
+        status.reserved_jobs = [
+            machine.reservation.job_id for machine in kept if machine.reservation
+        ]
+        work.ready_gangs = {
             id
-            for id in work.ready
+            for id in work.ready_gangs
             if (gang := work.allocations.get(id)) is not None and gang.job.record.attempt
         }
-        status.ready = list(work.ready)
-        status.use = {
+        status.ready_gangs = list(work.ready_gangs)
+        status.usage = {
             t: self.quotas.use(shard, t) for t in self.quotas.known if self.quotas.limited(t)
         }
         if renew or old is None or not old.matrix:
@@ -104,7 +106,7 @@
             len(machine.placements),
             now - machine.idle_since,
             self._flag(machine, now),
-            over=self._over_on(machine, beyond),
+            over_guarantee=self._over_on(machine, beyond),
         )
 
     def _waiting(self, work: ShardState) -> tuple[dict[str, int], float]:
--- a/pitchtally/scheduling/placement/survey.py
+++ b/pitchtally/scheduling/placement/survey.py
@@ -11,8 +11,8 @@
 from ...protocol import user_api
 from .. import stretch
 from ..context import SchedulingContext
-from ..deadlines import Deadlines
 from ..shards.allocations import MachineGroup, ShardState
+from ..shards.deadlines import Deadlines
 from ..shards.failure_tracker import FailureTracker
 from ..shards.lower_price_capacity import list_capacities
 from ..shards.machine_queues import add_to_queue, machine_queue
--- a/pitchtally/scheduling/priorities.py
+++ b/pitchtally/scheduling/priorities.py
@@ -4,9 +4,9 @@
 
 from ..protocol import user_api
 from .context import SchedulingContext
-from .deadlines import Deadlines
 from .quotas.quotas import Quotas
 from .shards.allocations import ShardAllocation
+from .shards.deadlines import Deadlines
 
 
 class PriorityOrder:
--- a/pitchtally/scheduling/quotas/quota_transfer.py
+++ b/pitchtally/scheduling/quotas/quota_transfer.py
@@ -97,18 +97,18 @@
         yielding = spec.rank != user_api.RANKS[-1]
         return min(
             waiting,
-            self.statuses.free_capacity(status, spec, yielding=yielding),
+            self.statuses.free_capacity(status, spec, by_preemption=yielding),
         )
 
     def _short(
         self, status: ShardStatus, team: str
     ) -> tuple[tuple[float, float], tuple[float, float]]:
         """What a shard's waiting tasks of a team lack of share; and for one task, the least."""
-        share, used = self.quotas.share(status.shard, team), status.use.get(team, (0.0, 0.0))
+        share, used = self.quotas.share(status.shard, team), status.usage.get(team, (0.0, 0.0))
         left = (share[0] - used[0], share[1] - used[1])
         cpus = gpus = 0.0
         least = (math.inf, math.inf)
-        for id, count in status.waiting.items():
+        for id, count in status.pending.items():
             job = self.job_index.open.get(id)
             if job is None or job.spec.team != team:
                 continue
--- a/pitchtally/scheduling/quotas/quotas.py
+++ b/pitchtally/scheduling/quotas/quotas.py
@@ -12,8 +12,8 @@
 from ...protocol import user_api
 from ..capacity import RANK
 from ..context import SchedulingContext
-from ..deadlines import Deadlines
 from ..shards.allocations import ShardState
+from ..shards.deadlines import Deadlines
 from ..shards.shard_statuses import ShardStatuses
 
 
@@ -151,18 +151,21 @@
                 if team not in self.waiting_for_limit or row < self.waiting_for_limit[team]:
                     self.waiting_for_limit[team] = row
         for status in self.statuses.newest.values():
-            for id, count in status.waiting.items():
+            for id, count in status.pending.items():
                 job = self.job_index.open.get(id)
                 if job is None or job.spec.kind != user_api.GANG or not self.limited(job.spec.team):
                     continue
                 spec = job.spec
-                share, used = self.share(status.shard, spec.team), status.use.get(spec.team, (0, 0))
+                share, used = (
+                    self.share(status.shard, spec.team),
+                    status.usage.get(spec.team, (0, 0)),
+                )
                 available = Resources(share[0] - used[0], share[1] - used[1], 0.0)
                 if count_fitting(limited_request(spec), available) >= count:
                     continue
                 if (
-                    id not in status.reserved
-                    and self.statuses.free_capacity(status, spec, yielding=True) < count
+                    id not in status.reserved_jobs
+                    and self.statuses.free_capacity(status, spec, by_preemption=True) < count
                 ):
                     continue
                 row = (self.deadlines.due(job, 1.0), status.shard, id)
@@ -175,7 +178,7 @@
     def use_anywhere(self, team: str) -> tuple[float, float]:
         """A team's use in all shards: ours exactly, others' as last told."""
         rows = [
-            self.use(p, team) if p in self.shards else status.use.get(team, (0.0, 0.0))
+            self.use(p, team) if p in self.shards else status.usage.get(team, (0.0, 0.0))
             for p, status in self.statuses.newest.items()
         ]
         return sum(r[0] for r in rows), sum(r[1] for r in rows)
--- a/pitchtally/scheduling/rebalancing/rebalancing.py
+++ b/pitchtally/scheduling/rebalancing/rebalancing.py
@@ -88,10 +88,10 @@
     async def _move_where_free(self, allocation: ShardAllocation, status: ShardStatus) -> None:
         """Give the tasks that find no room here to the first shard that has some."""
         spec, waiting = allocation.job.spec, allocation.pending.count
-        here = self.statuses.free_capacity(status, spec, yielding=False)
+        here = self.statuses.free_capacity(status, spec, by_preemption=False)
         if not stays_in_one_shard(spec):
             here = min(here, self.quotas.tasks_within_limit(allocation.shard, spec))
-        elif allocation.job.id in status.reserved:
+        elif allocation.job.id in status.reserved_jobs:
             return
         # A whole job stays where it has room: share comes to it. Sent after
         # share, it would be in another shard each time that share arrives.
@@ -107,14 +107,14 @@
 
     def _movable(self, spec: user_api.JobSpec, other: ShardStatus, most: int) -> int:
         """How many tasks another shard can start now, as far as its status tells."""
-        there = self.statuses.free_capacity(other, spec, yielding=False)
+        there = self.statuses.free_capacity(other, spec, by_preemption=False)
         sent = len(self.statuses.unreported.get(other.shard, ()))
         if stays_in_one_shard(spec):
             return spec.tasks if there - sent >= spec.tasks else 0
         if sent:
             return 0
         there -= sum(
-            n for j, n in other.waiting.items() if share_ratio(spec, self.job_index.open.get(j)) > 0
+            n for j, n in other.pending.items() if share_ratio(spec, self.job_index.open.get(j)) > 0
         )
         return min(there, most)
 
@@ -187,7 +187,7 @@
         if not width:
             return math.inf, 0.0
         work = 0.0
-        for id, count in status.waiting.items():
+        for id, count in status.pending.items():
             job = self.job_index.open.get(id)
             if job is None or RANK[job.spec.rank] > RANK[spec.rank]:
                 continue
--- a/pitchtally/scheduling/rebalancing/service_migration.py
+++ b/pitchtally/scheduling/rebalancing/service_migration.py
@@ -105,7 +105,7 @@
         """
         spec, missing = allocation.spec, allocation.pending.count
         zone = allocation.job.record.zone if allocation.one_zone else None
-        for source in (CapacitySource.FREE, CapacitySource.YIELDING):
+        for source in (CapacitySource.FREE, CapacitySource.PREEMPTIBLE):
             capacities = self.gang_planner.free_capacity(spec, source)
             for shard in shards:
                 left = self._zone_limits(allocation, capped=capped)
--- a/pitchtally/scheduling/scheduler.py
+++ b/pitchtally/scheduling/scheduler.py
@@ -31,7 +31,6 @@
 from .assignment.proportional_split import ProportionalSplit
 from .capacity import Plan
 from .context import AvailabilitySamples, SchedulingContext
-from .deadlines import Deadlines
 from .estimates import Estimates
 from .gangs.give_back import GiveBack
 from .gangs.planner import GangPlanner
@@ -52,6 +51,7 @@
 from .rebalancing.service_migration import ServiceMigration
 from .rebalancing.task_transfer import TaskTransfer
 from .shards.allocations import ShardState
+from .shards.deadlines import Deadlines
 from .shards.failure_tracker import FailureTracker
 from .shards.shard_states import ShardStates
 from .shards.shard_statuses import ShardStatuses
@@ -114,7 +114,7 @@
 
     def _compose_shard_planning(self, context: SchedulingContext, failures: FailureTracker) -> None:
         """The components that plan within a shard."""
-        work = self.shards.work
+        work = self.shards.states
         self.survey = Survey(context, work, self.deadlines, failures)
         self.allotment = Allotment(context, work)
         self.gang_starter = GangStarter(context, work, self.statuses, self.priorities, self.quotas)
@@ -126,7 +126,7 @@
 
     def _compose_global_planning(self, context: SchedulingContext) -> None:
         """The components that plan over several shards."""
-        work, membership, writer = self.shards.work, self.membership, self.range_writer
+        work, membership, writer = self.shards.states, self.membership, self.range_writer
         self.gang_planner = GangPlanner(context, self.statuses, self.quotas, self.deadlines, writer)
         split = ProportionalSplit(context, self.statuses, self.deadlines, self.gang_planner)
         self.admission = Admission(
@@ -162,8 +162,8 @@
             # Starts travel with reports: planning much more often than these come is idle.
             await trio.sleep(self.agent_heartbeat_s / 10)
             spent = 0.0
-            for shard, work in list(self.shards.work.items()):
-                if work.loaded and shard in self.shards.work:
+            for shard, work in list(self.shards.states.items()):
+                if work.loaded and shard in self.shards.states:
                     at = trio.current_time()
                     self._plan(shard, work)
                     spent += trio.current_time() - at
--- a/pitchtally/scheduling/shards/__init__.py
+++ b/pitchtally/scheduling/shards/__init__.py
@@ -1,6 +1,6 @@
 """The state of the shards that this controller leads, and the newest status of every shard.
 
-State: a `ShardState` for each of our shards (the table `ShardStates.work`), with an allocation
+State: a `ShardState` for each of our shards (the table `ShardStates.states`), with an allocation
 for each job that has tasks there; the statuses of all shards in `ShardStatuses`. Who may change
 it: `ShardStates` adds and drops shards and allocations, told by the agents and the job index;
 `task_start.place_task` moves a task from pending to placed; planning (`placement`, `gangs`,
--- a/pitchtally/scheduling/shards/allocations.py
+++ b/pitchtally/scheduling/shards/allocations.py
@@ -168,7 +168,7 @@
         self.machine_groups: dict[MachineGroupKey, MachineGroup] = {}
         self.capacities: dict[MachineGroupKey, GroupCapacity] = {}  # as of the last survey
         self.running: list[int] = [0] * len(user_api.RANKS)  # tasks on machines, by rank
-        self.ready: set[str] = set()  # gangs over several shards that have their room here
+        self.ready_gangs: set[str] = set()  # gangs over several shards that have their room here
         self.early: list[Placement] = []  # seen on machines before the shard settled
 
     def expect(self, resources: Resources) -> None:
--- a/pitchtally/scheduling/deadlines.py
+++ b/pitchtally/scheduling/shards/deadlines.py
@@ -7,13 +7,13 @@
 
 import trio
 
-from ..config.settings import Objective
-from ..jobs.index import Job
-from ..protocol import user_api
-from . import stretch
-from .capacity import stays_in_one_shard
-from .context import SchedulingContext
-from .shards.allocations import ShardAllocation
+from ...config.settings import Objective
+from ...jobs.index import Job
+from ...protocol import user_api
+from .. import stretch
+from ..capacity import stays_in_one_shard
+from ..context import SchedulingContext
+from .allocations import ShardAllocation
 
 # The share of `start_within` after which a job goes first. In a flood beyond a team's
 # limit most jobs wait that long, and what they take early others miss their deadlines by:
--- a/pitchtally/scheduling/shards/failure_tracker.py
+++ b/pitchtally/scheduling/shards/failure_tracker.py
@@ -13,7 +13,7 @@
 from .allocations import ShardAllocation, ShardState
 from .failure_attribution import Standing, is_unhealthy, standing
 
-log = logging.getLogger("failure_tracker")
+log = logging.getLogger(__name__)
 
 # Report intervals between two tries of what ends at once again and again, at the most.
 LONGEST_BACKOFF = 16.0
--- a/pitchtally/scheduling/shards/shard_states.py
+++ b/pitchtally/scheduling/shards/shard_states.py
@@ -13,13 +13,13 @@
 from ...protocol import agent_api, user_api
 from ..capacity import allows_machine_type
 from ..context import SchedulingContext
-from ..deadlines import Deadlines
 from ..planning_trigger import PlanningTrigger
 from .allocations import ShardAllocation, ShardState
+from .deadlines import Deadlines
 from .failure_tracker import FailureTracker
 from .shard_statuses import ShardStatuses
 
-log = logging.getLogger("shard_states")
+log = logging.getLogger(__name__)
 
 
 class ShardStates:
@@ -39,7 +39,7 @@
         self.machine_types = context.machine_types
         self.estimates = context.estimates
         self.agent_heartbeat_s = context.agent_heartbeat_s
-        self.work = work
+        self.states = work
         self.statuses = statuses
         self.deadlines = deadlines
         self.failures = failures
@@ -49,16 +49,16 @@
 
     def shard_acquired(self, shard: int) -> None:
         """A part is ours; nothing of it is known yet."""
-        self.work[shard] = ShardState()
+        self.states[shard] = ShardState()
 
     def shard_lost(self, shard: int) -> None:
         """A part is another node's."""
-        self.work.pop(shard, None)
+        self.states.pop(shard, None)
         self.statuses.newest.pop(shard, None)
 
     def shard_loaded(self, shard: int) -> None:
         """Our copy covers the failover: jobs wait until their machines are heard."""
-        work = self.work[shard]
+        work = self.states[shard]
         work.loaded = True
         for job in list(self.job_index.open.values()):
             if any(p == shard for _, _, p in job.record.ranges):
@@ -70,7 +70,7 @@
         A job's tasks are only ever on machines that it allows, so one silent machine need
         not hold up jobs that could never have run there.
         """
-        work = self.work[shard]
+        work = self.states[shard]
         for id in sorted(work.blocked):
             job = self.job_index.jobs[id]
             if any(self._may_be_on(job, group) for group in groups):
@@ -103,7 +103,7 @@
 
     def shard_reconciled(self, shard: int) -> None:
         """Every machine that may hold a task is heard or gone: the rest is nowhere."""
-        work = self.work[shard]
+        work = self.states[shard]
         work.reconciled = True
         work.blocked.clear()
         for job in list(self.job_index.open.values()):
@@ -116,7 +116,7 @@
         """A job's record has changed."""
         if not job.open:
             self.deadlines.forget(job.id)
-            for work in self.work.values():
+            for work in self.states.values():
                 allocation = work.allocations.pop(job.id, None)
                 work.gangs.pop(job.id, None)
                 work.blocked.discard(job.id)
@@ -133,13 +133,13 @@
             self.recent[(spec.job_class, spec.types, spec.zone, spec.spot)] = spec
         if old is not None and old.ranges == job.record.ranges and old.zone == job.record.zone:
             return
-        for shard in list(self.work):
+        for shard in list(self.states):
             self.update_allocation(job, shard)
         self.planning_trigger.set()
 
     def update_allocation(self, job: Job, shard: int) -> None:
         """Bring what a shard holds of a job up to its record."""
-        work = self.work.get(shard)
+        work = self.states.get(shard)
         if work is None:
             return  # lost while the write that changed the job was under way
         mine = [(a, b) for a, b, p in job.record.ranges if p == shard]
@@ -163,7 +163,7 @@
 
     def adopt(self, placement: Placement) -> bool:
         """A running task that an earlier leader started; False: it must be stopped."""
-        work = self.work.get(placement.machine.shard)
+        work = self.states.get(placement.machine.shard)
         if work is None:
             return False
         if placement.job.id in work.blocked or not work.loaded:
@@ -172,7 +172,7 @@
         return self._attach(placement)
 
     def _attach(self, placement: Placement) -> bool:
-        work = self.work[placement.machine.shard]
+        work = self.states[placement.machine.shard]
         allocation = work.allocations.get(placement.job.id)
         if allocation is None or placement.task in allocation.placed:
             self.agents.stop(placement, 0.0)
@@ -187,7 +187,7 @@
     def task_completed(self, placement: Placement, ran: float) -> None:
         """A task of ours is done."""
         self.estimates.learn(placement.spec, ran)
-        work = self.work.get(placement.machine.shard)
+        work = self.states.get(placement.machine.shard)
         allocation = work.allocations.get(placement.job.id) if work else None
         last = (
             allocation is not None and not allocation.pending.count and len(allocation.placed) <= 1
@@ -196,7 +196,7 @@
 
     def placement_lost(self, placement: Placement, cause: str) -> None:
         """The task is on no machine any more: finished, or to be started again."""
-        work = self.work.get(placement.machine.shard)
+        work = self.states.get(placement.machine.shard)
         if work is None:
             return
         if placement in work.early:
--- a/pitchtally/scheduling/shards/shard_statuses.py
+++ b/pitchtally/scheduling/shards/shard_statuses.py
@@ -82,12 +82,14 @@
         """What this node tells of its own shards."""
         return [self.newest[p] for p in self.shards if p in self.newest]
 
-    def free_capacity(self, status: ShardStatus, spec: user_api.JobSpec, *, yielding: bool) -> int:
+    def free_capacity(
+        self, status: ShardStatus, spec: user_api.JobSpec, *, by_preemption: bool
+    ) -> int:
         """How many tasks the shard's machines could take now (or by preempting)."""
         resources = resource_request(spec)
         # Statuses are renewed a few times a second, and asked about far more often.
         known = self.capacities.setdefault(status.shard, {})
-        key = (yielding, resources, spec.types, spec.zone, spec.spot)
+        key = (by_preemption, resources, spec.types, spec.zone, spec.spot)
         found = known.get(key)
         if found is not None:
             return found
@@ -100,8 +102,8 @@
                 if machine.flag:
                     continue
                 available = machine.free
-                if yielding:
-                    available = available.plus(machine.yielding)
+                if by_preemption:
+                    available = available.plus(machine.preemptible)
                 if fits(resources, available):
                     total += count_fitting(resources, available)
         known[key] = total
--- a/tests/cluster/test_failover.py
+++ b/tests/cluster/test_failover.py
@@ -84,7 +84,7 @@
         await trio.sleep(3)
         waiting = 0
         for controller in sim.controllers.values():
-            for shard, work in controller.scheduler.shards.work.items():
+            for shard, work in controller.scheduler.shards.states.items():
                 ranges = controller.job_index.jobs[bound["ref"]].record.ranges
                 if work.reconciled or not any(p == shard for _, _, p in ranges):
                     continue
--- a/tests/cluster/test_large_fleet.py
+++ b/tests/cluster/test_large_fleet.py
@@ -462,7 +462,7 @@
         leader = _leader_of(0, 50)
         hold = leader.agents.shards[0]
         leader.scheduler.quotas.known = {"free": Team("free", cpus_max=600.0)}  # 200 for each shard
-        leader.scheduler.shards.work[0].reconciled = not unheard
+        leader.scheduler.shards.states[0].reconciled = not unheard
         for number in range(unheard):
             name = f"i-{number * 3:06d}"
             leader.agents.index.add(name, "big", "a", False, "10.1.0.1:9000")
@@ -520,7 +520,7 @@
                 **more: Any,
             ) -> bool:
                 done: bool = await write(*args, **more)
-                for shard in list(scheduler.shards.work):
+                for shard in list(scheduler.shards.states):
                     agents.shard_lost(shard)
                 return done
 
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -168,7 +168,7 @@
         0.1,
         0.2,
         [messages.Cancellation("wk-000001", 7, 6, 2)],
-        [messages.ShardStatus(0, 5, True, 1.0, 1.0, [], use={"tight": (1.0, 0.0)})],
+        [messages.ShardStatus(0, 5, True, 1.0, 1.0, [], usage={"tight": (1.0, 0.0)})],
         ["i-000001"],
         [],
         [messages.ShardToken(0, 5)],
--- a/tests/harness/simulation.py
+++ b/tests/harness/simulation.py
@@ -25,7 +25,7 @@
 )
 from pitchtally.controller import Controller
 from pitchtally.http import HttpError, Response
-from pitchtally.scheduling import deadlines
+from pitchtally.scheduling.shards import deadlines
 from standins.cloud import ControllerAddress, World
 from standins.network import HERE, Network
 from standins.state_store import StateStore
