--- a/pitchtally/autoscaling/demand.py
+++ b/pitchtally/autoscaling/demand.py
@@ -55,7 +55,7 @@
     """What is pending, assigned to a shard or not yet, by shape."""
     pending: Counter[str] = Counter()
     for status in statuses:
-        pending.update(status.waiting)
+        pending.update(status.pending)
     for job in open_jobs.values():
         unassigned = job.record.tasks - sum(r.tasks for r in job.record.ranges)
         if unassigned > 0:
@@ -79,7 +79,7 @@
     """One job of each request that is pending in a shard and within its team's limit."""
     found: dict[_RequestShape, user_api.JobSpec] = {}
     for status in statuses:
-        for id in status.waiting:
+        for id in status.pending:
             job = open_jobs.get(id)
             if job is not None:
                 spec = job.spec
--- a/pitchtally/autoscaling/scale_out.py
+++ b/pitchtally/autoscaling/scale_out.py
@@ -185,7 +185,7 @@
             if machine.flag == MachineFlag.USABLE and slots_here:
                 free += count_fitting(resources, machine.free)
                 if spec.is_service:
-                    yielding += count_fitting(resources, machine.yielding)
+                    yielding += count_fitting(resources, machine.preemptible)
         booting = sum(
             tasks_per_machine(spec, machine.group, types) for machine in self._booting.values()
         )
--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -182,7 +182,7 @@
         view = SchedulerView(
             shard_statuses=lambda: scheduler.statuses.newest,
             status_received_at=scheduler.statuses.received_at.get,
-            leads_shard=lambda shard: shard in scheduler.shards.work,
+            leads_shard=lambda shard: shard in scheduler.shards.states,
             running_tasks=scheduler.statuses.running,
             tasks_within_limit=scheduler.quotas.limit_left,
             slack=scheduler.priorities.slack,
