--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -1,8 +1,14 @@
-"""One controller: the components put together, and their loops run."""
+"""The composition root: one controller's components, connected, and their loops run.
+
+Only this module knows all packages. Components are built from the bottom layer upwards, each with
+the narrow view that it needs of the ones below; where a lower layer calls a higher one, it does so
+through a listener interface of its own that is connected last.
+"""
 
 from __future__ import annotations
 
 import logging
+from functools import partial
 
 import trio
 
@@ -24,7 +30,7 @@
 from .jobs.layout import JobLayout
 from .jobs.migration import JobMigration
 from .jobs.progress_writer import ProgressWriter
-from .membership.format_negotiation import FormatUpgrade
+from .membership.format_negotiation import FormatNegotiation
 from .membership.membership import Membership
 from .membership.messages import Cancellation, PeerHeartbeat, ScheduleReply
 from .membership.shards import CLUSTER_LEADER_SHARD
@@ -38,11 +44,16 @@
 from .state_store.identifiers import FencingToken, ShardId
 from .state_store.replica import Replica
 
-log = logging.getLogger("service")
+log = logging.getLogger(__name__)
 
-# Of the sockets that a controller may hold: for calls of our own, and for peers.
-OUTWARD = 0.12
-PEERS = 0.05
+# Shares of the sockets that a controller may hold. One survivor of three may get every agent and
+# every user, so what its own calls and its peers need is set aside, and the rest serves these.
+OUTBOUND_SHARE = 0.12
+PEER_SHARE = 0.05
+MAX_PEER_MESSAGE_BYTES = 1 << 22
+# Timeouts of the servers, as multiples of the agents' lease and heartbeat interval.
+IDLE_USER_LEASES = 3
+USER_REQUEST_HEARTBEATS = 2
 
 
 class _ShardLeaderships:
@@ -107,30 +118,11 @@
     def __init__(self, settings: Settings, policy: Policy):
         self.settings = settings
         self.policy = policy
-        limits = settings.deployment
-        self.state_store = StateStoreClient(
-            settings.endpoints.state, limits.state_to_keep, len(settings.nodes), policy.call_timeout
-        )
-        watch_rate = limits.state_to_keep.rps * policy.watch_share / len(settings.nodes)
-        self.replica = Replica(self.state_store, 1 / watch_rate, policy.session_ttl / 2)
+        self.loops = LoopSupervisor()
+        self._nursery: trio.Nursery | None = None  # while this controller runs
+        self._build_state_store()
         self.membership = Membership(settings, policy, self.state_store, self.replica)
-        self.gate = FormatGate(self.replica, limits.state.value_kb)
-        self.format_upgrade = FormatUpgrade(
-            self.membership,
-            self.state_store,
-            self.replica,
-            self.gate,
-            policy.heartbeat_interval,
-        )
-        self.job_index = JobIndex(self.replica, self.gate)
-        self.commits = JobCommits(self.state_store, self.replica, self.membership.token)
-        self.layout = JobLayout(self.gate, limits.state_to_keep)
-        self.migration = JobMigration(
-            self.job_index, self.commits, self.layout, policy.heartbeat_interval
-        )
-        self.cleanup = Cleanup(
-            self.job_index, self.commits, self._leader_precondition, policy.period
-        )
+        self._build_jobs()
         self.decisions = DecisionLog(
             self._decision_context, self._counters, lambda: self.api.read_barrier.last_read
         )
@@ -163,12 +155,37 @@
             self.migration,
             lambda: self.autoscaler.types,
         )
-        self.autoscaler = self._build_autoscaler()
-        self.loops = LoopSupervisor()
-        self._nursery: trio.Nursery | None = None  # while this controller runs
-        self.api = self._build_api()
+        self.autoscaler: Autoscaler = self._build_autoscaler()
+        self.api: Api = self._build_api()
         self._connect()
 
+    def _build_state_store(self) -> None:
+        """The client of the state store and the replica that its watch keeps."""
+        policy, nodes = self.policy, len(self.settings.nodes)
+        limits = self.settings.deployment.state_to_keep
+        self.state_store = StateStoreClient(
+            self.settings.endpoints.state, limits, nodes, policy.call_timeout
+        )
+        watch_rate = limits.rps * policy.watch_share / nodes
+        self.replica = Replica(self.state_store, 1 / watch_rate, policy.session_ttl / 2)
+
+    def _build_jobs(self) -> None:
+        """The format gate, the index of jobs, and what commits their records."""
+        policy, deployment = self.policy, self.settings.deployment
+        self.gate = FormatGate(self.replica, deployment.state.value_kb)
+        self.format_negotiation = FormatNegotiation(
+            self.membership, self.state_store, self.replica, self.gate, policy.heartbeat_interval
+        )
+        self.job_index = JobIndex(self.replica, self.gate)
+        self.commits = JobCommits(self.state_store, self.replica, self.membership.token)
+        self.layout = JobLayout(self.gate, deployment.state_to_keep)
+        self.migration = JobMigration(
+            self.job_index, self.commits, self.layout, policy.heartbeat_interval
+        )
+        self.cleanup = Cleanup(
+            self.job_index, self.commits, self._leader_precondition, policy.period
+        )
+
     def _build_autoscaler(self) -> Autoscaler:
         cloud = CloudClient(self.settings, self.policy)
         catalog = MachineCatalog(
@@ -250,77 +267,77 @@
 
     async def run(self) -> None:
         """Serve and run every loop until cancelled."""
+        async with trio.open_nursery() as nursery:
+            self._nursery = nursery
+            for name, loop in [*self._server_loops(), *self._own_loops(), *self._peer_loops()]:
+                nursery.start_soon(self.loops.supervise, name, loop)
+            objectives = [
+                f"{objective.kind}:{objective.job_class or ''}"
+                for objective in self.settings.deployment.objectives
+            ]
+            log.info(
+                "serving node=%s address=%s objectives=%s",
+                self.settings.name,
+                self.settings.public_addr,
+                ",".join(objectives),
+            )
+
+    def _server_loops(self) -> list[tuple[str, Loop]]:
+        """The servers for users and agents, and for peers."""
         times = self.settings.deployment.workers
-        # One survivor of three may get every agent, and every user: what our own calls
-        # take (`OUTWARD`, by the slices) and peers need is set aside, the rest is theirs.
         connections = self.settings.deployment.machine_limits.max_connections
         users = Server(
             self.api.serve,
-            max_connections=int(connections * (1 - OUTWARD - PEERS)),
-            idle_timeout=times.lease_s * 3,
-            request_timeout=times.report_s * 2,
+            max_connections=int(connections * (1 - OUTBOUND_SHARE - PEER_SHARE)),
+            idle_timeout=times.lease_s * IDLE_USER_LEASES,
+            request_timeout=times.report_s * USER_REQUEST_HEARTBEATS,
             priority_paths=frozenset({HEARTBEATS}),
         )
         peers = Server(
-            self._serve_peer,
-            max_connections=int(connections * PEERS),
+            self.membership.serve,
+            max_connections=int(connections * PEER_SHARE),
             idle_timeout=times.lease_s,
             request_timeout=times.report_s,
-            max_body=1 << 22,
+            max_body=MAX_PEER_MESSAGE_BYTES,
         )
-        async with trio.open_nursery() as nursery:
-            self._nursery = nursery
-            host, port = host_port(self.settings.public_addr)
-            nursery.start_soon(self.loops.supervise, "users", lambda: users.serve(host, port))
-            peer_host, peer_port = host_port(self.settings.peer_bind)
-            nursery.start_soon(
-                self.loops.supervise, "peers", lambda: peers.serve(peer_host, peer_port)
-            )
-            for name, loop in self._own_loops():
-                nursery.start_soon(self.loops.supervise, name, loop)
-            for peer in self.membership.peers.values():
-                nursery.start_soon(
-                    self.loops.supervise,
-                    f"heartbeats_{peer.name}",
-                    lambda p=peer: self.membership.heartbeats.run(p),
-                )
-            log.info(
-                "serving node=%s address=%s objectives=%s",
-                self.settings.name,
-                self.settings.public_addr,
-                ",".join(
-                    f"{o.kind}:{o.job_class or ''}" for o in self.settings.deployment.objectives
-                ),
-            )
+        host, port = host_port(self.settings.public_addr)
+        peer_host, peer_port = host_port(self.settings.peer_bind)
+        return [
+            ("users", lambda: users.serve(host, port)),
+            ("peers", lambda: peers.serve(peer_host, peer_port)),
+        ]
+
+    def _peer_loops(self) -> list[tuple[str, Loop]]:
+        """The heartbeats to each peer."""
+        heartbeats = self.membership.heartbeats
+        return [
+            (f"heartbeats_{peer.name}", partial(heartbeats.run, peer))
+            for peer in self.membership.peers.values()
+        ]
 
     def _own_loops(self) -> list[tuple[str, Loop]]:
         """Every loop but those of the servers and of single peers, by name."""
-        submission_batcher = [
-            ("submission_batcher", self.api.submission_batcher.run)
-        ] * CONCURRENT_COMMITS
+        batcher: tuple[str, Loop] = ("submission_batcher", self.api.submission_batcher.run)
         return [
-            ("pauses", self.membership.pause_detector.run),
+            ("pause_detector", self.membership.pause_detector.run),
             ("replica", self.replica.run),
-            ("lease", self.membership.session.run),
-            ("ownership", self.membership.failover.run),
-            ("progress", self.progress.run),
-            ("format", self.format_upgrade.run),
+            ("session_lease", self.membership.session.run),
+            ("failover", self.membership.failover.run),
+            ("progress_writer", self.progress.run),
+            ("format_negotiation", self.format_negotiation.run),
             ("migration", self.migration.run),
             ("cleanup", self.cleanup.run),
-            ("expiry", self.agents.lease_expiry.run),
-            ("direct_commands", self.agents.command_sender.run),
+            ("lease_expiry", self.agents.lease_expiry.run),
+            ("command_sender", self.agents.command_sender.run),
             ("reachability", self.agents.reachability.run),
-            ("records", self.agents.records.run),
-            ("planning", self.scheduler.run),
-            ("splitting", self.scheduler.run_global_scheduling),
+            ("machine_records", self.agents.records.run),
+            ("shard_scheduling", self.scheduler.run),
+            ("global_scheduling", self.scheduler.run_global_scheduling),
             ("autoscaler", self.autoscaler.run),
             ("catalog", self.autoscaler.catalog.run),
             ("heartbeat_timeouts", self.autoscaler.run_heartbeat_timeouts),
             ("read_barrier", self.api.read_barrier.run),
             ("drains", self.autoscaler.run_own_drains),
             ("decisions", lambda: self.decisions.run(self.policy.period)),
-            *submission_batcher,
+            *[batcher] * CONCURRENT_COMMITS,
         ]
-
-    async def _serve_peer(self, request: Request) -> Response:
-        return await self.membership.serve(request)
--- a/pitchtally/membership/format_negotiation.py
+++ b/pitchtally/membership/format_negotiation.py
@@ -41,7 +41,7 @@
         """The incarnation of each node that has replied of late."""
 
 
-class FormatUpgrade:
+class FormatNegotiation:
     """The cluster leader's watch for the moment at which no earlier version runs any more."""
 
     def __init__(
