--- a/pitchtally/membership/format_negotiation.py
+++ b/pitchtally/membership/format_negotiation.py
@@ -19,7 +19,7 @@
 from .nodes import NodeRecord
 from .shards import CLUSTER_LEADER_SHARD
 
-log = logging.getLogger("format_negotiation")
+log = logging.getLogger(__name__)
 
 
 class Members(Protocol):
@@ -41,7 +41,7 @@
         """The incarnation of each node that has replied of late."""
 
 
-class FormatUpgrade:
+class FormatNegotiation:
     """The cluster leader's watch for the moment at which no earlier version runs any more."""
 
     def __init__(
--- a/pitchtally/membership/peers/transport.py
+++ b/pitchtally/membership/peers/transport.py
@@ -10,7 +10,7 @@
 from ..messages import UNNUMBERED, Message, decode, encode
 from .peer import Peer
 
-log = logging.getLogger("transport")
+log = logging.getLogger(__name__)
 
 PEER_PATH = "/peer"
 
@@ -23,7 +23,7 @@
 
     def __init__(self, call_timeout: float):
         """`call_timeout`: seconds that a peer may take to reply."""
-        self._client = Client(keep=_CONNECTIONS_PER_PEER)
+        self._client = Client(max_idle_per_address=_CONNECTIONS_PER_PEER)
         self._call_timeout = call_timeout
         self._calls = 0
 
--- a/tests/formats/test_golden.py
+++ b/tests/formats/test_golden.py
@@ -20,10 +20,10 @@
 from click.testing import CliRunner
 
 from pitchtally.cli.commands import main
-from pitchtally.cli.entry import POLICY as DEFAULT_POLICY_FILE
+from pitchtally.cli.configuration import DEFAULT_POLICY_FILE
 from pitchtally.config import policy as policy_module
-from pitchtally.config.policy import FIGURES as POLICY_FIGURES
-from pitchtally.config.policy import RENAMED as POLICY_EARLIER_NAMES
+from pitchtally.config.figures import EARLIER_NAMES as POLICY_EARLIER_NAMES
+from pitchtally.config.figures import FIGURES as POLICY_FIGURES
 from pitchtally.config.settings import NextStateLimits, StateLimits
 from pitchtally.controller import Controller
 from pitchtally.formats import finished_tasks, machine_layout, text_chunks
@@ -640,7 +640,7 @@
         await at.cancel("wk-000002")
         await at.finish(["wk-000001", "wk-000002"])
         await trio.sleep(3)
-        found.update(at.state.items)
+        found.update(at.state_store.items)
 
     simulation.run(monkeypatch, body)
     values = {
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -26,7 +26,7 @@
 from pitchtally.state_store.client import Write
 
 from ..harness.earlier_version import EarlierVersion, with_present_names
-from ..harness.simulation import job, sent, settings
+from ..harness.simulation import job, settings, submission
 
 STATE = StateLimits(
     rps=300, write_rps=100, value_kb=2, txn_ops=16, next=NextStateLimits(value_kb=1, txn_ops=4)
@@ -137,7 +137,7 @@
         written: dict[str, str | bytes] = {
             **RECORDS,
             "nodes/n1": msgspec.json.encode(new.membership.session.own_record()),
-            "jobs/wk-000001": new.scheduler._record_with(job_),
+            "jobs/wk-000001": new.scheduler.range_writer.record_with(job_),
             "jobs/wk-000004": job_record.encode(record),
             "shares": new.scheduler.quotas.shares.change(
                 "tight", [(4.0, 0.0), (2.0, 0.0), (0, 0)]
@@ -159,7 +159,7 @@
 
 def test_messages_are_read_in_both_directions(earlier: EarlierVersion) -> None:
     theirs = earlier.module("control.messages")
-    spec = parse_job(json.dumps(sent(job(1))).encode())
+    spec = parse_job(json.dumps(submission(job(1))).encode())
     told = messages.PeerHeartbeat(
         "n0",
         "i",
@@ -168,7 +168,7 @@
         0.1,
         0.2,
         [messages.Cancellation("wk-000001", 7, 6, 2)],
-        [messages.ShardStatus(0, 5, True, 1.0, 1.0, [], use={"tight": (1.0, 0.0)})],
+        [messages.ShardStatus(0, 5, True, 1.0, 1.0, [], usage={"tight": (1.0, 0.0)})],
         ["i-000001"],
         [],
         [messages.ShardToken(0, 5)],
@@ -363,13 +363,19 @@
 def test_texts_come_back_from_their_pieces(text: str, value_bytes: int) -> None:
     ref, values = text_chunks.cut(text, value_bytes)
     assert all(len(value) <= value_bytes for value in values)
-    found = {(ref.digest, n): msgspec.json.decode(v, type=str) for n, v in enumerate(values)}
+    found = {
+        text_chunks.ChunkId(ref.digest, n): msgspec.json.decode(v, type=str)
+        for n, v in enumerate(values)
+    }
     assert text_chunks.join(ref, found) == text
     other, more = text_chunks.cut(text + "b", value_bytes)
-    found |= {(other.digest, n): msgspec.json.decode(v, type=str) for n, v in enumerate(more)}
+    found |= {
+        text_chunks.ChunkId(other.digest, n): msgspec.json.decode(v, type=str)
+        for n, v in enumerate(more)
+    }
     assert text_chunks.join(ref, found) == text
     if values:
-        del found[(ref.digest, 0)]
+        del found[text_chunks.ChunkId(ref.digest, 0)]
         assert text_chunks.join(ref, found) is None
 
 
--- a/tests/membership/test_mismatched_replies.py
+++ b/tests/membership/test_mismatched_replies.py
@@ -10,7 +10,7 @@
 import trio
 import trio.testing
 
-from pitchtally.api.submission_batcher import Pending, SubmissionBatcher
+from pitchtally.api.submission_batcher import PendingSubmission, SubmissionBatcher
 from pitchtally.api.validation import parse_job
 from pitchtally.config import policy
 from pitchtally.controller import Controller
@@ -33,7 +33,7 @@
 from pitchtally.state_store.client import Write
 
 from ..harness.http_stub import Call, answer_calls
-from ..harness.simulation import job, sent, settings
+from ..harness.simulation import job, settings, submission
 
 # --- pooled connections -----------------------------------------------------------------
 
@@ -108,8 +108,8 @@
 Reply = Callable[[Message], Message]
 
 
-def _members(monkeypatch: pytest.MonkeyPatch, reply: Reply) -> Membership:
-    """A controller's members, whose peers answer each message with `reply`."""
+def _membership(monkeypatch: pytest.MonkeyPatch, reply: Reply) -> Membership:
+    """A controller's membership, whose peers answer each message with `reply`."""
 
     async def answer(call: Call) -> Response:
         return Response(200, encode(reply(decode(call.body))))
@@ -140,7 +140,7 @@
     """An older heartbeat makes old evidence young; another job's ranges or state are worse."""
 
     async def main() -> None:
-        membership = _members(monkeypatch, reply)
+        membership = _membership(monkeypatch, reply)
         peer = membership.peers["n1"]
         for _ in range(2):
             assert await membership.send(peer, Forward("GET", "/api/jobs/wk-1", b"")) is None
@@ -161,7 +161,7 @@
     message: Message, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def main() -> None:
-        server = _members(monkeypatch, lambda asked: Ack())
+        server = _membership(monkeypatch, lambda asked: Ack())
 
         class Handler(NoPeerRequestHandler):
             async def serve_forwarded(self, request: Request) -> Response:
@@ -180,7 +180,7 @@
     """It numbers nothing; controllers of two versions must hear each other."""
 
     async def main() -> None:
-        membership = _members(monkeypatch, lambda asked: Ack())
+        membership = _membership(monkeypatch, lambda asked: Ack())
         peer = membership.peers["n1"]
         assert isinstance(await membership.send(peer, Forward("GET", "/", b"")), Ack)
 
@@ -199,12 +199,12 @@
         submission_batcher = SubmissionBatcher(controller.state_store, controller.replica)
         for number, token in enumerate((5, 9, 5)):
             key = f"pt/jobs/wk-{number}"
-            submission_batcher.waiting.append(
-                Pending(key, Write(key, b"{}"), {key: 0, "pt/parts/1": token})
+            submission_batcher.queued.append(
+                PendingSubmission(key, Write(key, b"{}"), {key: 0, "pt/parts/1": token})
             )
         batches = []
-        while submission_batcher.waiting:
-            batches.append([pending.key[-1] for pending in submission_batcher._batch()])
+        while submission_batcher.queued:
+            batches.append([pending.key[-1] for pending in submission_batcher.take_batch()])
         assert batches == [["0", "2"], ["1"]]
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
@@ -218,7 +218,7 @@
     async def main() -> None:
         config = settings("n0")
         controller = Controller(config, policy.parse("", config))
-        spec = parse_job(json.dumps(sent(job(1))).encode())
+        spec = parse_job(json.dumps(submission(job(1))).encode())
         controller.replica.revision = 10
 
         async def answer(call: Call) -> Response:
@@ -229,17 +229,17 @@
             raise HttpError("refused")
 
         async def poll() -> Response:
-            return await controller.api.poll(spec.id)
+            return await controller.api.statuses.poll(spec.id)
 
         answer_calls(monkeypatch, answer)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(controller.api.read_barrier.run)
             nursery.start_soon(controller.api.submission_batcher.run)
-            assert (await controller.api._accept(spec)).status == 503
+            assert (await controller.api.submissions.accept(spec)).status == 503
             assert (await poll()).status == 404  # nothing else is known of it
             controller.replica.learn(f"pt/jobs/{spec.id}", b'{"of":"a later version"}', 11)
             assert (await poll()).status == 503
-            assert (await controller.api.cancel(spec.id)).status == 503
+            assert (await controller.api.cancellations.cancel(spec.id)).status == 503
             nursery.cancel_scope.cancel()
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
--- a/tests/scheduling/test_pending_tasks.py
+++ b/tests/scheduling/test_pending_tasks.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from pitchtally.scheduling.allocations import PendingTasks
+from pitchtally.scheduling.shards.allocations import PendingTasks
 
 
 def test_pool_gives_each_task_once() -> None:
