--- a/pitchtally/autoscaling/autoscaler.py
+++ b/pitchtally/autoscaling/autoscaler.py
@@ -373,7 +373,7 @@
         on demand; what others need can be hired when it is needed.
         """
         keep: set[str] = set()
-        for shape, spec in self.scheduler.shards.recent.items():
+        for shape, spec in self.scheduler.shards.recent_jobs.items():
             peak = max((n for _, n in self.demand.get(shape, ())), default=1)
             able = []
             for name, status in statuses.items():
--- a/pitchtally/jobs/job_record.py
+++ b/pitchtally/jobs/job_record.py
@@ -29,6 +29,14 @@
         return self.end - self.first
 
 
+class ZoneCap(NamedTuple):
+    """The most tasks of a job that a shard may have in a zone; stored as an array of three."""
+
+    shard: int
+    zone: str
+    tasks: int
+
+
 class JobRecord(Struct, omit_defaults=True):
     """A job as the state store keeps it."""
 
@@ -40,8 +48,8 @@
     finished: str = ""
     zone: str | None = None  # for one-zone jobs, fixed before the first start
     attempt: int = 0  # for gangs over several shards: the attempt all of them start
-    # Shard, zone, and the most tasks there, for jobs that spread over zones.
-    caps: list[tuple[int, str, int]] = msgspec.field(default_factory=list)
+    # For jobs that spread over zones.
+    caps: list[ZoneCap] = msgspec.field(default_factory=list)
     count: int = 0  # tasks done when a job was cancelled
     # Since format 2; an earlier version would drop both when it rewrites the record.
     chunk_tasks: int = 0  # finished tasks are in keys of that many, see `formats.finished_tasks`
--- a/pitchtally/scheduling/assignment/job_assignment.py
+++ b/pitchtally/scheduling/assignment/job_assignment.py
@@ -45,11 +45,11 @@
         # In the order of starts: what is planned first gets the room.
         waiting.sort(
             key=lambda job: (
-                self.deadlines.overdue(job),
-                not self.deadlines.late(job),
+                self.deadlines.is_overdue(job),
+                not self.deadlines.is_late(job),
                 RANK[job.spec.rank],
                 not self.quotas.under(job.spec),
-                self.deadlines.release(job),
+                self.deadlines.release_time(job),
             )
         )
         for job in waiting:
--- a/pitchtally/scheduling/assignment/proportional_split.py
+++ b/pitchtally/scheduling/assignment/proportional_split.py
@@ -36,7 +36,7 @@
     def cover(self, status: ShardStatus, spec: user_api.JobSpec, level: int) -> int:
         """n of a shard at a stretch sample, from its matrix, less what was sent since."""
         total = 0
-        size = stretch.sample_below(self.samples.sizes, self.deadlines.size(spec))
+        size = stretch.sample_below(self.samples.sizes, self.deadlines.job_size(spec))
         sent = sum(w for _, w in self.statuses.unreported.get(status.shard, ()))
         for name, cells in status.matrix:
             type_, zone, spot = name.split("|")
--- a/pitchtally/scheduling/gangs/give_back.py
+++ b/pitchtally/scheduling/gangs/give_back.py
@@ -75,7 +75,11 @@
         job = allocation.job
         begun = bool(job.finished.count or job.local)
         attempt = job.record.attempt
-        if not begun and attempt and (allocation.tried == attempt or not is_fully_assigned(job)):
+        if (
+            not begun
+            and attempt
+            and (allocation.last_shared_attempt == attempt or not is_fully_assigned(job))
+        ):
             return True
         patience = self.settings.deployment.workers.gang_wait_s / 2
         if is_reserved_for(self.agents.of_shard(allocation.shard), job.id):
@@ -83,13 +87,13 @@
         elif (
             allocation.gang
             and not begun
-            and not self.deadlines.late(job)
+            and not self.deadlines.is_late(job)
             and job.id not in work.ready_gangs
             and self.quotas.limit_left(job.spec) >= job.spec.tasks
         ):
             # What it was planned on went to others: look elsewhere at once.
             patience = self.agent_heartbeat_s * 2
-        return trio.current_time() - allocation.since >= patience
+        return trio.current_time() - allocation.pending_since >= patience
 
     def _without(self, job: Job, shard: int) -> list[TaskRange] | None:
         """A job's ranges once a shard has given its rest back; None if that must wait."""
@@ -115,7 +119,7 @@
         rest = self._without(job, shard)
         if rest is None:
             return
-        allocation.since = trio.current_time()
+        allocation.pending_since = trio.current_time()
         allocation.moving = True
         version = job.version
         work.ready_gangs.discard(job.id)
--- a/pitchtally/scheduling/gangs/planner.py
+++ b/pitchtally/scheduling/gangs/planner.py
@@ -10,7 +10,7 @@
 import trio
 
 from ...jobs.index import Job
-from ...jobs.job_record import TaskRange, merge
+from ...jobs.job_record import TaskRange, ZoneCap, merge
 from ...jobs.resources import Resources, capacity_of, count_fitting, fits, resource_request
 from ...jobs.task_bitmap import TaskBitmap
 from ...membership.messages import MachineFlag, ShardStatus
@@ -20,6 +20,7 @@
 from ..capacity import (
     CapacitySource,
     Plan,
+    ShardZone,
     allows_machine_type,
     may_be_active,
     plan_gang,
@@ -60,7 +61,7 @@
         self.counter = 0
         self.keeping: tuple[str, float] | None = None  # the gang that waits for kept room
         # Room promised to gangs that statuses can't show yet: (at, (part, zone), need, tasks).
-        self.booked: list[tuple[float, tuple[int, str], Resources, int]] = []
+        self.booked: list[tuple[float, ShardZone, Resources, int]] = []
 
     def plan(self, spec: user_api.JobSpec, token: int, job: Job | None = None) -> Plan | None:
         """Room for a whole gang: in one shard if one has it, else over several.
@@ -77,7 +78,7 @@
             sources.append(CapacitySource.PREEMPTIBLE)
         if under and len(self.quotas.known) > 1:
             sources.append(CapacitySource.OVER_GUARANTEE)
-        if job is not None and self.deadlines.late(job) and self._may_keep(job.id, now):
+        if job is not None and self.deadlines.is_late(job) and self._may_keep(job.id, now):
             sources.append(CapacitySource.RESERVED)
         for source in sources:
             capacities = self.free_capacity(spec, source)
@@ -110,7 +111,7 @@
                 ranges,
                 zones.pop() if spec.one_zone else None,
                 attempt,
-                [(p, zone, n) for (p, zone), n in found.items()]
+                [ZoneCap(p, zone, n) for (p, zone), n in found.items()]
                 if spec.spread and len(shards) > 1
                 else [],
             )
@@ -155,17 +156,15 @@
             log.info("gang waits for room job=%s part=%d zone=%s", spec.id, shard, plan.zone)
         return plan
 
-    def free_capacity(
-        self, spec: user_api.JobSpec, source: CapacitySource
-    ) -> dict[tuple[int, str], int]:
+    def free_capacity(self, spec: user_api.JobSpec, source: CapacitySource) -> dict[ShardZone, int]:
         """Tasks that each shard could start in each zone, less what was booked just now."""
         resources = resource_request(spec)
         limit = trio.current_time() - self.policy.heartbeat_interval * 3
         self.booked = [row for row in self.booked if row[0] > limit]
-        capacities: dict[tuple[int, str], int] = {}
+        capacities: dict[ShardZone, int] = {}
         for status in self.statuses.newest.values():
             for zone, count in self._free_capacity_in(status, spec, source).items():
-                capacities[(status.shard, zone)] = count
+                capacities[ShardZone(status.shard, zone)] = count
         for _, key, (a, b, c), count in self.booked:
             if key in capacities:
                 share = max(
--- a/pitchtally/scheduling/gangs/reservations.py
+++ b/pitchtally/scheduling/gangs/reservations.py
@@ -14,7 +14,7 @@
 from ..quotas.quotas import Quotas
 from ..shards.allocations import ShardAllocation, ShardState
 from ..shards.deadlines import Deadlines
-from ..shards.eligibility import is_ready, machine_ok
+from ..shards.eligibility import is_ready, machine_allowed
 
 log = logging.getLogger("reservations")
 
@@ -81,7 +81,7 @@
             if id in kept or not self._may_reserve(work, allocation, now):
                 continue
             wanted = allocation.pending.count if allocation.gang else 1
-            if wanted > 1 and (wide or not self.deadlines.late(allocation.job)):
+            if wanted > 1 and (wide or not self.deadlines.is_late(allocation.job)):
                 continue
             if not allocation.gang and (
                 large or not self.quotas.tasks_within_limit(shard, allocation.spec)
@@ -106,9 +106,9 @@
     def _may_reserve(self, work: ShardState, allocation: ShardAllocation, now: float) -> bool:
         """Whether room may be kept for a job: it waits, and has done so for a report."""
         attempt = allocation.job.record.attempt
-        if allocation.placed or (attempt and allocation.tried == attempt):
+        if allocation.placed or (attempt and allocation.last_shared_attempt == attempt):
             return False
-        if now - allocation.since < self.agent_heartbeat_s:
+        if now - allocation.pending_since < self.agent_heartbeat_s:
             return False
         return is_ready(work, allocation.job.id, allocation, now)
 
@@ -120,7 +120,7 @@
         for machine in machines:
             if machine.reservation and machine.reservation.until >= now:
                 continue
-            if not machine_ok(allocation, machine, self.policy.unhealthy_rest):
+            if not machine_allowed(allocation, machine, self.policy.unhealthy_rest):
                 continue
             for n in range(1, wanted + 1):
                 eta = self._room_at(machine, allocation.resources.times(n), now)
--- a/pitchtally/scheduling/gangs/starter.py
+++ b/pitchtally/scheduling/gangs/starter.py
@@ -11,7 +11,7 @@
 from ..priorities import PriorityOrder
 from ..quotas.quotas import Quotas
 from ..shards.allocations import ShardAllocation, ShardState
-from ..shards.eligibility import is_ready, machine_ok
+from ..shards.eligibility import is_ready, machine_allowed
 from ..shards.shard_statuses import ShardStatuses
 from ..shards.task_start import next_attempt, place_task
 
@@ -50,7 +50,9 @@
                 # kept, and ends as soon as it is started again.
                 pass
             elif job.record.attempt:
-                if allocation.tried == job.record.attempt or not is_fully_assigned(job):
+                if allocation.last_shared_attempt == job.record.attempt or not is_fully_assigned(
+                    job
+                ):
                     continue
             elif allocation.pending.count < job.spec.tasks - job.finished.count - len(job.local):
                 continue
@@ -68,7 +70,7 @@
             if shared and not self._all_ready(work, allocation, plan, now):
                 continue
             attempt = shared or next_attempt(self.agents, shard)
-            allocation.tried = attempt
+            allocation.last_shared_attempt = attempt
             for machine in plan:
                 place_task(self.agents, allocation, allocation.pending.pop(), machine, attempt)
                 if machine.reservation and machine.reservation.job_id == id:
@@ -123,7 +125,7 @@
                 and machine.reservation.until >= now
             ):
                 continue
-            if fits(resources, machine.available()) and machine_ok(
+            if fits(resources, machine.available()) and machine_allowed(
                 allocation, machine, self.policy.unhealthy_rest
             ):
                 machines.append((machine, count_fitting(resources, machine.available())))
--- a/pitchtally/scheduling/placement/allotment.py
+++ b/pitchtally/scheduling/placement/allotment.py
@@ -1,18 +1,24 @@
-"""Tasks of a shard allotted to the queues of its machines."""
+"""Pending tasks of a shard distributed over the queues of its machine groups."""
 
 from __future__ import annotations
 
+from collections.abc import Sequence
+
 import trio
 
+from ...agents.machine import MachineGroupKey
 from .. import stretch
 from ..context import SchedulingContext
-from ..shards.allocations import ShardState
-from ..shards.eligibility import machine_ok
+from ..shards.allocations import MachineGroup, ShardAllocation, ShardState
+from ..shards.eligibility import machine_allowed
 from ..shards.machine_queues import add_to_queue, machine_queue, task_work
 
+# Machine-seconds: the least cost of a task where costs divide.
+MIN_TASK_COST_S = 1e-6
+
 
 class Allotment:
-    """Splits pending tasks over machine queues by availability."""
+    """Distributes pending tasks over machine queues by availability; gangs need no queue."""
 
     def __init__(
         self,
@@ -26,74 +32,102 @@
         self.shards = shards
 
     def allot(self, shard: int) -> None:
-        """Tasks in no queue yet, split by availability at the least covering stretch."""
-        work = self.shards[shard]
+        """Make the machine queues of a shard hold all pending tasks of its arrays and services."""
+        state = self.shards[shard]
         now = trio.current_time()
-        for id, allocation in work.allocations.items():
+        for id, allocation in state.allocations.items():
             if allocation.gang:
                 continue
-            held = sum(q.get(id, 0) for q in work.queues.values())
-            if held > allocation.pending.count:
-                # Taken elsewhere or given away: shorten, longest first.
-                for queue in sorted(work.queues.values(), key=lambda q: -q.get(id, 0)):
-                    cut = min(queue.get(id, 0), held - allocation.pending.count)
-                    if cut:
-                        queue[id] -= cut
-                        held -= cut
-            more = allocation.pending.count - held
-            if more <= 0 or (held and now - allocation.allotted_at < self.agent_heartbeat_s):
-                continue  # a few given back since: they start from the pool all the same
-            allocation.allotted_at = now
-            able = [
-                (group, machine_group)
-                for group, machine_group in work.machine_groups.items()
-                if any(
-                    machine_ok(allocation, m, self.policy.unhealthy_rest)
-                    for m in machine_group.machines
-                )
-            ]
-            if not able:
+            queued = self._shorten_queues(state, id, allocation.pending.count)
+            unqueued = allocation.pending.count - queued
+            if unqueued <= 0:
                 continue
-            queues = [
-                machine_queue(work, machine_group, allocation.rank) for _, machine_group in able
-            ]
-            costs = [
-                task_work(self.estimates, allocation.spec, machine_group.machine_type)
-                for _, machine_group in able
-            ]
-            like = [machine_group.width for _, machine_group in able]
+            if queued and now - allocation.allotted_at < self.agent_heartbeat_s:
+                continue  # a few became pending since: they start without a queue as well
+            allocation.allotted_at = now
+            groups = self._allowed_groups(state, allocation)
+            if groups:
+                self._enqueue(state, id, allocation, groups, unqueued)
 
-            found = self._least_counts(
-                queues, costs, like, allocation.release, allocation.size, more
-            )
-            # Beyond the largest sample nothing is promised: spread by what there is.
-            weights = (
-                found
-                if sum(found)
-                else [n / max(a, 1e-6) for a, n in zip(costs, like, strict=True)]
+    def _shorten_queues(self, state: ShardState, id: str, pending: int) -> int:
+        """Drop queued tasks beyond those pending, longest queue first; how many stay queued.
+
+        Tasks leave the pending ones without their queue when they move to another shard.
+        """
+        queued = sum(queue.get(id, 0) for queue in state.queues.values())
+        if queued > pending:
+            for queue in sorted(state.queues.values(), key=lambda queue: -queue.get(id, 0)):
+                excess = min(queue.get(id, 0), queued - pending)
+                if excess:
+                    queue[id] -= excess
+                    queued -= excess
+        return queued
+
+    def _allowed_groups(
+        self, state: ShardState, allocation: ShardAllocation
+    ) -> dict[MachineGroupKey, MachineGroup]:
+        """The machine groups with a machine that may run tasks of the job."""
+        return {
+            key: group
+            for key, group in state.machine_groups.items()
+            if any(
+                machine_allowed(allocation, machine, self.policy.unhealthy_rest)
+                for machine in group.machines
             )
-            for (group, _), n in zip(able, stretch.shares(weights, more), strict=True):
-                if n:
-                    queue = work.queues.setdefault(group, {})
-                    queue[id] = queue.get(id, 0) + n
-                    add_to_queue(self.estimates, work, group, id, n)
+        }
+
+    def _enqueue(
+        self,
+        state: ShardState,
+        id: str,
+        allocation: ShardAllocation,
+        groups: dict[MachineGroupKey, MachineGroup],
+        count: int,
+    ) -> None:
+        """Add tasks of a job to the queues of these groups, in proportion to availability."""
+        costs = [
+            task_work(self.estimates, allocation.spec, group.machine_type)
+            for group in groups.values()
+        ]
+        weights: Sequence[float] = self._covering_counts(
+            state, allocation, list(groups.values()), costs, count
+        )
+        if not sum(weights):
+            # Not available at the largest sample either: by the speed of each group alone.
+            weights = [
+                group.batch_machines / max(cost, MIN_TASK_COST_S)
+                for cost, group in zip(costs, groups.values(), strict=True)
+            ]
+        for key, share in zip(groups, stretch.shares(weights, count), strict=True):
+            if share:
+                queue = state.queues.setdefault(key, {})
+                queue[id] = queue.get(id, 0) + share
+                add_to_queue(self.estimates, state, key, id, share)
 
-    def _least_counts(
+    def _covering_counts(
         self,
-        queues: list[list[stretch.Entry]],
+        state: ShardState,
+        allocation: ShardAllocation,
+        groups: list[MachineGroup],
         costs: list[float],
-        like: list[float],
-        release: float,
-        size: float,
         wanted: int,
     ) -> list[int]:
-        """Tasks that each group can take at the least sample that covers them all."""
+        """Tasks available on each group at the least stretch sample that covers `wanted`.
+
+        The paper's algorithm 4, on availability by algorithm 3; at the largest sample if none
+        covers them. `costs`: a of the paper, for each group.
+        """
         now = trio.current_time()
+        queues = [machine_queue(state, group, allocation.rank) for group in groups]
+        machine_counts = [group.batch_machines for group in groups]
+        release, size = allocation.release, allocation.size
 
         def counts(level: float) -> list[int]:
             return [
-                int(n * stretch.capacity(stretch.gap(q, level, release, size, now), a))
-                for q, a, n in zip(queues, costs, like, strict=True)
+                int(
+                    machines * stretch.capacity(stretch.gap(queue, level, release, size, now), cost)
+                )
+                for queue, cost, machines in zip(queues, costs, machine_counts, strict=True)
             ]
 
         low, high = 0, len(self.samples.stretches) - 1
--- a/pitchtally/scheduling/placement/draining.py
+++ b/pitchtally/scheduling/placement/draining.py
@@ -1,4 +1,4 @@
-"""Tasks moved off machines that the provider takes back soon."""
+"""Graceful eviction of tasks from spot instances under a preemption notice."""
 
 from __future__ import annotations
 
@@ -7,9 +7,13 @@
 from ..context import SchedulingContext
 from ..shards.allocations import ShardState
 
+# A task ends in time if this many times what is left of it fits into the notice: the notice
+# may be cut short, and estimates are rough.
+NOTICE_MARGIN = 2
+
 
 class DrainingEviction:
-    """Stops what won't finish on machines under a preemption notice."""
+    """Stops tasks that won't finish before the cloud preempts their machine."""
 
     def __init__(
         self,
@@ -21,25 +25,26 @@
         self.shards = shards
 
     def evict_draining(self, shard: int) -> None:
-        """Before the cloud takes a machine back, save and move what won't finish there.
+        """Checkpoint and stop the tasks that won't finish on machines under a notice.
 
-        Left alone, the tasks would lose their progress and then wait for the machine's
-        lease to end before anyone may start them again.
+        Otherwise they would lose their progress, and could not start again until the machine's
+        lease has expired.
         """
         now = trio.current_time()
-        work = self.shards[shard]
+        state = self.shards[shard]
         for machine in self.agents.of_shard(shard):
             if machine.preemption_at is None:
                 continue
-            left = machine.preemption_at - now
+            left_s = machine.preemption_at - now
             for placement in list(machine.placements.values()):
                 if placement.stop_grace is not None or not placement.observed:
                     continue
                 spec = placement.spec
-                ran = now - placement.running_since if placement.running_since is not None else 0.0
-                # The notice may be half as long as told, and estimates are rough.
-                over_soon = (self.estimates.task(spec) - ran) * 2 < left
-                if over_soon and not spec.is_service:
+                ran_s = (
+                    now - placement.running_since if placement.running_since is not None else 0.0
+                )
+                ends_in_time = (self.estimates.task(spec) - ran_s) * NOTICE_MARGIN < left_s
+                if ends_in_time and not spec.is_service:
                     continue
-                for each in work.with_gang(placement):
+                for each in state.with_gang(placement):
                     self.agents.stop(each, each.spec.save if each.spec.checkpoint else 0.0)
--- a/pitchtally/scheduling/placement/placer.py
+++ b/pitchtally/scheduling/placement/placer.py
@@ -1,4 +1,4 @@
-"""Which tasks start on a machine whose agent has just sent a heartbeat."""
+"""Which array and service tasks start on a machine whose agent has just sent a heartbeat."""
 
 from __future__ import annotations
 
@@ -14,14 +14,17 @@
 from ..priorities import PriorityOrder
 from ..quotas.quotas import Quotas
 from ..shards.allocations import ShardAllocation, ShardState
-from ..shards.eligibility import is_ready, machine_ok
+from ..shards.eligibility import is_ready, machine_allowed
 from ..shards.lower_price_capacity import TaskCapacity
 from ..shards.task_start import next_attempt, place_task
 
-# Shares of a machine's cost for a task below which another is cheaper, or as dear.
-CHEAPER, ALIKE = 0.8, 1.2
-# Machines of a group that are asked whether the group is allowed at all.
-SAMPLE = 3
+# Ratios of another machine's price for a task to this one's: below the first it is lower,
+# below the second similar.
+LOWER_PRICE, SIMILAR_PRICE = 0.8, 1.2
+# Machines of a group that are tried to find out whether the job may use the group.
+GROUP_SAMPLE = 3
+# Resources below this count as none.
+MIN_AVAILABLE = 1e-6
 
 
 class Placer:
@@ -45,29 +48,34 @@
         self.gang_starter = gang_starter
 
     def schedule_on(self, machine: Machine) -> list[Placement]:
-        """The starts for a machine that has just reported."""
+        """Place tasks on a machine whose agent sent a heartbeat; all placements yet to start."""
         now = trio.current_time()
-        work = self.shards.get(machine.shard)
-        if work is None or not work.loaded:
+        state = self.shards.get(machine.shard)
+        if state is None or not state.loaded:
             return []
         if machine.quarantined_until < now:
-            self.gang_starter.start(work, machine.shard)
-            self._start_arrays(work, machine, now)
+            self.gang_starter.start(state, machine.shard)
+            self._start_pending(state, machine, now)
         return [
-            p
-            for p in machine.placements.values()
-            if not p.start_heartbeat_seq and not p.observed and p.stop_grace is None
+            placement
+            for placement in machine.placements.values()
+            if not placement.start_heartbeat_seq
+            and not placement.observed
+            and placement.stop_grace is None
         ]
 
-    def _start_arrays(self, work: ShardState, machine: Machine, now: float) -> None:
+    def _start_pending(self, state: ShardState, machine: Machine, now: float) -> None:
         available = machine.available()
-        if available[0] + 1e-6 < work.least[0] or available[2] + 1e-6 < work.least[1]:
+        if (
+            available[0] + MIN_AVAILABLE < state.smallest_request[0]
+            or available[2] + MIN_AVAILABLE < state.smallest_request[1]
+        ):
             return
-        if min(available[0], available[2]) <= 1e-6:
+        if min(available[0], available[2]) <= MIN_AVAILABLE:
             return
-        for id in self._startable(work, machine, available, now):
-            allocation = work.allocations[id]
-            count = self._most_to_start(work, allocation, machine, available, now)
+        for id in self._startable(state, machine, available, now):
+            allocation = state.allocations[id]
+            count = self._max_starts(state, allocation, machine, available, now)
             resources = allocation.resources
             for _ in range(count):
                 place_task(
@@ -78,151 +86,161 @@
                     next_attempt(self.agents, machine.shard),
                 )
                 available = available.minus(resources)
-                self._take_from_queue(work, machine.group, id)
+                self._take_from_queue(state, machine.group, id)
             if count > 0:
-                self._has_started(allocation, machine, count)
+                self._record_starts(allocation, machine, count)
 
     def _startable(
-        self, work: ShardState, machine: Machine, available: Resources, now: float
+        self, state: ShardState, machine: Machine, available: Resources, now: float
     ) -> list[str]:
-        """Arrays of which a task could start on the machine, in the order of starts."""
-        kept = self._kept_for(work, machine, now)
-        own = work.queues.get(machine.group, {})
-        machine_group = work.machine_groups.get(machine.group)
+        """Jobs of which a task could start on the machine now, in priority order.
+
+        A job whose queue the machine serves comes first among equals; fetching its image delays
+        a job's deadline.
+        """
+        reserved_for = self._reserved_for(state, machine, now)
+        own = state.queues.get(machine.group, {})
+        machine_group = state.machine_groups.get(machine.group)
         level = machine_group.level if machine_group is not None else self.samples.stretches[0]
         rows = []
-        for id, allocation in work.allocations.items():
+        for id, allocation in state.allocations.items():
             if not allocation.pending.count or allocation.gang:
                 continue
-            if not fits(allocation.resources, available) or not is_ready(work, id, allocation, now):
+            if not fits(allocation.resources, available) or not is_ready(
+                state, id, allocation, now
+            ):
                 continue
-            if kept is not None and id != kept:
+            if reserved_for is not None and id != reserved_for:
                 continue
-            if not machine_ok(allocation, machine, self.policy.unhealthy_rest):
+            if not machine_allowed(allocation, machine, self.policy.unhealthy_rest):
                 continue
             spec = allocation.spec
-            rank, over, due = self.priorities.key(allocation, level)
+            rank, over_guarantee, due = self.priorities.key(allocation, level)
             if (
                 spec.image
                 and spec.image not in machine.cached_images
                 and machine.machine_type is not None
             ):
                 due += spec.image_gb / max(machine.machine_type.fetch_rate, 1e-3)
-            rows.append((rank, over, due, not own.get(id, 0), id))
+            rows.append((rank, over_guarantee, due, not own.get(id, 0), id))
         return [row[-1] for row in sorted(rows)]
 
-    def _kept_for(self, work: ShardState, machine: Machine, now: float) -> str | None:
-        """The job that the machine's room is kept for, if it still waits for it."""
+    def _reserved_for(self, state: ShardState, machine: Machine, now: float) -> str | None:
+        """The job that the machine is reserved for; end a reservation not needed any more."""
         if machine.reservation is None:
             return None
         id, until = machine.reservation
-        allocation = work.allocations.get(id)
+        allocation = state.allocations.get(id)
         if until < now or allocation is None or not allocation.pending.count:
             machine.reservation = None
             return None
         return id
 
-    def _most_to_start(
+    def _max_starts(
         self,
-        work: ShardState,
+        state: ShardState,
         allocation: ShardAllocation,
         machine: Machine,
         available: Resources,
         now: float,
     ) -> int:
-        """How many tasks of an array may start on a machine with this room."""
+        """How many tasks of a job may start on a machine with this much available."""
         spec = allocation.spec
         limit = min(count_fitting(allocation.resources, available), allocation.pending.count)
         if limit:
             limit = min(limit, self.quotas.tasks_within_limit(machine.shard, spec))
         if limit and not allocation.aged:
-            better = self._better_room(work, allocation, machine)
-            limit = min(limit, allocation.pending.count - better)
+            elsewhere = self._lower_price_capacity(state, allocation, machine)
+            limit = min(limit, allocation.pending.count - elsewhere)
         if allocation.aged:
             limit = min(limit, 1)
         if allocation.faulty:
-            # One task at a time tells whether it still fails.
+            # One task at a time is enough to find out whether it still fails.
             limit = min(limit, 1 - len(allocation.placed))
         if spec.spread and spec.tasks > 1 and limit:
             zone = machine.zone
             limit = min(limit, allocation.most_in_zone(zone) - allocation.placed_in(zone))
         return limit
 
-    def _has_started(self, allocation: ShardAllocation, machine: Machine, count: int) -> None:
+    def _record_starts(self, allocation: ShardAllocation, machine: Machine, count: int) -> None:
+        """Update the cached capacity and end the reservation after starts on a machine."""
         available = allocation.capacity_in.get(machine.group)
         if available is not None:
             available.take(count)
         if allocation.aged:
-            allocation.aged = False  # it has begun: others' turn
+            allocation.aged = False  # it has started: the next job's turn
             if machine.reservation and machine.reservation.job_id == allocation.job.id:
                 machine.reservation = None
         if not allocation.pending.count:
             machine.reservation = None
 
-    def _better_room(self, work: ShardState, allocation: ShardAllocation, machine: Machine) -> int:
-        """Tasks of this job that machines of its shard with less to lose have room for.
+    def _lower_price_capacity(
+        self, state: ShardState, allocation: ShardAllocation, machine: Machine
+    ) -> int:
+        """How many tasks of this job fit on machines of its shard that should be used first.
 
         Their agents send heartbeats within `agent_heartbeat_s`, so the tasks wait that long at
-        most, and the dear or sought-after machine stays free for others, or goes back.
+        most, and the more expensive machine stays free for others or is terminated.
         """
         spec = allocation.spec
         if self.agent_heartbeat_s > self.policy.defer_share * self.priorities.slack(spec):
-            return 0  # even one report's wait is dear to this class
-        cost = self.cost(spec, machine)
-        available = 0
-        for group, machine_group in work.machine_groups.items():
-            theirs = self.cost(spec, machine_group.machines[0])
-            cheaper = theirs < cost * CHEAPER
-            # Between machines as dear as one another, an idle one is left alone so
-            # that it can go back, while busy ones have room.
-            alike = not machine.placements and theirs < cost * ALIKE
-            if not cheaper and not alike:
+            return 0  # this class can't wait even for one heartbeat
+        price = self.price(spec, machine)
+        total = 0
+        for group, machine_group in state.machine_groups.items():
+            other_price = self.price(spec, machine_group.machines[0])
+            lower = other_price < price * LOWER_PRICE
+            # Among machines of similar price, an idle one stays idle while busy ones have
+            # capacity, so that it can be terminated.
+            similar = not machine.placements and other_price < price * SIMILAR_PRICE
+            if not lower and not similar:
                 continue
-            found = self._room_in(work, allocation, group)
-            available += found.on_busy + (found.on_idle if cheaper else 0)
-        return available
+            capacity = self._capacity_in(state, allocation, group)
+            total += capacity.on_busy + (capacity.on_idle if lower else 0)
+        return total
 
-    def _room_in(
-        self, work: ShardState, allocation: ShardAllocation, group: MachineGroupKey
+    def _capacity_in(
+        self, state: ShardState, allocation: ShardAllocation, group: MachineGroupKey
     ) -> TaskCapacity:
-        """Tasks of a job that a group takes, as of the last survey and its own starts since."""
+        """Tasks of a job that fit on a group, as of the last survey and the job's starts since."""
         found = allocation.capacity_in.get(group)
         if found is None:
-            capacities = work.capacities.get(group)
-            if capacities is None or not self._group_ok(work, allocation, group):
+            capacities = state.capacities.get(group)
+            if capacities is None or not self._group_allowed(state, allocation, group):
                 found = TaskCapacity()
             else:
                 found = capacities.for_tasks(allocation.resources, allocation.pending.count)
             allocation.capacity_in[group] = found
         return found
 
-    def _group_ok(
-        self, work: ShardState, allocation: ShardAllocation, group: MachineGroupKey
+    def _group_allowed(
+        self, state: ShardState, allocation: ShardAllocation, group: MachineGroupKey
     ) -> bool:
-        """Whether the job may use a group; machines on which it failed are few."""
-        machines = work.machine_groups[group].machines
+        """Whether the job may use a group; a sample is enough, as it failed on few machines."""
+        machines = state.machine_groups[group].machines
         return any(
-            machine_ok(allocation, each, self.policy.unhealthy_rest) for each in machines[:SAMPLE]
+            machine_allowed(allocation, machine, self.policy.unhealthy_rest)
+            for machine in machines[:GROUP_SAMPLE]
         )
 
-    def cost(self, spec: user_api.JobSpec, machine: Machine) -> float:
-        """What an hour of one such task takes of a machine, in money."""
+    def price(self, spec: user_api.JobSpec, machine: Machine) -> float:
+        """The price per hour of the machine's share that one task of the job uses."""
         machine_type = machine.machine_type
         if machine_type is None:
             return math.inf
-        price = (
+        per_hour = (
             (machine_type.spot_price or machine_type.price) if machine.spot else machine_type.price
         )
-        return price * dominant_share(resource_request(spec), machine_type)
+        return per_hour * dominant_share(resource_request(spec), machine_type)
 
-    def _take_from_queue(self, work: ShardState, group: MachineGroupKey, id: str) -> None:
-        """From the machines' own queue, else from the longest of the shard that has it."""
-        own = work.queues.get(group)
+    def _take_from_queue(self, state: ShardState, group: MachineGroupKey, id: str) -> None:
+        """Dequeue a started task: from the group's queue, else from the longest with the job."""
+        own = state.queues.get(group)
         if own and own.get(id, 0):
             own[id] -= 1
             return
         longest = max(
-            (q for q in work.queues.values() if q.get(id, 0)),
+            (q for q in state.queues.values() if q.get(id, 0)),
             key=lambda q: sum(q.values()),
             default=None,
         )
--- a/pitchtally/scheduling/placement/preemption.py
+++ b/pitchtally/scheduling/placement/preemption.py
@@ -1,4 +1,4 @@
-"""Stopping work that yields: lower ranks, and teams beyond their guarantee."""
+"""Preemption: of lower ranks, and of teams over their guarantee for teams within theirs."""
 
 from __future__ import annotations
 
@@ -18,26 +18,39 @@
 from ..quotas.quotas import Quotas
 from ..shards.allocations import ShardAllocation, ShardState
 from ..shards.deadlines import Deadlines
-from ..shards.eligibility import is_ready, machine_ok
+from ..shards.eligibility import is_ready, machine_allowed
 
 log = logging.getLogger(__name__)
 
 
 class Step(NamedTuple):
-    """Room for one more task on a machine, and whom it takes to stop for it."""
+    """Capacity for one more task on a machine, and the placements to stop for it."""
 
-    cost: float
-    name: str
+    cost: float  # work lost on the machine by this step and those before it
+    name: str  # of the machine
     machine: Machine
-    victims: list[Placement]
+    victims: list[Placement]  # none where the capacity is available already
 
 
-# Jobs that may preempt in one round: the rest is looked at in the next.
-_PREEMPT = 8
+class Victim(NamedTuple):
+    """A placement that may be preempted, and the work that is lost with it."""
+
+    loss: float  # task-seconds weighted by CPUs
+    placement: Placement
+
+
+# Jobs that may preempt in one planning round; others may in the next.
+MAX_PREEMPTING_JOBS = 8
+# The least weight of a task's CPUs in its loss.
+MIN_LOSS_CPUS = 0.1
+# The loss by stopping any running task.
+BASE_LOSS = 0.1
+# Agent heartbeat intervals after the grace for which machines stay reserved for the job.
+RESERVATION_INTERVALS = 3
 
 
 class Preemption:
-    """Stopping work that yields: lower ranks, and teams beyond their guarantee."""
+    """Chooses victims, stops them, and reserves their machines for the preempting job."""
 
     def __init__(
         self,
@@ -55,62 +68,66 @@
         self.quotas = quotas
 
     def preempt(self, shard: int) -> None:
-        """Make room for waiting work of higher rank, or for a team below its guarantee."""
-        work = self.shards[shard]
+        """Preempt for pending jobs of higher rank, or of teams within their guarantee."""
+        state = self.shards[shard]
         now = trio.current_time()
         rows = []
-        beyond = [t for t in self.quotas.known if self.quotas.over_guarantee(t)]
-        for id, allocation in work.allocations.items():
-            if not self._may_preempt(work, allocation, now):
+        over_guarantee = [team for team in self.quotas.known if self.quotas.over_guarantee(team)]
+        for id, allocation in state.allocations.items():
+            if not self._may_preempt(state, allocation, now):
                 continue
             spec = allocation.spec
-            under = self.quotas.under(spec)
-            if not sum(work.running[allocation.rank + 1 :]) and not (
-                under and any(team != spec.team for team in beyond)
+            within_guarantee = self.quotas.under(spec)
+            if not sum(state.running_by_rank[allocation.rank + 1 :]) and not (
+                within_guarantee and any(team != spec.team for team in over_guarantee)
             ):
-                continue  # nothing here yields to it
-            at_once = spec.tasks if allocation.gang else 1
-            if self.quotas.tasks_within_limit(shard, spec) < at_once:
+                continue  # there is nothing here that it may preempt
+            tasks_at_once = spec.tasks if allocation.gang else 1
+            if self.quotas.tasks_within_limit(shard, spec) < tasks_at_once:
                 continue
-            due = self.deadlines.due_of(allocation, self.samples.stretches[-1])
-            rows.append((allocation.rank, not under, due, id))
-        for _, over, _, id in sorted(rows)[:_PREEMPT]:
+            due = self.deadlines.allocation_due(allocation, self.samples.stretches[-1])
+            rows.append((allocation.rank, not within_guarantee, due, id))
+        for _, outside_guarantee, _, id in sorted(rows)[:MAX_PREEMPTING_JOBS]:
             if is_reserved_for(self.agents.of_shard(shard), id):
                 continue
-            allocation = work.allocations[id]
-            chosen = self._choose(
-                allocation, self._steps(allocation, shard, allocation.rank, not over, now)
-            )
+            allocation = state.allocations[id]
+            steps = self._steps(allocation, shard, not outside_guarantee, now)
+            chosen = self._choose(allocation, steps)
             if any(step.victims for step in chosen):
-                self._stop_for(work, allocation, chosen, now)
+                self._stop_victims(state, allocation, chosen, now)
 
-    def _may_preempt(self, work: ShardState, allocation: ShardAllocation, now: float) -> bool:
-        """Whether a job waits in vain, and for long enough."""
+    def _may_preempt(self, state: ShardState, allocation: ShardAllocation, now: float) -> bool:
+        """Whether a job has been pending for long enough to preempt for it."""
         if not allocation.pending.count:
             return False
-        if not is_ready(work, allocation.job.id, allocation, now):
+        if not is_ready(state, allocation.job.id, allocation, now):
             return False
         if allocation.service:
-            return True  # free room is counted first, see `_choose`
+            return True  # available capacity is counted first, see `_choose`
         if not allocation.gang:
-            return now - allocation.since >= self.policy.preempt_after
+            return now - allocation.pending_since >= self.policy.preempt_after
         attempt = allocation.job.record.attempt
-        return not (allocation.placed or (attempt and allocation.tried == attempt))
+        return not (allocation.placed or (attempt and allocation.last_shared_attempt == attempt))
 
     @staticmethod
     def _choose(allocation: ShardAllocation, steps: list[Step]) -> list[Step]:
-        """The cheapest steps that serve the job; none for a gang that would stay too small."""
+        """The cheapest steps that the job needs; none for a gang that couldn't start."""
         wanted = allocation.pending.count
         chosen: list[Step] = []
         zones: dict[str, int] = {}
-        caps = {zone: cap for p, zone, cap in allocation.job.record.caps if p == allocation.shard}
+        caps = {
+            cap.zone: cap.tasks
+            for cap in allocation.job.record.caps
+            if cap.shard == allocation.shard
+        }
         if allocation.spec.spread and not allocation.gang and allocation.spec.tasks > 1:
-            # Room in a zone that has its half of the tasks already would be made in vain.
+            # A zone that has its half of the tasks already can't take more.
             for zone in {step.machine.zone for step in steps}:
                 caps[zone] = allocation.most_in_zone(zone) - allocation.placed_in(zone)
         if not allocation.gang:
-            # Where room is free already the next report starts them.
-            for zone, free in Counter(s.machine.zone for s in steps if not s.victims).items():
+            # Where capacity is available, the next agent heartbeat starts tasks anyway.
+            available = Counter(step.machine.zone for step in steps if not step.victims)
+            for zone, free in available.items():
                 zones[zone] = max(0, min(free, caps.get(zone, free)))
             wanted -= sum(zones.values())
         for step in steps:
@@ -122,91 +139,124 @@
             zones[zone] = zones.get(zone, 0) + 1
             chosen.append(step)
         if allocation.gang and len(chosen) < wanted:
-            return []  # stopping some would gain nothing
+            return []  # it starts all its tasks or none
         return chosen
 
-    def _stop_for(
-        self, work: ShardState, allocation: ShardAllocation, chosen: list[Step], now: float
+    def _stop_victims(
+        self, state: ShardState, allocation: ShardAllocation, chosen: list[Step], now: float
     ) -> None:
-        """Stop what yields, and keep the room for the job until it starts."""
+        """Stop the victims, and reserve their machines for the job until it starts."""
         victims = [victim for step in chosen for victim in step.victims]
         for victim in victims:
-            for each in work.with_gang(victim):
+            for each in state.with_gang(victim):
                 self.agents.stop(each, each.spec.save)
-        grace = max(victim.spec.save for victim in victims)
+        grace_s = max(victim.spec.save for victim in victims)
         id = allocation.job.id
+        until = now + grace_s + self.agent_heartbeat_s * RESERVATION_INTERVALS
         for step in chosen:
-            step.machine.reservation = Reservation(id, now + grace + self.agent_heartbeat_s * 3)
+            step.machine.reservation = Reservation(id, until)
         log.info(
-            "preempted for=%s machines=%d tasks=%d",
+            "preempted tasks for job=%s machines=%d tasks=%d",
             id,
             len({step.machine.name for step in chosen}),
             len(victims),
         )
 
     def _steps(
-        self, allocation: ShardAllocation, shard: int, rank: int, under: bool, now: float
+        self,
+        allocation: ShardAllocation,
+        shard: int,
+        within_guarantee: bool,
+        now: float,
     ) -> list[Step]:
-        """What makes room for one more task each, cheapest first; nothing where it is free."""
-        resources = allocation.resources
-        out = []
-        wanted = allocation.pending.count
+        """Every way to gain capacity for one more task, cheapest first."""
+        steps: list[Step] = []
         for machine in self.agents.of_shard(shard):
-            if not machine.schedulable or machine.quarantined_until >= now:
-                continue
-            if (
-                machine.reservation
-                and machine.reservation.job_id != allocation.job.id
-                and (machine.reservation.until >= now)
-            ):
-                continue
-            available = machine.available()
-            if not under:
-                if not fits(resources, available.plus(machine.preemptible(rank))):
-                    continue
-            if not machine_ok(allocation, machine, self.policy.unhealthy_rest):
-                continue
-            candidates = []
-            for placement in machine.placements.values():
-                if placement.stop_grace is not None or placement.job.id == allocation.job.id:
-                    continue
-                if self._shared(placement):
-                    continue
-                spec = placement.spec
-                lower = placement.rank > rank
-                if not lower and (
-                    # One gang for another of equal rank would gain nothing.
-                    is_gang(placement)
-                    or not (under and self.quotas.beyond(spec, allocation.spec.team))
-                ):
-                    continue
-                candidates.append((self._loss(placement, now), placement.key, placement))
-            candidates.sort(key=lambda c: c[:2], reverse=True)
-            cost = 0.0
-            for _ in range(wanted):
-                victims = []
-                while candidates and not fits(resources, available):
-                    loss, _, placement = candidates.pop()
-                    available = available.plus(placement.resources)
-                    cost += loss
-                    victims.append(placement)
-                if not fits(resources, available):
-                    break
-                available = available.minus(resources)
-                out.append(Step(cost, machine.name, machine, victims))
-        return sorted(out, key=lambda step: step[:2])
+            if self._may_start_on(allocation, machine, within_guarantee, now):
+                victims = self._victims_on(allocation, machine, within_guarantee, now)
+                steps.extend(_steps_on(allocation, machine, victims))
+        return sorted(steps, key=lambda step: (step.cost, step.name))
+
+    def _may_start_on(
+        self, allocation: ShardAllocation, machine: Machine, within_guarantee: bool, now: float
+    ) -> bool:
+        """Whether a task of the job could start on a machine, were its capacity sufficient."""
+        if not machine.schedulable or machine.quarantined_until >= now:
+            return False
+        reservation = machine.reservation
+        if reservation and reservation.job_id != allocation.job.id and reservation.until >= now:
+            return False
+        if not within_guarantee:
+            # Only lower ranks are preempted, and their sum is known.
+            most = machine.available().plus(machine.preemptible(allocation.rank))
+            if not fits(allocation.resources, most):
+                return False
+        return machine_allowed(allocation, machine, self.policy.unhealthy_rest)
+
+    def _victims_on(
+        self, allocation: ShardAllocation, machine: Machine, within_guarantee: bool, now: float
+    ) -> list[Victim]:
+        """Placements on a machine that the job may preempt, least loss last."""
+        victims = [
+            Victim(self._loss(placement, now), placement)
+            for placement in machine.placements.values()
+            if self._is_preemptible(allocation, placement, within_guarantee)
+        ]
+        victims.sort(key=lambda victim: (victim.loss, victim.placement.key), reverse=True)
+        return victims
+
+    def _is_preemptible(
+        self, allocation: ShardAllocation, placement: Placement, within_guarantee: bool
+    ) -> bool:
+        """Whether the job may preempt a placement: by rank, or by its team's guarantee."""
+        if placement.stop_grace is not None or placement.job.id == allocation.job.id:
+            return False
+        if _is_shared_gang(placement):
+            return False
+        if placement.rank > allocation.rank:
+            return True
+        # Preempting one gang for another of equal rank would gain nothing.
+        return (
+            not is_gang(placement)
+            and within_guarantee
+            and self.quotas.beyond(placement.spec, allocation.spec.team)
+        )
 
     def _loss(self, placement: Placement, now: float) -> float:
-        """Work lost by a stop, in task-seconds weighed by size."""
+        """Work lost by a stop: the task-seconds since the last checkpoint, weighted by CPUs."""
         if placement.running_since is None or not placement.observed:
             return 0.0
         spec = placement.spec
-        ran = now - placement.running_since
+        lost_s = now - placement.running_since
         if spec.checkpoint:
-            ran = min(ran, spec.save)
-        mates = spec.tasks if spec.kind == user_api.GANG else 1  # they stop together
-        return ran * max(placement.resources[0], 0.1) * mates + 0.1
+            lost_s = min(lost_s, spec.save)
+        tasks = spec.tasks if spec.kind == user_api.GANG else 1  # a gang stops as a whole
+        return lost_s * max(placement.resources.cpus, MIN_LOSS_CPUS) * tasks + BASE_LOSS
+
+
+def _steps_on(allocation: ShardAllocation, machine: Machine, victims: list[Victim]) -> list[Step]:
+    """Steps on one machine, each dearer than the one before: their costs add up.
+
+    Removes the victims that it uses, from the end of the list.
+    """
+    resources = allocation.resources
+    available = machine.available()
+    steps = []
+    cost = 0.0
+    for _ in range(allocation.pending.count):
+        stopped = []
+        while victims and not fits(resources, available):
+            loss, placement = victims.pop()
+            available = available.plus(placement.resources)
+            cost += loss
+            stopped.append(placement)
+        if not fits(resources, available):
+            break
+        available = available.minus(resources)
+        steps.append(Step(cost, machine.name, machine, stopped))
+    return steps
+
 
-    def _shared(self, placement: Placement) -> bool:
-        """A gang over several shards can't be stopped in order from here."""
-        return placement.job.record.attempt != 0
+def _is_shared_gang(placement: Placement) -> bool:
+    """Whether it belongs to a gang over several shards: one leader alone can't stop those."""
+    return placement.job.record.attempt != 0
--- a/pitchtally/scheduling/placement/status_publisher.py
+++ b/pitchtally/scheduling/placement/status_publisher.py
@@ -1,4 +1,4 @@
-"""Works out the statuses of our own shards, which peers and our planning go by."""
+"""The statuses of the shards that this controller leads, for its peers and its own planning."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import trio
 
-from ...agents.machine import Machine, MachineGroupKey
+from ...agents.machine import NEVER, Machine
 from ...jobs.resources import NO_RESOURCES, Resources
 from ...membership.messages import MachineFlag, MachineStatus, ShardStatus
 from ...protocol import user_api
@@ -22,7 +22,7 @@
 
 
 class StatusPublisher:
-    """Renews the statuses of our shards, their availability matrices once a period."""
+    """Refreshes the statuses of our shards; their availability matrices only once a period."""
 
     def __init__(
         self,
@@ -38,61 +38,78 @@
         self.shards = shards
         self.statuses = statuses
         self.quotas = quotas
-        self.matrix_at = -1e9
+        self.matrix_at = NEVER
 
     def refresh(self) -> float:
-        """Renew our own statuses, the matrices only once a period; the time that it took."""
+        """Refresh the statuses of our shards; the seconds that it took."""
         now = trio.current_time()
-        self.statuses.forget_old_allocations(now)
-        renew = now - self.matrix_at >= self.policy.period
-        if renew:
+        self.statuses.drop_reported_allocations(now)
+        matrices_due = now - self.matrix_at >= self.policy.period
+        if matrices_due:
             self.matrix_at = now
-        beyond: set[str] = set()
+        over_guarantee: set[str] = set()
         if len(self.quotas.known) > 1:
-            beyond = {t for t in self.quotas.known if self.quotas.over_guarantee(t)}
-        for shard, work in self.shards.items():
-            if renew:
-                self._log_load(shard, work)
-            self._refresh_shard(shard, work, beyond, renew, now)
+            over_guarantee = {
+                team for team in self.quotas.known if self.quotas.over_guarantee(team)
+            }
+        for shard, state in self.shards.items():
+            if matrices_due:
+                self._log_load(shard, state)
+            self._refresh_shard(shard, state, over_guarantee, matrices_due, now)
         self.quotas.find_waiting_for_limit()
         return trio.current_time() - now
 
     def _refresh_shard(
-        self, shard: int, work: ShardState, beyond: set[str], renew: bool, now: float
+        self,
+        shard: int,
+        state: ShardState,
+        over_guarantee: set[str],
+        matrices_due: bool,
+        now: float,
     ) -> None:
         old = self.statuses.newest.get(shard)
-        kept = [
-            m for m in self.agents.of_shard(shard) if m.reservation and m.reservation.until >= now
-        ]
-        machines = [self._machine(m, beyond, now) for m in self.agents.of_shard(shard)]
-        waiting, queued = self._waiting(work)
-        hold = self.agents.shards.get(shard)
+        machines = self.agents.of_shard(shard)
+        reserved = [m for m in machines if m.reservation and m.reservation.until >= now]
+        machine_statuses = [self._machine_status(m, over_guarantee, now) for m in machines]
+        pending, queued_seconds = self._pending(state)
+        lease = self.agents.shards.get(shard)
         status = ShardStatus(
-            shard, hold.token if hold else 0, work.reconciled, queued, 0.0, machines, [], waiting
+            shard,
+            lease.token if lease else 0,
+            state.reconciled,
+            queued_seconds,
+            0.0,
+            machine_statuses,
+            [],
+            pending,
         )
         status.running = self.agents.placements.running(shard)
-        status.reserved_machines = [machine.name for machine in kept]
+        status.reserved_machines = [machine.name for machine in reserved]
         status.reserved_jobs = [
-            machine.reservation.job_id for machine in kept if machine.reservation
+            machine.reservation.job_id for machine in reserved if machine.reservation
         ]
-        work.ready_gangs = {
+        state.ready_gangs = {
             id
-            for id in work.ready_gangs
-            if (gang := work.allocations.get(id)) is not None and gang.job.record.attempt
+            for id in state.ready_gangs
+            if (gang := state.allocations.get(id)) is not None and gang.job.record.attempt
         }
-        status.ready_gangs = list(work.ready_gangs)
+        status.ready_gangs = list(state.ready_gangs)
         status.usage = {
-            t: self.quotas.use(shard, t) for t in self.quotas.known if self.quotas.limited(t)
+            team: self.quotas.use(shard, team)
+            for team in self.quotas.known
+            if self.quotas.limited(team)
         }
-        if renew or old is None or not old.matrix:
-            status.stretch = min((g.level for g in work.machine_groups.values()), default=0.0)
-            status.matrix = self._matrices(work, now)
+        if matrices_due or old is None or not old.matrix:
+            status.stretch = min((g.level for g in state.machine_groups.values()), default=0.0)
+            status.matrix = self._matrices(state, now)
             self.statuses.unreported.pop(shard, None)
         else:
             status.matrix, status.stretch = old.matrix, old.stretch
         self.statuses.put(status)
 
-    def _machine(self, machine: Machine, beyond: set[str], now: float) -> MachineStatus:
+    def _machine_status(
+        self, machine: Machine, over_guarantee: set[str], now: float
+    ) -> MachineStatus:
         free = machine.available() if machine.schedulable else NO_RESOURCES
         if machine.reservation and machine.reservation.until >= now:
             free = NO_RESOURCES
@@ -106,50 +123,57 @@
             len(machine.placements),
             now - machine.idle_since,
             self._flag(machine, now),
-            over_guarantee=self._over_on(machine, beyond),
+            over_guarantee=self._used_over_guarantee(machine, over_guarantee),
         )
 
-    def _waiting(self, work: ShardState) -> tuple[dict[str, int], float]:
-        """Tasks not started by job, and how much work that is."""
-        waiting: dict[str, int] = {}
-        queued = 0.0
-        for id, allocation in work.allocations.items():
+    def _pending(self, state: ShardState) -> tuple[dict[str, int], float]:
+        """Pending tasks by job, and all their work in machine-seconds."""
+        pending: dict[str, int] = {}
+        queued_seconds = 0.0
+        for id, allocation in state.allocations.items():
             if not allocation.pending.count:
                 continue
-            # What fails wherever it goes calls for no machines but one.
+            # A faulty job needs no more machines than the one on which it is retried.
             count = 1 if allocation.faulty and not allocation.gang else allocation.pending.count
-            waiting[id] = count
-            queued += count * self.estimates.task(allocation.spec) * allocation.resources[0]
-        return waiting, queued
-
-    def _matrices(self, work: ShardState, now: float) -> list[tuple[str, list[list[list[int]]]]]:
-        """The paper's availability matrices, one for each group of like machines."""
-        out = []
-        for (type_, zone, spot), group in work.machine_groups.items():
-            queue = machine_queue(work, group, len(user_api.RANKS))
+            pending[id] = count
+            queued_seconds += count * self.estimates.task(allocation.spec) * allocation.resources[0]
+        return pending, queued_seconds
+
+    def _matrices(self, state: ShardState, now: float) -> list[tuple[str, list[list[list[int]]]]]:
+        """The paper's availability matrices, one for each machine group."""
+        matrices = []
+        for key, group in state.machine_groups.items():
+            queue = machine_queue(state, group, len(user_api.RANKS))
             cells = stretch.matrix(
                 [queue],
                 self.samples.stretches,
                 self.samples.sizes,
                 self.samples.tasks,
                 now,
-                group.width,
+                group.batch_machines,
             )
-            out.append((MachineGroupKey(type_, zone, spot).text(), cells))
-        return out
-
-    def _over_on(self, machine: Machine, beyond: set[str]) -> Resources:
-        """Held by teams beyond their guarantee, apart from what yields anyway."""
-        held = NO_RESOURCES
-        if beyond:
-            last = len(user_api.RANKS) - 1
-            for placement in machine.placements.values():
-                if placement.team in beyond and placement.rank != last and not is_gang(placement):
-                    held = held.plus(placement.resources)
-        return held
+            matrices.append((key.text(), cells))
+        return matrices
 
-    def _log_load(self, shard: int, work: ShardState) -> None:
-        """What is free and what waits, for people who read logs."""
+    def _used_over_guarantee(self, machine: Machine, over_guarantee: set[str]) -> Resources:
+        """What teams over their guarantee use, except the lowest rank and gangs.
+
+        The lowest rank is preemptible anyway, and gangs aren't preempted for a guarantee.
+        """
+        used = NO_RESOURCES
+        if over_guarantee:
+            lowest_rank = len(user_api.RANKS) - 1
+            for placement in machine.placements.values():
+                if (
+                    placement.team in over_guarantee
+                    and placement.rank != lowest_rank
+                    and not is_gang(placement)
+                ):
+                    used = used.plus(placement.resources)
+        return used
+
+    def _log_load(self, shard: int, state: ShardState) -> None:
+        """Log what is available and what is pending in a shard."""
         capacities: dict[str, list[float]] = {}
         for machine in self.agents.of_shard(shard):
             if machine.schedulable and machine.machine_type is not None:
@@ -160,11 +184,11 @@
                 row[0] += 1
                 row[1] += free[0]
                 row[2] += free[1]
-        waits: dict[str, int] = {}
-        for allocation in work.allocations.values():
+        pending: dict[str, int] = {}
+        for allocation in state.allocations.values():
             if allocation.pending.count:
                 name = allocation.job.spec.job_class
-                waits[name] = waits.get(name, 0) + allocation.pending.count
+                pending[name] = pending.get(name, 0) + allocation.pending.count
         text = " ".join(
             f"{t}:{int(n)}x,{c:g}c,{g:g}g" for t, (n, c, g) in sorted(capacities.items())
         )
@@ -174,9 +198,10 @@
             for t in quotas.known
             if quotas.limited(t)
         )
-        log.info("load part=%d free=[%s] waiting=%s share=[%s]", shard, text, waits, teams)
+        log.info("load shard=%d free=[%s] pending=%s quota=[%s]", shard, text, pending, teams)
 
     def _flag(self, machine: Machine, now: float) -> MachineFlag:
+        """Why tasks may not start on a machine, the most lasting reason first."""
         if machine.lost:
             return MachineFlag.LOST if machine.confirmed else MachineFlag.UNHEARD
         if machine.preemption_at is not None:
--- a/pitchtally/scheduling/placement/survey.py
+++ b/pitchtally/scheduling/placement/survey.py
@@ -1,4 +1,4 @@
-"""What the machines of a shard hold, by groups of like machines."""
+"""The survey of a shard: machine groups, their loads and capacities, anew each round."""
 
 from __future__ import annotations
 
@@ -11,19 +11,21 @@
 from ...protocol import user_api
 from .. import stretch
 from ..context import SchedulingContext
-from ..shards.allocations import MachineGroup, ShardState
+from ..shards.allocations import CachedLevel, MachineGroup, ShardState, SmallestRequest
 from ..shards.deadlines import Deadlines
 from ..shards.failure_tracker import FailureTracker
 from ..shards.lower_price_capacity import list_capacities
 from ..shards.machine_queues import add_to_queue, machine_queue
 
 LEVEL_TOLERANCE = 0.05  # of the least stretch of a queue, relative
-# A machine silent for longer takes no task with its next report, for all that is known.
-LONGEST_SILENCE_REPORTS = 1.5
+# Agent heartbeat intervals after which a machine isn't expected to start a task soon.
+HEARTBEAT_TIMEOUT_INTERVALS = 1.5
+
+NO_LEVEL = CachedLevel(-math.inf, 0.0)
 
 
 class Survey:
-    """Renews what planning and starts in a shard rest on."""
+    """Rebuilds the machine groups, loads and capacities that planning and starts in a shard use."""
 
     def __init__(
         self,
@@ -41,85 +43,89 @@
         self.failures = failures
 
     def survey(self, shard: int) -> None:
-        """What the machines of a shard hold, by groups of like machines.
+        """Rebuild the machine groups of a shard with their loads and capacities.
 
-        The one pass over tasks and machines; all that a report asks for rests on it
-        and on sums kept up with each change.
+        This is the only pass over all machines and allocations; an agent heartbeat uses its
+        results, and sums that are updated with each change.
         """
-        work = self.shards[shard]
+        state = self.shards[shard]
         now = trio.current_time()
-        left = self._renew_allocations(work)
-        work.machine_groups = {}
-        work.running = [0] * len(user_api.RANKS)
+        task_seconds = self._refresh_allocations(state)
+        state.machine_groups = {}
+        state.running_by_rank = [0] * len(user_api.RANKS)
         for machine in self.agents.of_shard(shard):
-            self._add_to_group(work, machine, now)
-        usable = (m for group in work.machine_groups.values() for m in group.machines)
-        work.capacities = list_capacities(
-            usable, now, self.agent_heartbeat_s * LONGEST_SILENCE_REPORTS
+            self._add_to_group(state, machine, now)
+        usable = (m for group in state.machine_groups.values() for m in group.machines)
+        state.capacities = list_capacities(
+            usable, now, self.agent_heartbeat_s * HEARTBEAT_TIMEOUT_INTERVALS
         )
-        self._add_loads(work, shard, left, now)
-        for group in [g for g in work.queues if g not in work.machine_groups]:
-            del work.queues[group]
-        for group, queue in work.queues.items():
+        self._add_loads(state, shard, task_seconds, now)
+        for group in [g for g in state.queues if g not in state.machine_groups]:
+            del state.queues[group]
+        for group, queue in state.queues.items():
             for id, count in queue.items():
-                if count and id in work.allocations:
-                    add_to_queue(self.estimates, work, group, id, count)
-        self._renew_levels(work, now)
+                if count and id in state.allocations:
+                    add_to_queue(self.estimates, state, group, id, count)
+        self._refresh_levels(state, now)
 
-    def _renew_allocations(self, work: ShardState) -> dict[str, float]:
-        """Seconds that a task of each job takes; what waiting tasks need at the least."""
-        left: dict[str, float] = {}
-        least = (math.inf, math.inf)
-        for id, allocation in work.allocations.items():
-            self.deadlines.renew(allocation)
-            self.failures.score(allocation)
-            left[id] = self.estimates.task(allocation.spec)
+    def _refresh_allocations(self, state: ShardState) -> dict[str, float]:
+        """Refresh allocations and the smallest request; expected seconds of one task, by job."""
+        task_seconds: dict[str, float] = {}
+        min_cpus = min_memory = math.inf
+        for id, allocation in state.allocations.items():
+            self.deadlines.refresh(allocation)
+            self.failures.reclassify(allocation)
+            task_seconds[id] = self.estimates.task(allocation.spec)
             if allocation.pending.count and not allocation.gang:
-                least = (
-                    min(least[0], allocation.resources[0]),
-                    min(least[1], allocation.resources[2]),
-                )
-        work.least = least
-        return left
+                min_cpus = min(min_cpus, allocation.resources.cpus)
+                min_memory = min(min_memory, allocation.resources.memory)
+        state.smallest_request = SmallestRequest(min_cpus, min_memory)
+        return task_seconds
 
-    def _add_to_group(self, work: ShardState, machine: Machine, now: float) -> None:
+    def _add_to_group(self, state: ShardState, machine: Machine, now: float) -> None:
+        """Add a machine to its group if tasks may start there; else drop starts not sent yet."""
         usable = machine.schedulable
         if not usable:
             for placement in list(machine.placements.values()):
                 if not placement.start_heartbeat_seq and not placement.observed:
-                    # Chosen before the machine fell out of use: it is nowhere yet.
+                    # Placed before the machine became unschedulable; not commanded yet.
                     self.agents.stop(placement, 0.0)
         if not usable or machine.quarantined_until >= now or machine.machine_type is None:
             return
-        machine_group = work.machine_groups.get(machine.group)
+        machine_group = state.machine_groups.get(machine.group)
         if machine_group is None:
-            machine_group = work.machine_groups[machine.group] = MachineGroup(machine.machine_type)
+            machine_group = state.machine_groups[machine.group] = MachineGroup(machine.machine_type)
         machine_group.machines.append(machine)
 
-    def _add_loads(self, work: ShardState, shard: int, left: dict[str, float], now: float) -> None:
+    def _add_loads(
+        self, state: ShardState, shard: int, task_seconds: dict[str, float], now: float
+    ) -> None:
+        """Count the running tasks by rank, and their remaining work in their machine group."""
         for group, jobs in self.agents.placements.loads.get(shard, {}).items():
-            machine_group = work.machine_groups.get(group)
+            machine_group = state.machine_groups.get(group)
             for id, load in jobs.items():
-                work.running[load.rank] += load.count
-                seconds = left.get(id)
+                state.running_by_rank[load.rank] += load.count
+                seconds = task_seconds.get(id)
                 if machine_group is None or seconds is None:
                     continue
-                # What stands on machines out of use is in it: they are few, and their
-                # tasks will want room again.
+                # This includes tasks on unschedulable machines: those are few, and their tasks
+                # will need capacity of the group again.
                 share = dominant_share(load.resources, machine_group.machine_type)
-                if work.allocations[id].service:
-                    machine_group.held += load.count * share
+                if state.allocations[id].service:
+                    machine_group.service_machines += load.count * share
                     continue
-                machine_group.work[id] = load.remaining_seconds(seconds, now) * share
+                machine_group.load_seconds[id] = load.remaining_seconds(seconds, now) * share
                 machine_group.ranks[id] = load.rank
 
-    def _renew_levels(self, work: ShardState, now: float) -> None:
-        for group, machine_group in work.machine_groups.items():
-            at, machine_group.level = work.known_levels.get(group, (-math.inf, 0.0))
-            if now - at < self.agent_heartbeat_s:
-                continue  # it moves with the queue, not with each task
-            queue = machine_queue(work, machine_group, len(user_api.RANKS))
+    def _refresh_levels(self, state: ShardState, now: float) -> None:
+        """The least stretch of each group (the paper's algorithm 2), once an agent heartbeat."""
+        for group, machine_group in state.machine_groups.items():
+            cached = state.level_cache.get(group, NO_LEVEL)
+            machine_group.level = cached.level
+            if now - cached.computed_at < self.agent_heartbeat_s:
+                continue  # it changes with the queue as a whole, not with each task
+            queue = machine_queue(state, machine_group, len(user_api.RANKS))
             machine_group.level = max(
                 stretch.least_stretch(queue, now, LEVEL_TOLERANCE), self.samples.stretches[0]
             )
-            work.known_levels[group] = (now, machine_group.level)
+            state.level_cache[group] = CachedLevel(now, machine_group.level)
--- a/pitchtally/scheduling/priorities.py
+++ b/pitchtally/scheduling/priorities.py
@@ -29,7 +29,7 @@
         found = [] if spec.deadline is None else [spec.deadline - task]
         found.extend(
             aim.within_s - (0.0 if aim.kind == "wait" else task)
-            for aim in self.deadlines.aims.get(spec.job_class, ())
+            for aim in self.deadlines.objectives.get(spec.job_class, ())
             if aim.within_s is not None
         )
         if spec.kind == user_api.GANG and self.quotas.guaranteed(spec.team):
@@ -37,7 +37,7 @@
             # time only where room for all of it is up already.
             found.extend(
                 aim.within_s
-                for aim in self.deadlines.aims.get(None, ())
+                for aim in self.deadlines.objectives.get(None, ())
                 if aim.kind == "guarantee" and aim.within_s is not None
             )
         # A service is missed from its first second on.
@@ -56,5 +56,5 @@
         return (
             allocation.rank,
             not self.quotas.under(allocation.spec),
-            self.deadlines.due_of(allocation, level),
+            self.deadlines.allocation_due(allocation, level),
         )
--- a/pitchtally/scheduling/quotas/quotas.py
+++ b/pitchtally/scheduling/quotas/quotas.py
@@ -131,7 +131,7 @@
             return False
         # The gang's stretch deadline is far off for its size, while it needs little of
         # the limit, and only once: after a few reports it comes first.
-        waited = trio.current_time() - self.deadlines.release(first)
+        waited = trio.current_time() - self.deadlines.release_time(first)
         return waited > self.agent_heartbeat_s * 4 or gang[0] <= self.deadlines.due(job, 1.0)
 
     def find_waiting_for_limit(self) -> None:
--- a/pitchtally/scheduling/range_writer.py
+++ b/pitchtally/scheduling/range_writer.py
@@ -11,7 +11,7 @@
 
 from ..jobs.commits import JobCommits
 from ..jobs.index import Job
-from ..jobs.job_record import JobRecord, TaskRange
+from ..jobs.job_record import JobRecord, TaskRange, ZoneCap
 from ..jobs.migration import JobMigration
 from ..membership.membership import Membership
 from ..state_store import keys
@@ -65,7 +65,7 @@
         *,
         zone: str | UnsetType | None = UNSET,
         attempt: int | UnsetType = UNSET,
-        caps: list[tuple[int, str, int]] | UnsetType = UNSET,
+        caps: list[ZoneCap] | UnsetType = UNSET,
     ) -> bool:
         """Write who gets which tasks of a job; False if a condition failed.
 
--- a/pitchtally/scheduling/rebalancing/rebalancing.py
+++ b/pitchtally/scheduling/rebalancing/rebalancing.py
@@ -64,7 +64,7 @@
                 if h.pending.count
                 and not h.faulty
                 and is_ready(work, id, h, now)
-                and now - h.since >= LEAST_WAIT_S
+                and now - h.pending_since >= LEAST_WAIT_S
             ]
             for _, _, id in sorted(rows)[:_BALANCE]:
                 if self.shards.get(shard) is not work:
--- a/pitchtally/scheduling/rebalancing/service_migration.py
+++ b/pitchtally/scheduling/rebalancing/service_migration.py
@@ -15,6 +15,7 @@
 import trio
 
 from ...jobs.index import Job
+from ...jobs.job_record import ZoneCap
 from ...state_store.errors import StoreUnavailable
 from ..capacity import CapacitySource, plan_gang, stays_in_one_shard
 from ..context import SchedulingContext
@@ -81,7 +82,7 @@
             return False
         if not allocation.placed and len(allocation.job.record.ranges) == 1:
             return False  # nothing of it runs: it goes back to the leader
-        if now - allocation.since < self.agent_heartbeat_s * PATIENCE_REPORTS:
+        if now - allocation.pending_since < self.agent_heartbeat_s * PATIENCE_REPORTS:
             return False
         if not self.quotas.tasks_within_limit(allocation.shard, allocation.spec):
             return False  # it waits for its team's limit, wherever it is
@@ -93,7 +94,9 @@
         found = self._find(allocation, [allocation.shard, *others])
         if found is not None:
             await self._move(allocation, found)
-        elif trio.current_time() - allocation.since >= self.policy.start_within * LEAVE_SHARE:
+        elif (
+            trio.current_time() - allocation.pending_since >= self.policy.start_within * LEAVE_SHARE
+        ):
             self._leave(allocation, others)
 
     def _find(
@@ -110,9 +113,9 @@
             for shard in shards:
                 left = self._zone_limits(allocation, capped=capped)
                 here = {
-                    (p, z): min(available, left.get(z, missing))
-                    for (p, z), available in capacities.items()
-                    if p == shard and zone in (None, z)
+                    place: min(available, left.get(place.zone, missing))
+                    for place, available in capacities.items()
+                    if place.shard == shard and zone in (None, place.zone)
                 }
                 found = plan_gang(here, missing, one_zone=False, spread=False)
                 if found is not None:
@@ -169,7 +172,7 @@
     return {zone: max(0, most - taken[zone]) for zone in placed}
 
 
-def moved_caps(job: Job, placed: ZoneCounts, shard: int, move: Move) -> list[tuple[int, str, int]]:
+def moved_caps(job: Job, placed: ZoneCounts, shard: int, move: Move) -> list[ZoneCap]:
     """The caps after a move: ours at what we have placed, the other shard's raised by the move.
 
     Ours fall by what we gave up and no shard gets more than that leaves, so a zone's caps
@@ -183,4 +186,4 @@
         caps[(shard, zone)] = count
     for zone, count in move.zones.items():
         caps[(move.shard, zone)] += count
-    return [(other, zone, cap) for (other, zone), cap in sorted(caps.items()) if cap]
+    return [ZoneCap(other, zone, cap) for (other, zone), cap in sorted(caps.items()) if cap]
--- a/pitchtally/scheduling/rebalancing/task_transfer.py
+++ b/pitchtally/scheduling/rebalancing/task_transfer.py
@@ -6,7 +6,7 @@
 
 from msgspec import UNSET
 
-from ...jobs.job_record import merge
+from ...jobs.job_record import ZoneCap, merge
 from ...membership.membership import Membership
 from ...state_store import keys
 from ...state_store.errors import StoreUnavailable
@@ -36,7 +36,7 @@
         allocation: ShardAllocation,
         to: int,
         count: int,
-        caps: list[tuple[int, str, int]] | None = None,
+        caps: list[ZoneCap] | None = None,
     ) -> None:
         """Tasks that are nowhere go to another shard, in one conditional write.
 
@@ -46,7 +46,7 @@
         token = self.membership.token(shard)
         if token is None:
             return
-        carved = allocation.pending.carve(count)
+        carved = allocation.pending.split_off(count)
         allocation.moving = True
         version = job.version
         try:
--- a/pitchtally/scheduling/shards/allocations.py
+++ b/pitchtally/scheduling/shards/allocations.py
@@ -1,35 +1,40 @@
-"""What a shard holds: tasks not started, tasks placed, queues of like machines."""
+"""The state of one shard: allocations of jobs, pending tasks, machine groups and their queues.
+
+Plain state without I/O. Times are trio's clock in seconds.
+"""
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 import trio
 
-from ...agents.machine import Machine, MachineGroupKey, Placement
+from ...agents.machine import NEVER, Machine, MachineGroupKey, Placement
 from ...jobs.index import Job
 from ...jobs.resources import Resources, resource_request
 from ...protocol import cloud_api, user_api
 from ..capacity import RANK
 from .lower_price_capacity import GroupCapacity, TaskCapacity
 
-# Machines: a group wholly taken by services still has a queue, if an endless one.
-LEAST_WIDTH = 0.05
+# A group whose machines are all taken by services still has a queue, though an endless one.
+MIN_BATCH_MACHINES = 0.05
 
 
 class PendingTasks:
-    """Tasks not started: ranges, so that a wide array costs little."""
+    """Tasks not started, kept as half-open ranges so that a wide array costs little."""
 
     def __init__(self) -> None:
         self.ranges: list[tuple[int, int]] = []
         self.count = 0
 
     def put(self, first: int, end: int) -> None:
-        """Add a range of tasks."""
+        """Add the tasks from `first` up to, but not including, `end`."""
         if end > first:
             self.ranges.append((first, end))
             self.count += end - first
 
     def pop(self) -> int:
-        """Take one task."""
+        """Remove and return one task; there must be one."""
         first, end = self.ranges[-1]
         if end - first == 1:
             self.ranges.pop()
@@ -38,27 +43,27 @@
         self.count -= 1
         return first
 
-    def carve(self, wanted: int) -> list[tuple[int, int]]:
-        """Take up to that many tasks off the far end, as ranges."""
-        out = []
+    def split_off(self, wanted: int) -> list[tuple[int, int]]:
+        """Remove up to `wanted` tasks, furthest from the next start first; return their ranges."""
+        removed = []
         while wanted > 0 and self.ranges:
             first, end = self.ranges.pop(0)
             take = min(wanted, end - first)
-            out.append((end - take, end))
+            removed.append((end - take, end))
             if first < end - take:
                 self.ranges.insert(0, (first, end - take))
             wanted -= take
             self.count -= take
-        return out
+        return removed
 
 
 def most_in_zone(spec: user_api.JobSpec) -> int:
-    """How many tasks of a spread job may be in one zone, all shards together."""
+    """The most tasks of a spread job in one zone, over all shards: half, rounded up."""
     return (spec.tasks + 1) // 2
 
 
 class ShardAllocation:
-    """The tasks of one job in one shard that this node owns."""
+    """The tasks of one job in one shard that this controller leads."""
 
     def __init__(self, job: Job, shard: int, release: float):
         self.job = job
@@ -69,41 +74,46 @@
         self.rank = RANK[spec.rank]
         self.gang = spec.kind == user_api.GANG
         self.service = spec.is_service
-        self.short_runs = 0  # replicas in a row that ended soon after their start
+        self.short_runs = 0  # consecutive replicas that exited soon after their start
         self.one_zone = spec.one_zone and spec.tasks > 1
-        self.release = release  # acceptance on this node's steady clock
-        self.size = 0.0  # w, and what lateness adds: renewed with each survey
-        self.late = 0.0
-        self.bound = 1e9  # seconds from release, see `Deadlines.bound`
-        self.aged = False  # has waited too long for its first start, or the next
-        self.groups: dict[MachineGroupKey, bool] = {}  # machines that the job allows
-        self.capacity_in: dict[MachineGroupKey, TaskCapacity] = {}  # renewed with each survey
+        self.release = release  # r of the paper: when the job was accepted
+        # The next five are refreshed by each survey, see `Deadlines.refresh`.
+        self.size = 0.0  # w of the paper: task-seconds of the whole job
+        self.lateness_penalty = 0.0  # seconds added to its deadline
+        self.max_start_delay = 1e9  # seconds from release, see `Deadlines.max_start_delay`
+        self.aged = False  # pending for too long: it comes first until its next start
+        self.capacity_in: dict[MachineGroupKey, TaskCapacity] = {}
+        self.allowed_groups: dict[MachineGroupKey, bool] = {}  # whether the job allows a group
         self.pending = PendingTasks()
         self.placed: dict[int, Placement] = {}
         self.ranges: list[tuple[int, int]] = []
-        self.since = trio.current_time()  # waiting for room since
-        self.moving = False
-        self.allotted_at = -1e9
-        self.not_before = -1e9  # after failures on several machines
-        self.failed_on: dict[str, float] = {}  # machines, and when
-        self.failed_after = 0.0  # the longest that a task ran before it failed
-        self.probes = 0  # tries since the job was found at fault
-        self.faulty = False  # fails wherever it goes, see `blame`
-        self.tried = 0  # the shared attempt that was placed last
+        self.pending_since = trio.current_time()  # the last start, or when tasks became pending
+        self.moving = False  # a write that gives tasks to another shard is unresolved
+        self.allotted_at = NEVER  # when tasks were last added to machine queues
+        self.not_before = NEVER  # back-off after failures: no start earlier
+        self.failed_on: dict[str, float] = {}  # machine -> when a task of the job last failed there
+        self.failed_after = 0.0  # seconds: the longest run that ended in a failure
+        self.probe_count = 0  # failed retries since the job was classified as faulty
+        self.faulty = False  # see `failure_attribution`
+        self.last_shared_attempt = 0  # of a gang over several shards: the attempt placed last
 
     def most_in_zone(self, zone: str) -> int:
-        """How many tasks of a spread job this shard may have in a zone."""
+        """The most tasks of a spread job that this shard may have in a zone."""
         if self.service and self.job.record.caps:
-            return sum(n for p, z, n in self.job.record.caps if (p, z) == (self.shard, zone))
+            return sum(
+                cap.tasks
+                for cap in self.job.record.caps
+                if cap.shard == self.shard and cap.zone == zone
+            )
         return most_in_zone(self.spec)
 
     def placed_in(self, zone: str) -> int:
-        """How many of its tasks are on machines of a zone, those told to stop included."""
+        """How many of its tasks are on machines of a zone, those being stopped included."""
         return sum(1 for p in self.placed.values() if p.machine.zone == zone)
 
     def rebuild(self) -> None:
-        """Everything in the ranges that is neither finished nor placed."""
-        self.ranges = [(a, b) for a, b, p in self.job.record.ranges if p == self.shard]
+        """Derive the pending tasks: those of the ranges that are neither finished nor placed."""
+        self.ranges = [(r.first, r.end) for r in self.job.record.ranges if r.shard == self.shard]
         self.pending = PendingTasks()
         runs = []
         for first, end in self.ranges:
@@ -121,62 +131,77 @@
             self.pending.put(first, end)
 
     def give_back(self, task: int) -> None:
-        """A task is nowhere any more: it waits again, unless it is done or another shard's."""
+        """Make a task pending that is on no machine any more, unless finished or moved."""
         if any(a <= task < b for a, b in self.ranges) and not self.job.is_finished(task):
             if self.service and not self.pending.count:
-                self.since = trio.current_time()  # all of it ran until now
+                self.pending_since = trio.current_time()  # all of the service ran until now
             self.pending.put(task, task + 1)
 
 
 class MachineGroup:
-    """Machines of a shard that are alike, and the queue that they share evenly.
+    """Interchangeable machines of a shard, and the queue that they share evenly.
 
-    A matrix by machine would cost more with every machine; like machines with one
-    queue promise the same, since any of them takes the next task.
+    The paper keeps a queue and an availability matrix for each machine. Interchangeable
+    machines share one of each, so the cost does not grow with their number; availability is
+    the same, since any of them can take the next task.
     """
 
     def __init__(self, machine_type: cloud_api.MachineType) -> None:
         self.machine_type = machine_type
         self.machines: list[Machine] = []
-        self.work: dict[str, float] = {}  # job -> machine-seconds running and queued
-        self.ranks: dict[str, int] = {}
-        self.level = 0.0  # the least stretch that its queue meets
-        self.held = 0.0  # machines' worth of room that services hold
+        self.load_seconds: dict[str, float] = {}  # job -> machine-seconds running and queued
+        self.ranks: dict[str, int] = {}  # job -> rank
+        self.level = 0.0  # S of the paper: the least stretch at which its queue meets all deadlines
+        self.service_machines = 0.0  # machines' worth of capacity that services take
 
     @property
-    def width(self) -> float:
-        """Machines that are left to work that ends: services take theirs for good."""
-        return max(LEAST_WIDTH, len(self.machines) - self.held)
+    def batch_machines(self) -> float:
+        """Machines' worth of capacity for tasks that end; services never release theirs."""
+        return max(MIN_BATCH_MACHINES, len(self.machines) - self.service_machines)
+
+
+class SmallestRequest(NamedTuple):
+    """A lower bound, resource by resource, on what any pending array task requests."""
+
+    cpus: float
+    memory: float  # GiB
+
+
+class CachedLevel(NamedTuple):
+    """The least stretch of a machine group's queue, and when it was worked out."""
+
+    computed_at: float
+    level: float
 
 
 class ShardState:
-    """All that a shard has to do: jobs, queues, and groups of like machines."""
+    """The state of one shard: allocations, machine queues, and machine groups."""
 
     def __init__(self) -> None:
-        self.loaded = False
-        self.reconciled = False
-        self.blocked: set[str] = set()  # jobs whose tasks an unheard machine may hold
+        self.loaded = False  # the replica covers the failover
+        self.reconciled = False  # every machine that may run a task is heard from, or lost
+        self.blocked: set[str] = set()  # jobs of which a suspect machine may run tasks
         self.allocations: dict[str, ShardAllocation] = {}
         self.gangs: dict[str, ShardAllocation] = {}  # those of them that are gangs
-        # The least CPUs and memory that a waiting task needs, as of the last survey: most
-        # machines that report are too full for any.
-        self.least: tuple[float, float] = (0.0, 0.0)
-        self.known_levels: dict[
-            MachineGroupKey, tuple[float, float]
-        ] = {}  # machine_group -> (when, its level)
-        self.queues: dict[MachineGroupKey, dict[str, int]] = {}  # like machines -> job -> tasks
+        # Lets an agent heartbeat skip machines too full for any pending task, which most are.
+        self.smallest_request = SmallestRequest(0.0, 0.0)
+        self.level_cache: dict[MachineGroupKey, CachedLevel] = {}
+        self.queues: dict[MachineGroupKey, dict[str, int]] = {}  # by group: job -> queued tasks
         self.machine_groups: dict[MachineGroupKey, MachineGroup] = {}
         self.capacities: dict[MachineGroupKey, GroupCapacity] = {}  # as of the last survey
-        self.running: list[int] = [0] * len(user_api.RANKS)  # tasks on machines, by rank
-        self.ready_gangs: set[str] = set()  # gangs over several shards that have their room here
-        self.early: list[Placement] = []  # seen on machines before the shard settled
+        self.running_by_rank: list[int] = [0] * len(user_api.RANKS)  # tasks on machines
+        self.ready_gangs: set[str] = set()  # gangs over several shards whose share fits here
+        self.unattached: list[Placement] = []  # found on machines while their job was blocked
 
-    def expect(self, resources: Resources) -> None:
-        """Such a task waits from now on: see `least`."""
-        self.least = (min(self.least[0], resources[0]), min(self.least[1], resources[2]))
+    def lower_smallest_request(self, resources: Resources) -> None:
+        """Lower the bound to cover a request that may be pending from now on."""
+        smallest = self.smallest_request
+        self.smallest_request = SmallestRequest(
+            min(smallest.cpus, resources.cpus), min(smallest.memory, resources.memory)
+        )
 
     def with_gang(self, victim: Placement) -> list[Placement]:
-        """What has to stop with a placement: its whole gang, if it has one."""
+        """The placements that have to stop with this one: its whole gang, if it has one."""
         allocation = self.allocations.get(victim.job.id)
         if victim.spec.kind == user_api.GANG and allocation is not None:
             return list(allocation.placed.values())
--- a/pitchtally/scheduling/shards/deadlines.py
+++ b/pitchtally/scheduling/shards/deadlines.py
@@ -1,4 +1,7 @@
-"""When jobs are due: the paper's stretch deadlines, objectives, and long waits."""
+"""Deadlines of jobs: the paper's stretch deadlines, bounded by service-level objectives.
+
+Times are trio's clock in seconds.
+"""
 
 from __future__ import annotations
 
@@ -15,13 +18,20 @@
 from ..context import SchedulingContext
 from .allocations import ShardAllocation
 
-# The share of `start_within` after which a job goes first. In a flood beyond a team's
-# limit most jobs wait that long, and what they take early others miss their deadlines by:
-# hence late, and for one task only.
-AGED = 0.75
+# The share of `start_within` after which a pending job comes first. Under overload most jobs
+# are pending for that long, and each early start makes another job miss its deadline: hence a
+# large share, and priority for one task only.
+AGING_SHARE = 0.75
+
+# An objective for at least this share of a class is a deadline for each of its jobs.
+STRICT_OBJECTIVE_SHARE = 0.95
+
+# The share of `start_within` after which machines are reserved for a job.
+RESERVATION_SHARE = 1 / 4
 
-# An aim for at least this share of a class is a deadline for each of its jobs.
-STRICT = 0.95
+# Seconds added to a deadline for each objective that is missed already: jobs that can still
+# meet theirs come first.
+MISSED_OBJECTIVE_PENALTY_S = 1e5
 
 
 class Deadlines:
@@ -30,96 +40,107 @@
     def __init__(self, context: SchedulingContext) -> None:
         self.policy = context.policy
         self.estimates = context.estimates
-        self._released: dict[str, float] = {}  # job -> acceptance on our steady clock
-        self.aims: dict[str | None, list[Objective]] = {}  # by class
-        for aim in context.settings.deployment.objectives:
-            self.aims.setdefault(aim.job_class, []).append(aim)
+        self._released: dict[str, float] = {}  # job -> when it was accepted
+        self.objectives: dict[str | None, list[Objective]] = {}  # by job class
+        for objective in context.settings.deployment.objectives:
+            self.objectives.setdefault(objective.job_class, []).append(objective)
 
-    def size(self, spec: user_api.JobSpec) -> float:
-        """w of the paper: the whole size of a job, in task-seconds."""
+    def job_size(self, spec: user_api.JobSpec) -> float:
+        """Size of the whole job in task-seconds: w of the paper."""
         return spec.tasks * self.estimates.task(spec)
 
-    def release(self, job: Job) -> float:
-        """The job's acceptance on this node's steady clock."""
+    def release_time(self, job: Job) -> float:
+        """When the job was accepted, on the monotonic clock: r of the paper."""
         found = self._released.get(job.id)
         if found is None:
             found = trio.current_time() - max(0.0, time.time() - job.record.at)
             self._released[job.id] = found
         return found
 
-    def forget(self, job_id: str) -> None:
-        """Drop the release time of a job that is over."""
+    def drop(self, job_id: str) -> None:
+        """Drop what is cached of a job that is over."""
         self._released.pop(job_id, None)
 
     def due(self, job: Job, level: float) -> float:
-        """When a job is due at a stretch, aims and lateness counted."""
-        release = self.release(job)
-        due = stretch.deadline(release, self.size(job.spec), level)
-        return min(due, release + self.bound(job.spec)) + self.lateness(job, release)
+        """The deadline of a job at a stretch: the paper's equation 1, d = r + S w, bounded."""
+        release = self.release_time(job)
+        due = stretch.deadline(release, self.job_size(job.spec), level)
+        return min(due, release + self.max_start_delay(job.spec)) + self.lateness_penalty(
+            job, release
+        )
 
-    def bound(self, spec: user_api.JobSpec) -> float:
-        """Seconds from release by which tasks must have begun, whatever the stretch says.
+    def max_start_delay(self, spec: user_api.JobSpec) -> float:
+        """Seconds from release by which tasks must have started, whatever the stretch.
 
-        The leader's deadline, and an aim that lets hardly any job miss it. By stretch
-        the widest jobs of a class wait longest in a flood, and are the ones to miss; an
-        aim that lets many miss is served best just so, and doesn't count here.
+        The least of the job's own deadline and of strict objectives of its class. Under
+        overload a stretch deadline delays the widest jobs of a class most, so that those miss
+        the objective. An objective that lets many jobs miss it is served best by that order and
+        doesn't count here.
         """
         task = self.estimates.task(spec)
         found = [math.inf if spec.deadline is None else spec.deadline]
         found.extend(
-            aim.within_s - task
-            for aim in self.aims.get(spec.job_class, ())
-            if aim.kind == "finished" and aim.within_s is not None and (aim.share or 0.0) >= STRICT
+            objective.within_s - task
+            for objective in self.objectives.get(spec.job_class, ())
+            if objective.kind == "finished"
+            and objective.within_s is not None
+            and (objective.share or 0.0) >= STRICT_OBJECTIVE_SHARE
         )
         return max(0.0, min(found))
 
-    def renew(self, allocation: ShardAllocation) -> None:
-        """What the order needs of a job and changes slowly: once a survey."""
+    def refresh(self, allocation: ShardAllocation) -> None:
+        """Update what the priority order reads of an allocation; called once a survey."""
         now = trio.current_time()
         job = allocation.job
-        allocation.size = self.size(allocation.spec)
-        allocation.late = self.lateness(job, allocation.release)
-        allocation.bound = self.bound(allocation.spec)
+        allocation.size = self.job_size(allocation.spec)
+        allocation.lateness_penalty = self.lateness_penalty(job, allocation.release)
+        allocation.max_start_delay = self.max_start_delay(allocation.spec)
         allocation.capacity_in.clear()
-        begun = bool(allocation.placed) or job.finished.count > 0 or bool(job.local)
-        waits_since = allocation.since if begun else min(allocation.since, allocation.release)
-        allocation.aged = now - waits_since > self.policy.start_within * AGED
+        started = bool(allocation.placed) or job.finished.count > 0 or bool(job.local)
+        pending_since = (
+            allocation.pending_since
+            if started
+            else min(allocation.pending_since, allocation.release)
+        )
+        allocation.aged = now - pending_since > self.policy.start_within * AGING_SHARE
 
-    def due_of(self, allocation: ShardAllocation, level: float) -> float:
-        """`due`, from what the last survey found."""
+    def allocation_due(self, allocation: ShardAllocation, level: float) -> float:
+        """Like `due`, from what the last `refresh` stored."""
         due = stretch.deadline(allocation.release, allocation.size, level)
-        return min(due, allocation.release + allocation.bound) + allocation.late
+        return (
+            min(due, allocation.release + allocation.max_start_delay) + allocation.lateness_penalty
+        )
 
-    def lateness(self, job: Job, release: float) -> float:
-        """Added for each aim that the job can't meet any more."""
+    def lateness_penalty(self, job: Job, release: float) -> float:
+        """Seconds that put a job behind others: for each objective that it can't meet any more."""
         spec = job.spec
         task = self.estimates.task(spec)
         now = trio.current_time()
         missed = 0
-        for aim in self.aims.get(spec.job_class, ()):
-            if aim.kind == "wait":
+        for objective in self.objectives.get(spec.job_class, ()):
+            if objective.kind == "wait":
                 continue
-            limit = aim.within_s
+            limit = objective.within_s
             if limit is None and spec.deadline is not None:
-                limit = spec.deadline * (aim.times or 1.0)
+                limit = spec.deadline * (objective.times or 1.0)
             if limit is not None and now + task > release + limit:
                 missed += 1
-        return missed * 1e5
+        return missed * MISSED_OBJECTIVE_PENALTY_S
 
-    def late(self, job: Job) -> bool:
-        """Whether a job has waited so long that room must be kept for it."""
-        waited = trio.current_time() - self.release(job)
-        return waited > self.policy.start_within / 4
+    def is_late(self, job: Job) -> bool:
+        """Whether a job has been pending for so long that machines are reserved for it."""
+        pending_s = trio.current_time() - self.release_time(job)
+        return pending_s > self.policy.start_within * RESERVATION_SHARE
 
-    def overdue(self, job: Job) -> bool:
-        """Whether a job that stays whole can't begin in time any more.
+    def is_overdue(self, job: Job) -> bool:
+        """Whether a job that must start within one shard can't start in time any more.
 
-        Where there is more work than room, keeping room for a whole gang that is late
-        already makes the next one late too. It goes behind those that may be in time, but
-        not for ever: after twice what users bear it comes first again.
+        Under overload, reserving machines for a gang that is late already makes the next one
+        late too. It goes behind those that may still be in time, but not indefinitely: after
+        twice `start_within` it comes first again.
         """
         if job.service:
-            return False  # what it lacks now says nothing of when it was accepted
-        waited = trio.current_time() - self.release(job)
+            return False  # replicas may be pending long after the service was accepted
+        pending_s = trio.current_time() - self.release_time(job)
         limit = self.policy.start_within
-        return stays_in_one_shard(job.spec) and limit < waited < 2 * limit
+        return stays_in_one_shard(job.spec) and limit < pending_s < 2 * limit
--- a/pitchtally/scheduling/shards/failure_attribution.py
+++ b/pitchtally/scheduling/shards/failure_attribution.py
@@ -1,10 +1,9 @@
-"""A task failed: the machine's fault or the job's? Pure functions of what else they did.
+"""Failure attribution: whether the machine or the job is at fault. Pure functions.
 
 A faulty machine fails the tasks of any job; a job submitted with a mistake fails on any
-machine. One failure tells neither from the other. What tells is the rest of what is
-known: a job that ended a task somewhere, or has one running for longer than its failures
-took, is a good one; a job that failed on several machines and has neither is at fault,
-and then its failures say nothing about the machines.
+machine, and a single failure doesn't tell one from the other. A job that has finished a task
+anywhere, or runs one for longer than its failures took, is good. A job that failed on several
+machines and has done neither is faulty, and its failures are no evidence against the machines.
 """
 
 from __future__ import annotations
@@ -12,38 +11,47 @@
 from collections.abc import Iterable, Mapping
 from enum import Enum
 
-# Distinct machines on which a job without any success has to fail.
-MACHINES = 2
-# Jobs that fail on a machine: of good ones, and of those not known yet.
-GOOD_JOBS = 2
-GOOD_FAILURES = 3
-UNKNOWN_JOBS = 3
+# Distinct machines on which a job without any success fails before it counts as faulty.
+FAULTY_JOB_MACHINES = 2
+# Each of these makes a machine unhealthy: good jobs that failed there, failures of good jobs
+# there, and jobs of unknown health that failed there.
+UNHEALTHY_GOOD_JOBS = 2
+UNHEALTHY_GOOD_FAILURES = 3
+UNHEALTHY_UNKNOWN_JOBS = 3
 
 
-class Standing(Enum):
-    """What a job's failures so far say of it."""
+class JobHealth(Enum):
+    """What the failures and successes of a job so far say of it."""
 
     GOOD = "good"
     UNKNOWN = "unknown"
     FAULTY = "faulty"
 
 
-def standing(
+def classify_job(
     done: bool, failed_on: int, failed_after: float, running_for: Iterable[float], margin: float
-) -> Standing:
-    """Of a job: whether a task of it is done, on how many machines it failed, after how long
-    at most, and how long each task that runs has been running."""
+) -> JobHealth:
+    """Classify a job.
+
+    `done`: a task of it has finished; `failed_on`: the number of machines on which it failed;
+    `failed_after`: seconds of its longest failed run; `running_for`: seconds that each running
+    task has run; `margin`: seconds by which these may be too large.
+    """
     if done:
-        return Standing.GOOD
+        return JobHealth.GOOD
     if not failed_on:
-        return Standing.UNKNOWN
+        return JobHealth.UNKNOWN
     if any(ran > 2 * failed_after + margin for ran in running_for):
-        return Standing.GOOD
-    return Standing.FAULTY if failed_on >= MACHINES else Standing.UNKNOWN
-
-
-def is_unhealthy(failures: Mapping[str, int], jobs: Mapping[str, Standing]) -> bool:
-    """Of a machine: the failures there since a task was last done, by job."""
-    good = [n for id, n in failures.items() if jobs[id] is Standing.GOOD]
-    unknown = sum(1 for id in failures if jobs[id] is Standing.UNKNOWN)
-    return len(good) >= GOOD_JOBS or sum(good) >= GOOD_FAILURES or unknown >= UNKNOWN_JOBS
+        return JobHealth.GOOD
+    return JobHealth.FAULTY if failed_on >= FAULTY_JOB_MACHINES else JobHealth.UNKNOWN
+
+
+def is_unhealthy(failures: Mapping[str, int], jobs: Mapping[str, JobHealth]) -> bool:
+    """Whether a machine is at fault: `failures` there since a task last succeeded, by job."""
+    good_failures = [n for id, n in failures.items() if jobs[id] is JobHealth.GOOD]
+    unknown_jobs = sum(1 for id in failures if jobs[id] is JobHealth.UNKNOWN)
+    return (
+        len(good_failures) >= UNHEALTHY_GOOD_JOBS
+        or sum(good_failures) >= UNHEALTHY_GOOD_FAILURES
+        or unknown_jobs >= UNHEALTHY_UNKNOWN_JOBS
+    )
--- a/pitchtally/scheduling/shards/lower_price_capacity.py
+++ b/pitchtally/scheduling/shards/lower_price_capacity.py
@@ -1,8 +1,8 @@
-"""Room that cheaper machines of a shard have for a task, so that it leaves dear ones free.
+"""Capacity for a job's tasks on lower-priced machines, so that they leave expensive ones free.
 
-Asked for at each report. The rooms of a shard's machines are listed once a survey, by groups
-of like machines; a job then walks a group at most once a survey, and only if one of its
-machines may have room, until it has found room for all that waits.
+It is asked for at each agent heartbeat. What is available on a shard's machines is listed once a
+survey, by machine group. A job then scans a group at most once a survey, only if its request fits
+the largest amounts available there, and stops at the capacity for all of its pending tasks.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 
 @dataclass(slots=True)
 class TaskCapacity:
-    """How many tasks of a job a group of like machines takes."""
+    """How many tasks of a job fit on the machines of a group."""
 
-    on_busy: int = 0
-    on_idle: int = 0
+    on_busy: int = 0  # on machines with placements
+    on_idle: int = 0  # on empty machines
 
     def take(self, count: int) -> None:
-        """So many have been started there."""
+        """Subtract tasks that have been started there, busy machines first."""
         from_busy = min(count, self.on_busy)
         self.on_busy -= from_busy
         self.on_idle = max(0, self.on_idle - (count - from_busy))
@@ -30,45 +30,54 @@
 
 @dataclass(slots=True)
 class GroupCapacity:
-    """What is free on each machine of a group that takes work."""
+    """What is available on each machine of a group that accepts tasks."""
 
     busy: list[Resources] = field(default_factory=list)
     idle: list[Resources] = field(default_factory=list)
-    largest: Resources = NO_RESOURCES  # by resource, of all of them
+    largest: Resources = NO_RESOURCES  # resource by resource
 
     def add(self, machine: Machine) -> None:
-        """List a machine."""
+        """Add a machine."""
         free = machine.available()
         (self.busy if machine.placements else self.idle).append(free)
-        a, b, c = self.largest
-        self.largest = Resources(max(a, free[0]), max(b, free[1]), max(c, free[2]))
-
-    def for_tasks(self, resources: Resources, most: int) -> TaskCapacity:
-        """Room for tasks of this need, counted up to `most` of each kind."""
+        largest = self.largest
+        self.largest = Resources(
+            max(largest.cpus, free.cpus),
+            max(largest.gpus, free.gpus),
+            max(largest.memory, free.memory),
+        )
+
+    def for_tasks(self, resources: Resources, limit: int) -> TaskCapacity:
+        """Capacity for tasks with this request, counted until `limit` each on busy and idle."""
         if not fits(resources, self.largest):
             return TaskCapacity()
-        return TaskCapacity(_count(resources, self.busy, most), _count(resources, self.idle, most))
+        return TaskCapacity(
+            _count(resources, self.busy, limit), _count(resources, self.idle, limit)
+        )
 
 
-def _count(resources: Resources, capacities: list[Resources], most: int) -> int:
-    found = 0
+def _count(resources: Resources, capacities: list[Resources], limit: int) -> int:
+    total = 0
     for available in capacities:
         if fits(resources, available):
-            found += count_fitting(resources, available)
-            if found >= most:
+            total += count_fitting(resources, available)
+            if total >= limit:
                 break
-    return found
+    return total
 
 
 def list_capacities(
-    machines: Iterable[Machine], now: float, longest_silence: float
+    machines: Iterable[Machine], now: float, heartbeat_timeout: float
 ) -> dict[MachineGroupKey, GroupCapacity]:
-    """The rooms of machines that take work and report, by group."""
+    """What is available on unreserved machines, by group.
+
+    `heartbeat_timeout`: seconds since its last heartbeat after which a machine is left out.
+    """
     found: dict[MachineGroupKey, GroupCapacity] = {}
     for machine in machines:
         if machine.reservation is not None and machine.reservation.until >= now:
             continue
-        if now - machine.last_heartbeat_at > longest_silence:
+        if now - machine.last_heartbeat_at > heartbeat_timeout:
             continue
         found.setdefault(machine.group, GroupCapacity()).add(machine)
     return found
--- a/pitchtally/scheduling/shards/machine_queues.py
+++ b/pitchtally/scheduling/shards/machine_queues.py
@@ -1,4 +1,4 @@
-"""The queue that like machines share, as the paper's local scheduler sees it."""
+"""The queue that the machines of a group share, as the paper's local scheduler sees it."""
 
 from __future__ import annotations
 
@@ -13,30 +13,38 @@
 def task_work(
     estimates: Estimates, spec: user_api.JobSpec, machine_type: cloud_api.MachineType
 ) -> float:
-    """a: machine-seconds of one task there, its part of the image's fetch included."""
+    """Machine-seconds of one task on such a machine: a of the paper.
+
+    The estimate times the dominant share; the time to fetch the image is spread over all tasks.
+    """
     seconds = estimates.task(spec)
     if spec.image:
         seconds += spec.image_gb / max(machine_type.fetch_rate, 1e-3) / max(1, spec.tasks)
     return seconds * dominant_share(resource_request(spec), machine_type)
 
 
-def machine_queue(work: ShardState, machine_group: MachineGroup, rank: int) -> list[stretch.Entry]:
-    """The queue of one of these machines as a job of that rank meets it: lower yield."""
-    out = []
-    for id, amount in machine_group.work.items():
-        allocation = work.allocations.get(id)
+def machine_queue(state: ShardState, machine_group: MachineGroup, rank: int) -> list[stretch.Entry]:
+    """The queue of one machine of the group, without the ranks that a job of `rank` preempts.
+
+    Each job's work is divided evenly by the machines that services leave.
+    """
+    entries = []
+    for id, amount in machine_group.load_seconds.items():
+        allocation = state.allocations.get(id)
         if allocation is not None and machine_group.ranks[id] <= rank:
-            out.append(
-                stretch.Entry(allocation.release, allocation.size, amount / machine_group.width)
+            entries.append(
+                stretch.Entry(
+                    allocation.release, allocation.size, amount / machine_group.batch_machines
+                )
             )
-    return out
+    return entries
 
 
 def add_to_queue(
-    estimates: Estimates, work: ShardState, group: MachineGroupKey, id: str, count: int
+    estimates: Estimates, state: ShardState, group: MachineGroupKey, id: str, count: int
 ) -> None:
-    """Count tasks of a job as work in the queue of a group of machines."""
-    machine_group, allocation = work.machine_groups[group], work.allocations[id]
+    """Add tasks of a job to the work in the queue of a machine group."""
+    machine_group, allocation = state.machine_groups[group], state.allocations[id]
     amount = count * task_work(estimates, allocation.spec, machine_group.machine_type)
-    machine_group.work[id] = machine_group.work.get(id, 0.0) + amount
+    machine_group.load_seconds[id] = machine_group.load_seconds.get(id, 0.0) + amount
     machine_group.ranks[id] = allocation.rank
--- a/pitchtally/scheduling/shards/shard_states.py
+++ b/pitchtally/scheduling/shards/shard_states.py
@@ -4,12 +4,13 @@
 
 import logging
 from collections.abc import Collection
+from typing import NamedTuple
 
 import trio
 
 from ...agents.machine import MachineGroupKey, Placement
 from ...jobs.index import Job
-from ...jobs.job_record import JobRecord
+from ...jobs.job_record import OPEN, JobRecord
 from ...protocol import agent_api, user_api
 from ..capacity import allows_machine_type
 from ..context import SchedulingContext
@@ -22,13 +23,22 @@
 log = logging.getLogger(__name__)
 
 
+class JobShape(NamedTuple):
+    """What decides which machines suit a job, together with its class."""
+
+    job_class: str
+    types: tuple[str, ...] | None
+    zone: str | None
+    spot: bool
+
+
 class ShardStates:
     """Keeps the states of our shards up to date; implements `agents.listener.AgentListener`."""
 
     def __init__(
         self,
         context: SchedulingContext,
-        work: dict[int, ShardState],
+        states: dict[int, ShardState],
         statuses: ShardStatuses,
         deadlines: Deadlines,
         failures: FailureTracker,
@@ -39,141 +49,147 @@
         self.machine_types = context.machine_types
         self.estimates = context.estimates
         self.agent_heartbeat_s = context.agent_heartbeat_s
-        self.states = work
+        self.states = states
         self.statuses = statuses
         self.deadlines = deadlines
         self.failures = failures
         self.planning_trigger = planning_trigger
-        self.recent: dict[tuple[object, ...], user_api.JobSpec] = {}  # a job of each shape seen
+        self.recent_jobs: dict[JobShape, user_api.JobSpec] = {}  # the newest of each shape
         self.job_index.subscribe(self.on_job)
 
     def shard_acquired(self, shard: int) -> None:
-        """A part is ours; nothing of it is known yet."""
+        """Begin to lead a shard; its state is empty until the replica covers the failover."""
         self.states[shard] = ShardState()
 
     def shard_lost(self, shard: int) -> None:
-        """A part is another node's."""
+        """Drop the state of a shard that another controller leads from now on."""
         self.states.pop(shard, None)
         self.statuses.newest.pop(shard, None)
 
     def shard_loaded(self, shard: int) -> None:
-        """Our copy covers the failover: jobs wait until their machines are heard."""
-        work = self.states[shard]
-        work.loaded = True
+        """The replica covers the failover: block jobs until their machines are heard from."""
+        state = self.states[shard]
+        state.loaded = True
         for job in list(self.job_index.open.values()):
-            if any(p == shard for _, _, p in job.record.ranges):
-                work.blocked.add(job.id)
+            if any(r.shard == shard for r in job.record.ranges):
+                state.blocked.add(job.id)
 
     def suspects_changed(self, shard: int, groups: Collection[MachineGroupKey]) -> None:
-        """Jobs of which no machine still groups can hold a task go on at once.
+        """Unblock the jobs of which no suspect machine can run a task.
 
-        A job's tasks are only ever on machines that it allows, so one silent machine need
-        not hold up jobs that could never have run there.
+        `groups`: the groups of the machines that are still suspect. A job's tasks only ever run
+        on machines that it allows, so a suspect machine needn't block jobs that could never
+        have run there.
         """
-        work = self.states[shard]
-        for id in sorted(work.blocked):
+        state = self.states[shard]
+        for id in sorted(state.blocked):
             job = self.job_index.jobs[id]
             if any(self._may_be_on(job, group) for group in groups):
                 continue
-            work.blocked.discard(id)
+            state.blocked.discard(id)
             self.update_allocation(job, shard)
-            self._attach_early(work, id)
-            log.debug("job unblocked part=%d job=%s", shard, id)
+            self._attach_early(state, id)
+            log.debug("job unblocked shard=%d job=%s", shard, id)
         self.planning_trigger.set()
 
     def _may_be_on(self, job: Job, group: MachineGroupKey) -> bool:
-        """Whether a task of the job may be on machines of a group that an earlier leader used."""
-        type_, zone, spot = group
-        machine_type = self.machine_types().get(type_)
+        """Whether an earlier leader may have placed a task of the job on machines of a group."""
+        machine_type = self.machine_types().get(group.type)
         spec = job.spec
         if machine_type is None:
             return True
-        if spec.one_zone and spec.tasks > 1 and job.record.zone not in (None, zone):
+        if spec.one_zone and spec.tasks > 1 and job.record.zone not in (None, group.zone):
             return False
-        return allows_machine_type(spec, machine_type, zone, spot)
-
-    def _attach_early(self, work: ShardState, id: str) -> None:
-        """Tasks of a job that were seen on machines before it was known whether all are."""
-        early = [placement for placement in work.early if placement.job.id == id]
-        work.early = [placement for placement in work.early if placement.job.id != id]
-        for placement in early:
-            # Those that ended meanwhile were given back in `gone`.
+        return allows_machine_type(spec, machine_type, group.zone, group.spot)
+
+    def _attach_early(self, state: ShardState, id: str) -> None:
+        """Attach the tasks of a job that were found on machines while it was blocked."""
+        unattached = [placement for placement in state.unattached if placement.job.id == id]
+        state.unattached = [placement for placement in state.unattached if placement.job.id != id]
+        for placement in unattached:
+            # `placement_lost` has made those pending that ended meanwhile.
             if placement.machine.placements.get(placement.key) is placement:
                 self._attach(placement)
 
     def shard_reconciled(self, shard: int) -> None:
-        """Every machine that may hold a task is heard or gone: the rest is nowhere."""
-        work = self.states[shard]
-        work.reconciled = True
-        work.blocked.clear()
+        """Every machine that may run a task is heard from, or lost: other tasks are pending."""
+        state = self.states[shard]
+        state.reconciled = True
+        state.blocked.clear()
         for job in list(self.job_index.open.values()):
             self.update_allocation(job, shard)
-        for id in sorted({placement.job.id for placement in work.early}):
-            self._attach_early(work, id)
+        for id in sorted({placement.job.id for placement in state.unattached}):
+            self._attach_early(state, id)
         self.planning_trigger.set()
 
     def on_job(self, job: Job, old: JobRecord | None) -> None:
-        """A job's record has changed."""
+        """A job's record has changed; `old`: the record before, None for a new job."""
         if not job.open:
-            self.deadlines.forget(job.id)
-            for work in self.states.values():
-                allocation = work.allocations.pop(job.id, None)
-                work.gangs.pop(job.id, None)
-                work.blocked.discard(job.id)
-                for queue in work.queues.values():
-                    queue.pop(job.id, None)
-                if allocation is not None:
-                    for placement in list(allocation.placed.values()):
-                        self.agents.stop(placement, 0.0)
-            if old is None or old.stage == "open":
+            self._drop_job(job)
+            if old is None or old.stage == OPEN:
                 self.agents.stop_job(job.id)
             return
         if old is None:
             spec = job.spec
-            self.recent[(spec.job_class, spec.types, spec.zone, spec.spot)] = spec
+            shape = JobShape(spec.job_class, spec.types, spec.zone, spec.spot)
+            self.recent_jobs[shape] = spec
         if old is not None and old.ranges == job.record.ranges and old.zone == job.record.zone:
             return
         for shard in list(self.states):
             self.update_allocation(job, shard)
         self.planning_trigger.set()
 
+    def _drop_job(self, job: Job) -> None:
+        """Drop the allocations of a job that is over, and stop its tasks without grace."""
+        self.deadlines.drop(job.id)
+        for state in self.states.values():
+            allocation = state.allocations.pop(job.id, None)
+            state.gangs.pop(job.id, None)
+            state.blocked.discard(job.id)
+            for queue in state.queues.values():
+                queue.pop(job.id, None)
+            if allocation is not None:
+                for placement in list(allocation.placed.values()):
+                    self.agents.stop(placement, 0.0)
+
     def update_allocation(self, job: Job, shard: int) -> None:
-        """Bring what a shard holds of a job up to its record."""
-        work = self.states.get(shard)
-        if work is None:
-            return  # lost while the write that changed the job was under way
-        mine = [(a, b) for a, b, p in job.record.ranges if p == shard]
-        allocation = work.allocations.get(job.id)
+        """Make a shard's allocation of a job match the job's record."""
+        state = self.states.get(shard)
+        if state is None:
+            return  # another leader acquired the shard during the write
+        ranges = [(r.first, r.end) for r in job.record.ranges if r.shard == shard]
+        allocation = state.allocations.get(job.id)
         if allocation is None:
-            if not mine or not work.loaded or job.id in work.blocked:
+            if not ranges or not state.loaded or job.id in state.blocked:
                 return
-            allocation = work.allocations[job.id] = ShardAllocation(
-                job, shard, self.deadlines.release(job)
+            allocation = state.allocations[job.id] = ShardAllocation(
+                job, shard, self.deadlines.release_time(job)
             )
             if allocation.gang:
-                work.gangs[job.id] = allocation
-            self.deadlines.renew(allocation)
+                state.gangs[job.id] = allocation
+            self.deadlines.refresh(allocation)
             allocation.rebuild()
-        elif allocation.ranges != mine and not allocation.moving:
+        elif allocation.ranges != ranges and not allocation.moving:
             allocation.rebuild()
-        work.expect(allocation.resources)
-        if not mine and not allocation.placed:
-            work.allocations.pop(job.id, None)
-            work.gangs.pop(job.id, None)
+        state.lower_smallest_request(allocation.resources)
+        if not ranges and not allocation.placed:
+            state.allocations.pop(job.id, None)
+            state.gangs.pop(job.id, None)
 
     def adopt(self, placement: Placement) -> bool:
-        """A running task that an earlier leader started; False: it must be stopped."""
-        work = self.states.get(placement.machine.shard)
-        if work is None:
+        """Take over a running task that an earlier leader started; False: it is to be stopped."""
+        state = self.states.get(placement.machine.shard)
+        if state is None:
             return False
-        if placement.job.id in work.blocked or not work.loaded:
-            work.early.append(placement)
+        if placement.job.id in state.blocked or not state.loaded:
+            state.unattached.append(placement)
             return True
         return self._attach(placement)
 
     def _attach(self, placement: Placement) -> bool:
-        work = self.states[placement.machine.shard]
-        allocation = work.allocations.get(placement.job.id)
+        """Count a running task as placed; stop it if it is another shard's or runs twice."""
+        state = self.states[placement.machine.shard]
+        allocation = state.allocations.get(placement.job.id)
         if allocation is None or placement.task in allocation.placed:
             self.agents.stop(placement, 0.0)
             return False
@@ -185,23 +201,23 @@
         return True
 
     def task_completed(self, placement: Placement, ran: float) -> None:
-        """A task of ours is done."""
+        """A task in one of our shards has finished after `ran` seconds."""
         self.estimates.learn(placement.spec, ran)
-        work = self.states.get(placement.machine.shard)
-        allocation = work.allocations.get(placement.job.id) if work else None
+        state = self.states.get(placement.machine.shard)
+        allocation = state.allocations.get(placement.job.id) if state else None
         last = (
             allocation is not None and not allocation.pending.count and len(allocation.placed) <= 1
         )
         self.job_index.task_done(placement.job, placement.task, urgent=last)
 
     def placement_lost(self, placement: Placement, cause: str) -> None:
-        """The task is on no machine any more: finished, or to be started again."""
-        work = self.states.get(placement.machine.shard)
-        if work is None:
+        """The task is on no machine any more: it is finished, or becomes pending again."""
+        state = self.states.get(placement.machine.shard)
+        if state is None:
             return
-        if placement in work.early:
-            work.early.remove(placement)
-        allocation = work.allocations.get(placement.job.id)
+        if placement in state.unattached:
+            state.unattached.remove(placement)
+        allocation = state.allocations.get(placement.job.id)
         if allocation is None or allocation.placed.get(placement.task) is not placement:
             return
         del allocation.placed[placement.task]
@@ -210,15 +226,15 @@
             return
         if not job.is_finished(placement.task):
             allocation.give_back(placement.task)
-            work.expect(allocation.resources)
+            state.lower_smallest_request(allocation.resources)
             if allocation.service:
                 self.failures.replica_ended(allocation, placement, cause)
             if cause == agent_api.ERROR:
-                self.failures.task_failed(work, allocation, placement)
+                self.failures.task_failed(state, allocation, placement)
             elif cause == agent_api.UNKNOWN:
                 allocation.not_before = trio.current_time() + self.agent_heartbeat_s
         if job.spec.kind == user_api.GANG and not job.is_finished(placement.task):
-            # What is left of the gang can't go on: the next attempt needs all gone.
+            # The other tasks can't go on; the next attempt starts once all are stopped.
             for other in list(allocation.placed.values()):
                 self.agents.stop(other, job.spec.save)
         self.planning_trigger.set()
--- a/pitchtally/scheduling/shards/shard_statuses.py
+++ b/pitchtally/scheduling/shards/shard_statuses.py
@@ -1,11 +1,20 @@
-"""What shards tell one another of themselves, and what is worked out from it."""
+"""The newest status of every shard, from our own planning and from peer heartbeats."""
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 import trio
 
 from ...agents.machine import MachineGroupKey
-from ...jobs.resources import capacity_of, count_fitting, dominant_share, fits, resource_request
+from ...jobs.resources import (
+    Resources,
+    capacity_of,
+    count_fitting,
+    dominant_share,
+    fits,
+    resource_request,
+)
 from ...membership.membership import Membership
 from ...membership.messages import MachineStatus, PeerHeartbeat, ShardStatus
 from ...protocol import user_api
@@ -13,9 +22,29 @@
 from ..context import SchedulingContext
 from .allocations import ShardState
 
+# Peer heartbeats after which a shard's status includes the tasks assigned to it before.
+REPORTING_HEARTBEATS = 3
+
+
+class UnreportedAllocation(NamedTuple):
+    """Tasks assigned to a shard that its newest status may not include yet."""
+
+    recorded_at: float
+    work: float  # machine-seconds
+
+
+class CapacityKey(NamedTuple):
+    """What `ShardStatuses.free_capacity` depends on, besides the status."""
+
+    by_preemption: bool
+    resources: Resources
+    types: tuple[str, ...] | None
+    zone: str | None
+    spot: bool
+
 
 class ShardStatuses:
-    """The newest status of every shard, and results cached until the next one."""
+    """The newest status of every shard, and results derived from it, cached until the next."""
 
     def __init__(
         self,
@@ -30,38 +59,39 @@
         self.membership = membership
         self.shards = shards
         self.newest: dict[int, ShardStatus] = {}  # of every shard, ours included
-        self.received_at: dict[int, float] = {}  # when a peer's status came
-        self.unreported: dict[int, list[tuple[float, float]]] = {}
-        self.capacities: dict[int, dict[tuple[object, ...], int]] = {}  # see `free_capacity`
+        self.received_at: dict[int, float] = {}  # of statuses from peers
+        self.unreported: dict[int, list[UnreportedAllocation]] = {}  # by shard
+        # Caches by shard.
+        self.capacities: dict[int, dict[CapacityKey, int]] = {}  # see `free_capacity`
         self.zones: dict[int, dict[tuple[object, ...], dict[str, int]]] = {}  # see `GangPlanner`
         self.groups: dict[int, dict[MachineGroupKey, list[MachineStatus]]] = {}  # see `groups_of`
 
     def put(self, status: ShardStatus) -> None:
-        """Take in a status as the newest of its shard."""
+        """Store a status as the newest of its shard."""
         self.newest[status.shard] = status
-        self._renewed(status.shard)
+        self._invalidate(status.shard)
 
     def take_heartbeat(self, heartbeat: PeerHeartbeat) -> None:
-        """Take in what a peer tells of the shards that it owns."""
+        """Store the statuses of the shards that a peer leads; ignore others in its heartbeat."""
         for status in heartbeat.shards:
             leader = self.membership.leader(status.shard)
             if leader != heartbeat.node:
                 continue
-            self._renewed(status.shard)
+            self._invalidate(status.shard)
             self.received_at[status.shard] = trio.current_time()
             old = self.newest.get(status.shard)
             if not status.matrix and old is not None:
                 status.matrix = old.matrix
             self.newest[status.shard] = status
 
-    def _renewed(self, shard: int) -> None:
-        """What was worked out from a shard's last status is worth nothing any more."""
+    def _invalidate(self, shard: int) -> None:
+        """Drop what was derived from a shard's last status."""
         self.capacities.pop(shard, None)
         self.zones.pop(shard, None)
         self.groups.pop(shard, None)
 
     def groups_of(self, status: ShardStatus) -> dict[MachineGroupKey, list[MachineStatus]]:
-        """A status's machines by what decides whether a job may use them."""
+        """The machines of a status by group; a job allows all machines of a group, or none."""
         found = self.groups.get(status.shard)
         if found is None:
             found = self.groups[status.shard] = {}
@@ -70,27 +100,27 @@
                 found.setdefault(group, []).append(machine)
         return found
 
-    def forget_old_allocations(self, now: float) -> None:
-        """After a few heartbeats a shard's own status shows what it was sent."""
-        limit = self.policy.heartbeat_interval * 3
+    def drop_reported_allocations(self, now: float) -> None:
+        """Drop allocations so old that the shard's own status includes them."""
+        limit = self.policy.heartbeat_interval * REPORTING_HEARTBEATS
         for shard, rows in list(self.unreported.items()):
-            self.unreported[shard] = [r for r in rows if now - r[0] < limit]
+            self.unreported[shard] = [row for row in rows if now - row.recorded_at < limit]
             if not self.unreported[shard]:
                 del self.unreported[shard]
 
     def own(self) -> list[ShardStatus]:
-        """What this node tells of its own shards."""
-        return [self.newest[p] for p in self.shards if p in self.newest]
+        """The statuses that this controller sends: of the shards that it leads."""
+        return [self.newest[shard] for shard in self.shards if shard in self.newest]
 
     def free_capacity(
         self, status: ShardStatus, spec: user_api.JobSpec, *, by_preemption: bool
     ) -> int:
-        """How many tasks the shard's machines could take now (or by preempting)."""
+        """How many tasks the shard's machines could start now, or by preemption."""
         resources = resource_request(spec)
-        # Statuses are renewed a few times a second, and asked about far more often.
-        known = self.capacities.setdefault(status.shard, {})
-        key = (by_preemption, resources, spec.types, spec.zone, spec.spot)
-        found = known.get(key)
+        # A status is replaced a few times a second, and this is asked far more often.
+        cached = self.capacities.setdefault(status.shard, {})
+        key = CapacityKey(by_preemption, resources, spec.types, spec.zone, spec.spot)
+        found = cached.get(key)
         if found is not None:
             return found
         total = 0
@@ -106,21 +136,24 @@
                     available = available.plus(machine.preemptible)
                 if fits(resources, available):
                     total += count_fitting(resources, available)
-        known[key] = total
+        cached[key] = total
         return total
 
     def record_allocation(self, shard: int, spec: user_api.JobSpec, count: int) -> None:
-        """Lower a shard's availability at once, before its next matrix shows it."""
-        kinds = [
-            k for k in self.machine_types().values() if fits(resource_request(spec), capacity_of(k))
+        """Lower a shard's availability at once, before its next status includes the tasks."""
+        suitable = [
+            machine_type
+            for machine_type in self.machine_types().values()
+            if fits(resource_request(spec), capacity_of(machine_type))
         ]
-        if kinds:
-            share = min(dominant_share(resource_request(spec), k) for k in kinds)
+        if suitable:
+            share = min(dominant_share(resource_request(spec), each) for each in suitable)
             work = count * self.estimates.task(spec) * share
-            self.unreported.setdefault(shard, []).append((trio.current_time(), work))
+            allocation = UnreportedAllocation(trio.current_time(), work)
+            self.unreported.setdefault(shard, []).append(allocation)
 
     def running(self, id: str) -> int:
-        """Tasks of a job running on machines that this node knows of, for display."""
+        """How many tasks of a job run, as far as this controller knows; for display only."""
         return sum(
             load.running
             for shard in self.shards
--- a/pitchtally/scheduling/shards/task_start.py
+++ b/pitchtally/scheduling/shards/task_start.py
@@ -1,4 +1,4 @@
-"""Gives tasks their places on machines."""
+"""Places tasks on machines, under attempt numbers that are never used twice."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 def next_attempt(agents: AgentManager, shard: int) -> int:
-    """A number for the next start, never used before by anyone."""
+    """The attempt number of the next start in a shard; no leader of it has used it before."""
     return agents.shards[shard].next_attempt()
 
 
 def place_task(
     agents: AgentManager, allocation: ShardAllocation, task: int, machine: Machine, attempt: int
 ) -> None:
-    """Give a task its place on a machine; the agent's next heartbeat is answered by its start."""
+    """Place a task on a machine; the response to the agent's next heartbeat starts it."""
     placement = Placement(allocation.job, task, attempt, machine)
     allocation.placed[task] = placement
     agents.placements.put(placement)
-    allocation.since = trio.current_time()
+    allocation.pending_since = trio.current_time()
--- a/tests/scheduling/test_failure_attribution.py
+++ b/tests/scheduling/test_failure_attribution.py
@@ -5,13 +5,13 @@
 import pytest
 import trio
 
-from pitchtally.scheduling.shards.failure_attribution import Standing, is_unhealthy, standing
+from pitchtally.scheduling.shards.failure_attribution import JobHealth, classify_job, is_unhealthy
 
 from ..harness.simulation import Simulation, job, run
 
-GOOD, UNKNOWN, FAULTY = Standing.GOOD, Standing.UNKNOWN, Standing.FAULTY
+GOOD, UNKNOWN, FAULTY = JobHealth.GOOD, JobHealth.UNKNOWN, JobHealth.FAULTY
 
-STANDINGS: list[tuple[bool, int, list[float], Standing]] = [
+JOB_HEALTH: list[tuple[bool, int, list[float], JobHealth]] = [
     # a task is done, machines that it failed on, how long its tasks run; failures took 3 s
     (False, 0, [], UNKNOWN),
     (False, 1, [], UNKNOWN),
@@ -22,14 +22,12 @@
 ]
 
 
-@pytest.mark.parametrize(("done", "machines", "running", "found"), STANDINGS)
-def test_standing_of_a_job(
-    done: bool, machines: int, running: list[float], found: Standing
-) -> None:
-    assert standing(done, machines, 3.0, running, 2.0) is found
+@pytest.mark.parametrize(("done", "machines", "running", "found"), JOB_HEALTH)
+def test_health_of_a_job(done: bool, machines: int, running: list[float], found: JobHealth) -> None:
+    assert classify_job(done, machines, 3.0, running, 2.0) is found
 
 
-SICK: list[tuple[dict[str, tuple[int, Standing]], bool]] = [
+MACHINE_HEALTH: list[tuple[dict[str, tuple[int, JobHealth]], bool]] = [
     ({}, False),
     ({"a": (50, FAULTY), "b": (50, FAULTY), "c": (9, FAULTY)}, False),
     ({"a": (50, UNKNOWN), "b": (50, UNKNOWN)}, False),
@@ -40,8 +38,8 @@
 ]
 
 
-@pytest.mark.parametrize(("failures", "found"), SICK)
-def test_sickness_of_a_machine(failures: dict[str, tuple[int, Standing]], found: bool) -> None:
+@pytest.mark.parametrize(("failures", "found"), MACHINE_HEALTH)
+def test_health_of_a_machine(failures: dict[str, tuple[int, JobHealth]], found: bool) -> None:
     counts = {id: n for id, (n, _) in failures.items()}
     assert is_unhealthy(counts, {id: s for id, (_, s) in failures.items()}) is found
 
--- a/tests/scheduling/test_gang_plan.py
+++ b/tests/scheduling/test_gang_plan.py
@@ -4,9 +4,14 @@
 
 import pytest
 
-from pitchtally.scheduling.capacity import plan_gang
+from pitchtally.scheduling.capacity import ShardZone, plan_gang
 
-ROOMS = {(0, "a"): 2, (1, "a"): 1, (1, "b"): 3, (2, "b"): 1}
+CAPACITIES = {
+    ShardZone(0, "a"): 2,
+    ShardZone(1, "a"): 1,
+    ShardZone(1, "b"): 3,
+    ShardZone(2, "b"): 1,
+}
 
 
 @pytest.mark.parametrize(
@@ -20,13 +25,13 @@
         (7, False, True, True),
     ],
 )
-def test_plan_rooms(tasks: int, one_zone: bool, spread: bool, fits_: bool) -> None:
-    plan = plan_gang(ROOMS, tasks, one_zone=one_zone, spread=spread)
+def test_plan_gang(tasks: int, one_zone: bool, spread: bool, fits_: bool) -> None:
+    plan = plan_gang(CAPACITIES, tasks, one_zone=one_zone, spread=spread)
     assert (plan is not None) == fits_
     if plan is None:
         return
     assert sum(plan.values()) == tasks
-    assert all(n <= ROOMS[key] for key, n in plan.items())
+    assert all(n <= CAPACITIES[key] for key, n in plan.items())
     zones = {z: sum(n for (_, y), n in plan.items() if y == z) for _, z in plan}
     assert not one_zone or len(zones) == 1
     assert not spread or max(zones.values()) <= (tasks + 1) // 2
--- a/tests/scheduling/test_pending_tasks.py
+++ b/tests/scheduling/test_pending_tasks.py
@@ -9,7 +9,7 @@
     pending = PendingTasks()
     pending.put(50, 60)
     pending.put(0, 20)
-    carved = [t for a, b in pending.carve(13) for t in range(a, b)]
+    carved = [t for a, b in pending.split_off(13) for t in range(a, b)]
     popped = [pending.pop() for _ in range(pending.count)]
     assert len(carved) == 13
     assert sorted(carved + popped) == [*range(20), *range(50, 60)]
