--- a/tests/harness/simulation.py
+++ b/tests/harness/simulation.py
@@ -11,7 +11,7 @@
 import trio
 import trio.testing
 
-from pitchtally.api import routes
+from pitchtally.api import job_creation
 from pitchtally.config import policy
 from pitchtally.config.settings import (
     AgentTimes,
@@ -314,7 +314,7 @@
         sim.network.install(monkeypatch)
         clock = types.SimpleNamespace(time=trio.current_time)
         monkeypatch.setattr(deadlines, "time", clock)
-        monkeypatch.setattr(routes, "time", clock)
+        monkeypatch.setattr(job_creation, "time", clock)
         if earlier is not None:
             earlier.install(monkeypatch, sim.network, clock)
         async with trio.open_nursery() as nursery:
