--- a/pitchtally/scheduling/assignment/proportional_split.py
+++ b/pitchtally/scheduling/assignment/proportional_split.py
@@ -36,7 +36,7 @@
     def cover(self, status: ShardStatus, spec: user_api.JobSpec, level: int) -> int:
         """n of a shard at a stretch sample, from its matrix, less what was sent since."""
         total = 0
-        size = stretch.sample_below(self.samples.sizes, self.deadlines.job_size(spec))
+        size = stretch.last_index_at_most(self.samples.sizes, self.deadlines.job_size(spec))
         sent = sum(w for _, w in self.statuses.unreported.get(status.shard, ()))
         for name, cells in status.matrix:
             type_, zone, spot = name.split("|")
@@ -46,7 +46,7 @@
             ):
                 continue
             task = self.estimates.task(spec) * dominant_share(resource_request(spec), machine_type)
-            total += cells[level][size][stretch.sample_above(self.samples.tasks, task)]
+            total += cells[level][size][stretch.first_index_at_least(self.samples.tasks, task)]
             if sent and total:
                 total -= math.ceil(sent / max(task, 1e-6))
                 sent = 0.0
@@ -71,7 +71,7 @@
             return []
         out, first = [], 0
         for status, n in zip(
-            statuses, stretch.shares(found, min(spec.tasks, sum(found))), strict=True
+            statuses, stretch.proportional_shares(found, min(spec.tasks, sum(found))), strict=True
         ):
             if n:
                 out.append(TaskRange(first, first + n, status.shard))
--- a/pitchtally/scheduling/context.py
+++ b/pitchtally/scheduling/context.py
@@ -1,4 +1,4 @@
-"""What all components of the scheduler share: plain data and objects of lower layers."""
+"""What all components of the scheduler share: settings, and objects of lower layers."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 class AvailabilitySamples(NamedTuple):
     """The axes of the availability matrices, each a rising geometric series."""
 
-    stretches: list[float]  # S, in task-seconds per task-second
+    stretches: list[float]  # S, dimensionless
     sizes: list[float]  # w, in task-seconds
     tasks: list[float]  # a, in machine-seconds
 
     @classmethod
     def from_policy(cls, policy: Policy) -> AvailabilitySamples:
-        """As many samples of each axis as the policy asks for."""
+        """The axes over fixed ranges, with the numbers of samples that the policy gives."""
         return cls(
-            # From far below any real queue upward.
+            # The least is far below the stretch of any real queue.
             stretch.samples(2.0**-12, 2.0**3, int(policy.stretch_samples)),
             stretch.samples(16.0, 2.0**19, int(policy.size_samples)),
             stretch.samples(0.25, 0.25 * 3.0**7, int(policy.task_samples)),
--- a/pitchtally/scheduling/placement/allotment.py
+++ b/pitchtally/scheduling/placement/allotment.py
@@ -98,7 +98,7 @@
                 group.batch_machines / max(cost, MIN_TASK_COST_S)
                 for cost, group in zip(costs, groups.values(), strict=True)
             ]
-        for key, share in zip(groups, stretch.shares(weights, count), strict=True):
+        for key, share in zip(groups, stretch.proportional_shares(weights, count), strict=True):
             if share:
                 queue = state.queues.setdefault(key, {})
                 queue[id] = queue.get(id, 0) + share
@@ -125,7 +125,8 @@
         def counts(level: float) -> list[int]:
             return [
                 int(
-                    machines * stretch.capacity(stretch.gap(queue, level, release, size, now), cost)
+                    machines
+                    * stretch.tasks_in_gap(stretch.gap(queue, level, release, size, now), cost)
                 )
                 for queue, cost, machines in zip(queues, costs, machine_counts, strict=True)
             ]
--- a/pitchtally/scheduling/priorities.py
+++ b/pitchtally/scheduling/priorities.py
@@ -1,4 +1,4 @@
-"""Which job comes first in a shard: rank, then guarantee, then deadline."""
+"""The priority order of jobs in a shard: by rank, then guarantee, then deadline."""
 
 from __future__ import annotations
 
@@ -8,9 +8,18 @@
 from .shards.allocations import ShardAllocation
 from .shards.deadlines import Deadlines
 
+# Rank, whether the team is outside its guarantee, deadline; the least comes first. A plain tuple,
+# since one is made for each pending job at each agent heartbeat.
+PriorityKey = tuple[int, bool, float]
+# Ahead of every rank.
+AGED_RANK = -1
+# Task lengths that a job without any objective may be pending.
+DEFAULT_SLACK_TASKS = 3
+MIN_SLACK_S = 1.0
+
 
 class PriorityOrder:
-    """Who comes first: ranks, guarantees, deadlines, and long waits."""
+    """Priority keys of allocations, and how long a job may be pending."""
 
     def __init__(
         self,
@@ -24,35 +33,35 @@
         self.quotas = quotas
 
     def slack(self, spec: user_api.JobSpec) -> float:
-        """Seconds a job of this class may wait and still be in time, by the tightest aim."""
+        """Seconds that a job may be pending and still meet the tightest objective of its class."""
         task = self.estimates.task(spec)
-        found = [] if spec.deadline is None else [spec.deadline - task]
-        found.extend(
-            aim.within_s - (0.0 if aim.kind == "wait" else task)
-            for aim in self.deadlines.objectives.get(spec.job_class, ())
-            if aim.within_s is not None
+        limits = [] if spec.deadline is None else [spec.deadline - task]
+        limits.extend(
+            objective.within_s - (0.0 if objective.kind == "wait" else task)
+            for objective in self.deadlines.objectives.get(spec.job_class, ())
+            if objective.within_s is not None
         )
         if spec.kind == user_api.GANG and self.quotas.guaranteed(spec.team):
-            # Arrays fill what frees up, but a gang within its team's guarantee starts in
-            # time only where room for all of it is up already.
-            found.extend(
-                aim.within_s
-                for aim in self.deadlines.objectives.get(None, ())
-                if aim.kind == "guarantee" and aim.within_s is not None
+            # Arrays start as capacity becomes available, but a gang within its team's guarantee
+            # starts in time only if machines for all of it are up already.
+            limits.extend(
+                objective.within_s
+                for objective in self.deadlines.objectives.get(None, ())
+                if objective.kind == "guarantee" and objective.within_s is not None
             )
-        # A service is missed from its first second on.
-        usual = self.agent_heartbeat_s if spec.is_service else task * 3
-        return max(1.0, min(found, default=usual))
+        # The users of a service notice each second that a replica is missing.
+        default = self.agent_heartbeat_s if spec.is_service else task * DEFAULT_SLACK_TASKS
+        return max(MIN_SLACK_S, min(limits, default=default))
 
-    def key(self, allocation: ShardAllocation, level: float) -> tuple[int, bool, float]:
-        """Rank, then guarantee, then deadline; first of all who waits since too long.
+    def key(self, allocation: ShardAllocation, level: float) -> PriorityKey:
+        """The sort key of an allocation, with deadlines at the stretch `level`.
 
-        A stretch deadline alone keeps nobody from starving where ranks stand above it:
-        a job that has had no start for most of what users bear comes before all others
-        until it has one, in order of acceptance.
+        Since rank comes before the deadline, a low rank could starve. Aging prevents that: a job
+        pending for most of `start_within` precedes all others until its next start, in order of
+        release.
         """
         if allocation.aged:
-            return (-1, False, allocation.release)
+            return (AGED_RANK, False, allocation.release)
         return (
             allocation.rank,
             not self.quotas.under(allocation.spec),
--- a/pitchtally/scheduling/shards/machine_queues.py
+++ b/pitchtally/scheduling/shards/machine_queues.py
@@ -23,7 +23,9 @@
     return seconds * dominant_share(resource_request(spec), machine_type)
 
 
-def machine_queue(state: ShardState, machine_group: MachineGroup, rank: int) -> list[stretch.Entry]:
+def machine_queue(
+    state: ShardState, machine_group: MachineGroup, rank: int
+) -> list[stretch.QueueEntry]:
     """The queue of one machine of the group, without the ranks that a job of `rank` preempts.
 
     Each job's work is divided evenly by the machines that services leave.
@@ -33,7 +35,7 @@
         allocation = state.allocations.get(id)
         if allocation is not None and machine_group.ranks[id] <= rank:
             entries.append(
-                stretch.Entry(
+                stretch.QueueEntry(
                     allocation.release, allocation.size, amount / machine_group.batch_machines
                 )
             )
--- a/pitchtally/scheduling/stretch.py
+++ b/pitchtally/scheduling/stretch.py
@@ -1,9 +1,10 @@
 """The paper's local scheduler: stretch deadlines, EDF, least stretch, availability.
 
-Pure functions over a machine's queue. Work is in machine-seconds: a task's
-estimate times its dominant share of the machine, so one number stands for a
-vector of resources and a machine's speed is 1. Algorithms 1 to 3 of Celaya and
-Marchal, with the names of the paper in the comments.
+Pure functions over a machine's queue: equations 1 and 2 and algorithms 1 to 4 of Celaya and
+Marchal, with the paper's symbols in the comments. An application of the paper is a job here.
+Times are in seconds on one clock. Work is in machine-seconds: a task's estimate times its
+dominant share of the machine, so that one number stands for a vector of resources and the speed
+of a machine is 1.
 """
 
 from __future__ import annotations
@@ -13,13 +14,18 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
+# The search for the least stretch stays between these.
+MIN_STRETCH, MAX_STRETCH = 1e-9, 1e12
+# Quotients of floats that miss a whole number by less count as that number.
+ROUNDING = 1e-9
 
-class Entry(NamedTuple):
-    """What a machine's queue holds of one application."""
 
-    release: float  # r
-    size: float  # w: the application's whole size
-    work: float  # N^u * a: machine-seconds of it that are left on this machine
+class QueueEntry(NamedTuple):
+    """The tasks of one job in a machine's queue."""
+
+    release: float  # r: when the job was released
+    size: float  # w: the size of the whole job, in task-seconds
+    work: float  # N^u a: machine-seconds that are left on this machine
 
 
 def deadline(release: float, size: float, stretch: float) -> float:
@@ -27,31 +33,31 @@
     return release + stretch * size
 
 
-def meets(queue: Sequence[Entry], stretch: float, now: float) -> bool:
-    """Algorithm 1: whether EDF at this stretch meets every deadline."""
+def meets(queue: Sequence[QueueEntry], stretch: float, now: float) -> bool:
+    """Algorithm 1: whether earliest deadline first meets every deadline at this stretch."""
     end = now
-    for limit, work in sorted((deadline(e.release, e.size, stretch), e.work) for e in queue):
+    for due, work in sorted((deadline(e.release, e.size, stretch), e.work) for e in queue):
         end += work
-        if end > limit:
+        if end > due:
             return False
     return True
 
 
-def least_stretch(queue: Sequence[Entry], now: float, tolerance: float = 0.01) -> float:
-    """Algorithm 2, with a tolerance relative to the result.
+def least_stretch(queue: Sequence[QueueEntry], now: float, tolerance: float = 0.01) -> float:
+    """Algorithm 2: the least stretch at which every deadline is met, by bisection.
 
-    The paper's absolute tolerance suits one scale of sizes; ours differ by a
-    factor of thousands between a gang of one and a wide array.
+    `tolerance` is relative to the result. The paper's absolute one suits a single scale of
+    sizes; here sizes differ by factors of thousands between a gang of one and a wide array.
     """
     if not queue:
         return 0.0
     low, high = 0.0, 1.0
     while not meets(queue, high, now):
         low, high = high, high * 2
-        if high > 1e12:
+        if high > MAX_STRETCH:
             return high
     if low == 0.0:
-        while high > 1e-9 and meets(queue, high / 2, now):
+        while high > MIN_STRETCH and meets(queue, high / 2, now):
             high /= 2
         low = high / 2
     while high - low > tolerance * high:
@@ -63,62 +69,67 @@
     return high
 
 
-class Line(NamedTuple):
-    """A queue in EDF order at one stretch, prepared for many new applications."""
+class EdfSchedule(NamedTuple):
+    """A queue in EDF order at one stretch, prepared to be asked about many new jobs."""
 
-    dues: list[float]  # deadlines, rising
-    before: list[float]  # work of the applications ahead of each place
-    latest: list[float]  # x_i: the latest start of each that makes nobody late
-    late: bool  # some application misses its deadline at this stretch
+    deadlines: list[float]  # d_i, rising
+    work_before: list[float]  # machine-seconds of the jobs ahead of each position
+    latest_starts: list[float]  # x_i: the latest start of each such that no job is late
+    feasible: bool  # every deadline is met at this stretch
 
 
-def line(queue: Sequence[Entry], stretch: float, now: float) -> Line:
-    """EDF at a stretch, with what each application leaves to the others."""
+def edf_schedule(queue: Sequence[QueueEntry], stretch: float, now: float) -> EdfSchedule:
+    """Order a queue by its deadlines at a stretch, and work out the slack of each position."""
     rows = sorted((deadline(e.release, e.size, stretch), e.work) for e in queue)
-    before, done = [0.0], 0.0
+    work_before, total = [0.0], 0.0
     for _, work in rows:
-        done += work
-        before.append(done)
-    latest = [math.inf] * (len(rows) + 1)
+        total += work
+        work_before.append(total)
+    latest_starts = [math.inf] * (len(rows) + 1)
     for i in range(len(rows) - 1, -1, -1):
         due, work = rows[i]
-        latest[i] = min(due, latest[i + 1]) - work
-    return Line([due for due, _ in rows], before, latest, bool(rows) and latest[0] < now)
+        latest_starts[i] = min(due, latest_starts[i + 1]) - work
+    feasible = not (rows and latest_starts[0] < now)
+    return EdfSchedule([due for due, _ in rows], work_before, latest_starts, feasible)
 
 
-def gap_in(found: Line, limit: float, start: float) -> float:
-    """Algorithm 3 on a prepared queue: h before the deadline `limit`, from `start` on."""
-    if found.late:
+def gap_in(schedule: EdfSchedule, due: float, start: float) -> float:
+    """Algorithm 3 on a prepared queue: h for a job due at `due` that starts from `start` on."""
+    if not schedule.feasible:
         return 0.0
-    place = bisect.bisect_left(found.dues, limit)
-    return max(0.0, min(limit, found.latest[place]) - (start + found.before[place]))
+    position = bisect.bisect_left(schedule.deadlines, due)
+    latest_end = min(due, schedule.latest_starts[position])
+    return max(0.0, latest_end - (start + schedule.work_before[position]))
 
 
-def gap(queue: Sequence[Entry], stretch: float, release: float, size: float, now: float) -> float:
-    """Algorithm 3: machine-seconds free for a new application at this stretch (h)."""
-    return gap_in(line(queue, stretch, now), deadline(release, size, stretch), max(release, now))
+def gap(
+    queue: Sequence[QueueEntry], stretch: float, release: float, size: float, now: float
+) -> float:
+    """Algorithm 3: machine-seconds available to a new job at this stretch (h)."""
+    schedule = edf_schedule(queue, stretch, now)
+    return gap_in(schedule, deadline(release, size, stretch), max(release, now))
 
 
-def capacity(free: float, task: float) -> int:
-    """Equation 2: n = floor(h / a)."""
-    if task <= 0:
+def tasks_in_gap(free: float, cost: float) -> int:
+    """Equation 2: n = floor(h / a), the tasks of that cost that fit into a gap."""
+    if cost <= 0:
         return 0
-    return int(free / task + 1e-9)
+    return int(free / cost + ROUNDING)
 
 
 def samples(first: float, last: float, count: int) -> list[float]:
-    """A geometric series from first to last: fewer samples are coarser, not shorter.
+    """A geometric series from `first` to `last`: fewer samples are coarser, not shorter.
 
-    A series cut short would promise nothing to real queues, whose jobs then wait for a
-    split until the queues have run dry.
+    A series cut short would show no availability for real queues, and jobs would stay
+    unassigned until those queues are empty.
     """
     if count < 2:
         return [last]
     return [first * (last / first) ** (i / (count - 1)) for i in range(count)]
 
 
-def sample_below(samples: Sequence[float], value: float) -> int:
-    """Index of the largest sample not above a value (0 if all are)."""
+def last_index_at_most(samples: Sequence[float], value: float) -> int:
+    """Index of the largest sample that is at most `value`; 0 if there is none."""
     found = 0
     for i, sample in enumerate(samples):
         if sample <= value:
@@ -126,8 +137,8 @@
     return found
 
 
-def sample_above(samples: Sequence[float], value: float) -> int:
-    """Index of the smallest sample not below a value (the last if none is)."""
+def first_index_at_least(samples: Sequence[float], value: float) -> int:
+    """Index of the smallest sample that is at least `value`; the last if there is none."""
     for i, sample in enumerate(samples):
         if sample >= value:
             return i
@@ -135,34 +146,36 @@
 
 
 def matrix(
-    queues: Sequence[Sequence[Entry]],
+    queues: Sequence[Sequence[QueueEntry]],
     stretches: Sequence[float],
     sizes: Sequence[float],
     tasks: Sequence[float],
     now: float,
-    like: float = 1.0,
+    machines: float = 1.0,
 ) -> list[list[list[int]]]:
-    """Availability summed over machines: cell [S][w][a] is a number of tasks.
+    """The availability matrix: cell [S][w][a] is a number of tasks, summed over the queues.
 
-    A queue may stand for `like` machines that share its work evenly.
+    Each queue stands for `machines` interchangeable machines that share its work evenly.
     """
-    out = []
+    planes = []
     for stretch in stretches:
-        lines = [line(queue, stretch, now) for queue in queues]
+        schedules = [edf_schedule(queue, stretch, now) for queue in queues]
         plane = []
         for size in sizes:
-            limit = deadline(now, size, stretch)
-            gaps = [gap_in(found, limit, now) for found in lines]
-            plane.append([int(like * sum(capacity(g, a) for g in gaps)) for a in tasks])
-        out.append(plane)
-    return out
+            due = deadline(now, size, stretch)
+            gaps = [gap_in(schedule, due, now) for schedule in schedules]
+            plane.append(
+                [int(machines * sum(tasks_in_gap(free, cost) for free in gaps)) for cost in tasks]
+            )
+        planes.append(plane)
+    return planes
 
 
 def least_cover(counts: Sequence[int], wanted: int) -> int | None:
-    """Algorithm 4: index of the smallest stretch whose availability covers the tasks.
+    """Algorithm 4: index of the least stretch sample whose availability covers the tasks.
 
-    Availability never falls as the stretch grows (the paper's proposition 2), so
-    a binary search is sound; None if even the largest sample doesn't cover.
+    `counts`: availability by stretch sample. It never falls as the stretch grows (the paper's
+    proposition 2), so binary search is sound. None if even the largest sample doesn't cover.
     """
     low, high = 0, len(counts) - 1
     if not counts or counts[high] < wanted:
@@ -176,14 +189,14 @@
     return low
 
 
-def shares(weights: Sequence[float], total: int) -> list[int]:
-    """Split a number in proportion to weights, whole and exact (largest remainders)."""
-    stays_in_one_shard = sum(weights)
-    if stays_in_one_shard <= 0:
+def proportional_shares(weights: Sequence[float], total: int) -> list[int]:
+    """Divide `total` in proportion to weights into whole numbers, by largest remainders."""
+    total_weight = sum(weights)
+    if total_weight <= 0:
         return [0] * len(weights)
-    exact = [total * w / stays_in_one_shard for w in weights]
-    out = [int(x) for x in exact]
-    order = sorted(range(len(weights)), key=lambda i: (out[i] - exact[i], i))
-    for i in order[: total - sum(out)]:
-        out[i] += 1
-    return out
+    exact = [total * weight / total_weight for weight in weights]
+    shares = [int(share) for share in exact]
+    by_remainder = sorted(range(len(weights)), key=lambda i: (shares[i] - exact[i], i))
+    for i in by_remainder[: total - sum(shares)]:
+        shares[i] += 1
+    return shares
--- a/tests/scheduling/test_stretch.py
+++ b/tests/scheduling/test_stretch.py
@@ -8,18 +8,18 @@
 import pytest
 
 from pitchtally.scheduling import stretch
-from pitchtally.scheduling.stretch import Entry
+from pitchtally.scheduling.stretch import QueueEntry
 
 QUEUES = [
     [],
-    [Entry(0, 10, 5)],
-    [Entry(0, 10, 5), Entry(2, 4, 3)],
-    [Entry(-5, 100, 20), Entry(0, 1, 1), Entry(1, 10, 8)],
-    [Entry(0, 8, 2), Entry(0, 8, 2), Entry(0, 2, 4)],
+    [QueueEntry(0, 10, 5)],
+    [QueueEntry(0, 10, 5), QueueEntry(2, 4, 3)],
+    [QueueEntry(-5, 100, 20), QueueEntry(0, 1, 1), QueueEntry(1, 10, 8)],
+    [QueueEntry(0, 8, 2), QueueEntry(0, 8, 2), QueueEntry(0, 2, 4)],
 ]
 
 
-def any_order_meets(queue: list[Entry], level: float, now: float) -> bool:
+def any_order_meets(queue: list[QueueEntry], level: float, now: float) -> bool:
     """Whether some order, not only EDF, meets every deadline."""
     for order in itertools.permutations(queue):
         end, good = now, True
@@ -31,11 +31,11 @@
     return False
 
 
-def random_queues(count: int) -> list[list[Entry]]:
+def random_queues(count: int) -> list[list[QueueEntry]]:
     pick = random.Random(7)
     return [
         [
-            Entry(pick.uniform(-20, 0), pick.uniform(1, 50), pick.uniform(0.5, 10))
+            QueueEntry(pick.uniform(-20, 0), pick.uniform(1, 50), pick.uniform(0.5, 10))
             for _ in range(pick.randint(1, 5))
         ]
         for _ in range(count)
@@ -44,12 +44,12 @@
 
 @pytest.mark.parametrize("queue", QUEUES + random_queues(12))
 @pytest.mark.parametrize("level", [0.1, 0.5, 1.0, 3.0])
-def test_edf_meets_what_any_order_meets(queue: list[Entry], level: float) -> None:
+def test_edf_meets_what_any_order_meets(queue: list[QueueEntry], level: float) -> None:
     assert stretch.meets(queue, level, 0.0) == any_order_meets(queue, level, 0.0)
 
 
 @pytest.mark.parametrize("queue", QUEUES[1:] + random_queues(12))
-def test_least_stretch_is_least(queue: list[Entry]) -> None:
+def test_least_stretch_is_least(queue: list[QueueEntry]) -> None:
     found = stretch.least_stretch(queue, 0.0, 0.001)
     assert stretch.meets(queue, found, 0.0)
     assert not stretch.meets(queue, found * 0.99, 0.0)
@@ -59,14 +59,14 @@
 @pytest.mark.parametrize("level", [0.5, 2.0, 8.0])
 @pytest.mark.parametrize("size", [1.0, 12.0, 60.0])
 def test_gap_is_the_largest_work_that_makes_no_one_late(
-    queue: list[Entry], level: float, size: float
+    queue: list[QueueEntry], level: float, size: float
 ) -> None:
     free = stretch.gap(queue, level, 0.0, size, 0.0)
     assert free >= 0
     if free > 0:
-        assert any_order_meets([*queue, Entry(0.0, size, free * 0.999)], level, 0.0)
+        assert any_order_meets([*queue, QueueEntry(0.0, size, free * 0.999)], level, 0.0)
     if stretch.meets(queue, level, 0.0):
-        assert not any_order_meets([*queue, Entry(0.0, size, free + 0.01)], level, 0.0)
+        assert not any_order_meets([*queue, QueueEntry(0.0, size, free + 0.01)], level, 0.0)
     else:
         assert free == 0
 
@@ -101,7 +101,7 @@
     ],
 )
 def test_shares(weights: list[float], total: int, out: list[int]) -> None:
-    assert stretch.shares(weights, total) == out
+    assert stretch.proportional_shares(weights, total) == out
 
 
 @pytest.mark.parametrize("count", [2, 3, 8, 16, 64])
