--- a/pitchtally/membership/messages.py
+++ b/pitchtally/membership/messages.py
@@ -53,16 +53,23 @@
     over_guarantee: Resources = NO_RESOURCES  # used by teams over their guarantee
 
 
+class GroupMatrix(NamedTuple):
+    """The availability matrix of a machine group; sent as an array."""
+
+    group: str  # see `MachineGroupKey.text`
+    cells: list[list[list[int]]]  # tasks by stretch, size and task length
+
+
 class ShardStatus(Struct, array_like=True):
     """What the leader of a shard tells its peers of it."""
 
     shard: int
     token: int
     reconciled: bool
-    queued_seconds: float  # machine-seconds of pending tasks
+    queued_seconds: float  # CPU-seconds of pending tasks
     stretch: float  # the lowest of its machines
     machines: list[MachineStatus]
-    matrix: list[tuple[str, list[list[list[int]]]]] = []
+    matrix: list[GroupMatrix] = []
     pending: dict[str, int] = {}  # job -> pending tasks
     reserved_jobs: list[str] = []  # jobs that machines are kept free for
     running: dict[str, int] = {}  # job -> tasks running
--- a/pitchtally/scheduling/placement/status_publisher.py
+++ b/pitchtally/scheduling/placement/status_publisher.py
@@ -8,7 +8,7 @@
 
 from ...agents.machine import NEVER, Machine
 from ...jobs.resources import NO_RESOURCES, Resources
-from ...membership.messages import MachineFlag, MachineStatus, ShardStatus
+from ...membership.messages import GroupMatrix, MachineFlag, MachineStatus, ShardStatus
 from ...protocol import user_api
 from .. import stretch
 from ..capacity import is_gang
@@ -67,38 +67,9 @@
         matrices_due: bool,
         now: float,
     ) -> None:
+        """Replace the status of one shard; without new matrices it keeps those of the last."""
         old = self.statuses.newest.get(shard)
-        machines = self.agents.of_shard(shard)
-        reserved = [m for m in machines if m.reservation and m.reservation.until >= now]
-        machine_statuses = [self._machine_status(m, over_guarantee, now) for m in machines]
-        pending, queued_seconds = self._pending(state)
-        lease = self.agents.shards.get(shard)
-        status = ShardStatus(
-            shard,
-            lease.token if lease else 0,
-            state.reconciled,
-            queued_seconds,
-            0.0,
-            machine_statuses,
-            [],
-            pending,
-        )
-        status.running = self.agents.placements.running(shard)
-        status.reserved_machines = [machine.name for machine in reserved]
-        status.reserved_jobs = [
-            machine.reservation.job_id for machine in reserved if machine.reservation
-        ]
-        state.ready_gangs = {
-            id
-            for id in state.ready_gangs
-            if (gang := state.allocations.get(id)) is not None and gang.job.record.attempt
-        }
-        status.ready_gangs = list(state.ready_gangs)
-        status.usage = {
-            team: self.quotas.use(shard, team)
-            for team in self.quotas.known
-            if self.quotas.limited(team)
-        }
+        status = self._state_of_shard(shard, state, over_guarantee, now)
         if matrices_due or old is None or not old.matrix:
             status.stretch = min((g.level for g in state.machine_groups.values()), default=0.0)
             status.matrix = self._matrices(state, now)
@@ -107,6 +78,34 @@
             status.matrix, status.stretch = old.matrix, old.stretch
         self.statuses.put(status)
 
+    def _state_of_shard(
+        self, shard: int, state: ShardState, over_guarantee: set[str], now: float
+    ) -> ShardStatus:
+        """The status of a shard without its matrices and its least stretch."""
+        machines = self.agents.of_shard(shard)
+        reserved = [m for m in machines if m.reservation and m.reservation.until >= now]
+        pending = _pending_tasks(state)
+        lease = self.agents.shards.get(shard)
+        state.ready_gangs = _ready_gangs(state)
+        return ShardStatus(
+            shard,
+            token=lease.token if lease else 0,
+            reconciled=state.reconciled,
+            queued_seconds=self._queued_seconds(state, pending),
+            stretch=0.0,
+            machines=[self._machine_status(m, over_guarantee, now) for m in machines],
+            pending=pending,
+            reserved_jobs=[m.reservation.job_id for m in reserved if m.reservation],
+            running=self.agents.placements.running(shard),
+            reserved_machines=[machine.name for machine in reserved],
+            ready_gangs=list(state.ready_gangs),
+            usage={
+                team: self.quotas.use(shard, team)
+                for team in self.quotas.known
+                if self.quotas.limited(team)
+            },
+        )
+
     def _machine_status(
         self, machine: Machine, over_guarantee: set[str], now: float
     ) -> MachineStatus:
@@ -126,20 +125,15 @@
             over_guarantee=self._used_over_guarantee(machine, over_guarantee),
         )
 
-    def _pending(self, state: ShardState) -> tuple[dict[str, int], float]:
-        """Pending tasks by job, and all their work in machine-seconds."""
-        pending: dict[str, int] = {}
-        queued_seconds = 0.0
-        for id, allocation in state.allocations.items():
-            if not allocation.pending.count:
-                continue
-            # A faulty job needs no more machines than the one on which it is retried.
-            count = 1 if allocation.faulty and not allocation.gang else allocation.pending.count
-            pending[id] = count
-            queued_seconds += count * self.estimates.task(allocation.spec) * allocation.resources[0]
-        return pending, queued_seconds
-
-    def _matrices(self, state: ShardState, now: float) -> list[tuple[str, list[list[list[int]]]]]:
+    def _queued_seconds(self, state: ShardState, pending: dict[str, int]) -> float:
+        """The work of pending tasks, in CPU-seconds."""
+        queued = 0.0
+        for id, count in pending.items():
+            allocation = state.allocations[id]
+            queued += count * self.estimates.task(allocation.spec) * allocation.resources[0]
+        return queued
+
+    def _matrices(self, state: ShardState, now: float) -> list[GroupMatrix]:
         """The paper's availability matrices, one for each machine group."""
         matrices = []
         for key, group in state.machine_groups.items():
@@ -152,7 +146,7 @@
                 now,
                 group.batch_machines,
             )
-            matrices.append((key.text(), cells))
+            matrices.append(GroupMatrix(key.text(), cells))
         return matrices
 
     def _used_over_guarantee(self, machine: Machine, over_guarantee: set[str]) -> Resources:
@@ -213,3 +207,21 @@
         if machine.quarantined_until >= now:
             return MachineFlag.UNHEALTHY
         return MachineFlag.USABLE if machine.schedulable else MachineFlag.NEW
+
+
+def _pending_tasks(state: ShardState) -> dict[str, int]:
+    """Pending tasks by job; one of a faulty job, since a single machine is enough to retry it."""
+    return {
+        id: 1 if allocation.faulty and not allocation.gang else allocation.pending.count
+        for id, allocation in state.allocations.items()
+        if allocation.pending.count
+    }
+
+
+def _ready_gangs(state: ShardState) -> set[str]:
+    """The ready gangs that the shard still has, and that still are over several shards."""
+    return {
+        id
+        for id in state.ready_gangs
+        if (gang := state.allocations.get(id)) is not None and gang.job.record.attempt
+    }
--- a/tests/scheduling/test_failure_attribution.py
+++ b/tests/scheduling/test_failure_attribution.py
@@ -1,4 +1,4 @@
-"""Broken jobs and faulty machines are told apart, and neither causes a storm of tries."""
+"""Failures are attributed to jobs or machines, and neither causes a storm of retries."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 def test_broken_jobs_cause_no_storm_and_blame_no_machine(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Arrays that fail everywhere returned healthy machines, and tried hundreds of times."""
+    """Arrays that fail everywhere made healthy machines be terminated, and retried endlessly."""
 
     async def day(sim: Simulation) -> None:
         for number in (1, 2, 3):
@@ -62,11 +62,11 @@
             for c in sim.controllers.values()
             for m in c.agents.machines.values()
         )
-        # Two machines a shard find a job out, each with as many tasks as it holds at once.
+        # Failures on two machines of a shard classify a job as faulty, each with as many tasks as it holds at once.
         assert sim.world.rules.failures <= 3 * (6 * 8 + 3 * 8)
         before = sim.world.rules.failures
         await trio.sleep(60)
-        assert 0 < sim.world.rules.failures - before <= 3 * 3 * 8  # still tried, now and then
+        assert 0 < sim.world.rules.failures - before <= 3 * 3 * 8  # still retried, rarely
         for number in (1, 2, 3):
             await sim.cancel(f"wk-{number:06d}")
         sim.check()
@@ -75,7 +75,7 @@
 
 
 def test_memory_of_failures_ends(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A job that failed on every machine there is runs once its mistake is mended."""
+    """A job that failed on every machine runs once its mistake is corrected."""
 
     async def day(sim: Simulation) -> None:
         sim.world.capacity = len(sim.world.agents)  # the cloud has no other machine
--- a/tests/scheduling/test_pending_tasks.py
+++ b/tests/scheduling/test_pending_tasks.py
@@ -1,15 +1,15 @@
-"""Tasks that wait to be placed."""
+"""Pending tasks, kept as ranges."""
 
 from __future__ import annotations
 
 from pitchtally.scheduling.shards.allocations import PendingTasks
 
 
-def test_pool_gives_each_task_once() -> None:
+def test_pending_tasks_yield_each_task_once() -> None:
     pending = PendingTasks()
     pending.put(50, 60)
     pending.put(0, 20)
-    carved = [t for a, b in pending.split_off(13) for t in range(a, b)]
+    moved = [t for a, b in pending.split_off(13) for t in range(a, b)]
     popped = [pending.pop() for _ in range(pending.count)]
-    assert len(carved) == 13
-    assert sorted(carved + popped) == [*range(20), *range(50, 60)]
+    assert len(moved) == 13
+    assert sorted(moved + popped) == [*range(20), *range(50, 60)]
--- a/tests/scheduling/test_preemption.py
+++ b/tests/scheduling/test_preemption.py
@@ -1,4 +1,4 @@
-"""Whose places a job takes: the steps that preemption chooses, as a table."""
+"""The preemption steps that are chosen for a job, as a table."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def _steps(*rows: tuple[str, int]) -> list[Step]:
-    """In a zone each: room that is free, or that one task has to be stopped for."""
+    """One step for each row of a zone and the number of its victims."""
     found: list[Step] = []
     for number, (zone, victims) in enumerate(rows):
         machine: Any = SimpleNamespace(zone=zone)
@@ -22,10 +22,10 @@
     return found
 
 
-def _allocation(waiting: int, *, gang: bool = False, zones: dict[str, int] | None = None) -> Any:
-    """A job that waits; `zones`: how many more of a spread one may be in each."""
+def _allocation(pending: int, *, gang: bool = False, zones: dict[str, int] | None = None) -> Any:
+    """A job with pending tasks; `zones`: how many more of a spread one may be in each."""
     return SimpleNamespace(
-        pending=SimpleNamespace(count=waiting),
+        pending=SimpleNamespace(count=pending),
         gang=gang,
         shard=0,
         job=SimpleNamespace(record=SimpleNamespace(caps=[])),
@@ -41,12 +41,12 @@
 @pytest.mark.parametrize(
     ("allocation", "steps", "chosen"),
     [
-        (_allocation(2), _steps(A_FREE, A_FREE, A_TAKEN), []),  # a report starts both
-        # Free room in a zone had counted against what may be made there: nobody yielded.
+        (_allocation(2), _steps(A_FREE, A_FREE, A_TAKEN), []),  # the next heartbeat starts both
+        # Available capacity in a zone once counted against the limit of what preemption adds.
         (_allocation(5), _steps(A_FREE, A_FREE, A_FREE, A_FREE, A_TAKEN, A_TAKEN), ["i-4"]),
         (_allocation(3), _steps(A_FREE, A_TAKEN, B_TAKEN, B_TAKEN), ["i-1", "i-2"]),
         (_allocation(2, gang=True), _steps(A_FREE, A_TAKEN), ["i-0", "i-1"]),
-        (_allocation(3, gang=True), _steps(A_FREE, A_TAKEN), []),  # too small all the same
+        (_allocation(3, gang=True), _steps(A_FREE, A_TAKEN), []),  # still too small
         # Of a spread job two more may be in a, one in b.
         (_allocation(3, zones={"a": 2, "b": 1}), _steps(A_TAKEN, A_TAKEN, A_TAKEN), ["i-0", "i-1"]),
         (_allocation(3, zones={"a": 2, "b": 1}), _steps(A_FREE, A_FREE, A_FREE, B_TAKEN), ["i-3"]),
--- a/tests/state_store/test_size_limits.py
+++ b/tests/state_store/test_size_limits.py
@@ -20,7 +20,13 @@
 from pitchtally.jobs.job_record import OPEN, JobRecord, TaskRange, encode
 from pitchtally.jobs.resources import Resources
 from pitchtally.membership import messages
-from pitchtally.membership.messages import Cancellation, MachineStatus, PeerHeartbeat, ShardStatus
+from pitchtally.membership.messages import (
+    Cancellation,
+    GroupMatrix,
+    MachineStatus,
+    PeerHeartbeat,
+    ShardStatus,
+)
 from pitchtally.protocol import agent_api, cloud_api, state_store_api, user_api
 from pitchtally.state_store.client import Write
 from pitchtally.state_store.rate_limits import Priority, TokenBucket
@@ -148,7 +154,7 @@
 def heartbeat(controller: Controller) -> int:
     """What a node that owns all shards tells a peer."""
     machine = MachineStatus("i-000000001", LONG, LONG, False, USED, USED, 64, 1.1, "")
-    matrix = [(LONG, [[[100_000] * 8] * 6] * 16)] * 20
+    matrix = [GroupMatrix(LONG, [[[100_000] * 8] * 6] * 16)] * 20
     waiting = {f"wk-{n:06d}": 800 for n in range(1500)}
     shards = [
         ShardStatus(k, 10**12, True, 1.0, 1.0, [machine] * 310, matrix, waiting) for k in range(3)
