--- a/tests/scheduling/test_failure_attribution.py
+++ b/tests/scheduling/test_failure_attribution.py
@@ -47,7 +47,7 @@
 def test_broken_jobs_cause_no_storm_and_blame_no_machine(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Arrays that fail everywhere made healthy machines be terminated, and retried endlessly."""
+    """Arrays that fail everywhere had healthy machines terminated, and hundreds of retries."""
 
     async def day(sim: Simulation) -> None:
         for number in (1, 2, 3):
