--- a/tests/scheduling/test_failure_attribution.py
+++ b/tests/scheduling/test_failure_attribution.py
@@ -62,7 +62,8 @@
             for c in sim.controllers.values()
             for m in c.agents.machines.values()
         )
-        # Failures on two machines of a shard classify a job as faulty, each with as many tasks as it holds at once.
+        # Failures on two machines of a shard classify a job as faulty, each with as many tasks
+        # as it holds at once.
         assert sim.world.rules.failures <= 3 * (6 * 8 + 3 * 8)
         before = sim.world.rules.failures
         await trio.sleep(60)
