--- a/pitchtally/formats/quota_shares.py
+++ b/pitchtally/formats/quota_shares.py
@@ -8,6 +8,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Sequence
+from typing import NamedTuple
+
 import msgspec
 
 from ..state_store import keys
@@ -15,7 +18,12 @@
 from ..state_store.replica import Replica
 from .gate import FormatGate
 
-ShardQuotaShare = tuple[float, float]  # CPUs, GPUs
+
+class ShardQuotaShare(NamedTuple):
+    """A shard's part of a team's limit; stored as an array of two."""
+
+    cpus: float
+    gpus: float
 
 
 _decode_all = msgspec.json.Decoder(dict[str, list[ShardQuotaShare]]).decode
@@ -46,8 +54,8 @@
         """A team's share in each shard; None while every shard has an equal one."""
         return self._by_key.get(keys.quota_shares(team)) or self._format_1.get(team)
 
-    def change(self, team: str, shares: list[ShardQuotaShare]) -> Write:
-        """The write that gives a team these shares, by shard."""
+    def change(self, team: str, shares: Sequence[tuple[float, float]]) -> Write:
+        """The write that gives a team these shares (CPUs, GPUs), by shard."""
         key = keys.quota_shares(team) if self._gate.open else keys.QUOTA_SHARES
         return Write(key, self._value(key, team, shares))
 
@@ -62,7 +70,7 @@
         """The value that changes nothing: `shares` if the team has no record yet."""
         return self._value(key, team, self.of(team) or shares)
 
-    def _value(self, key: str, team: str, shares: list[ShardQuotaShare]) -> bytes:
+    def _value(self, key: str, team: str, shares: Sequence[tuple[float, float]]) -> bytes:
         if key == keys.QUOTA_SHARES:
             return _encode({**self._format_1, team: shares})
         return _encode(shares)
