--- a/pitchtally/scheduling/assignment/job_assignment.py
+++ b/pitchtally/scheduling/assignment/job_assignment.py
@@ -4,74 +4,89 @@
 
 import msgspec
 
+from ...jobs.index import Job
 from ...jobs.job_record import merge
 from ...membership.shards import CLUSTER_LEADER_SHARD
 from ...state_store import keys
 from ..capacity import RANK, stays_in_one_shard
 from ..context import SchedulingContext
 from ..deadlines import Deadlines
-from ..gangs.planner import GangPlanner
 from ..quotas.quotas import Quotas
 from ..range_writer import RangeWriter
+from .constrained_assignment import ConstrainedAssignment
 from .proportional_split import ProportionalSplit
 
 
 class JobAssignment:
-    """Assigns the tasks that no shard has yet to shards, in the order of starts."""
+    """Assigns the tasks that no shard has yet to shards, in priority order."""
 
     def __init__(
         self,
         context: SchedulingContext,
         deadlines: Deadlines,
         quotas: Quotas,
-        gang_planner: GangPlanner,
-        split: ProportionalSplit,
+        constrained: ConstrainedAssignment,
+        proportional_split: ProportionalSplit,
         range_writer: RangeWriter,
     ) -> None:
         self.job_index = context.job_index
         self.deadlines = deadlines
         self.quotas = quotas
-        self.gang_planner = gang_planner
-        self.split = split
+        self.constrained = constrained
+        self.proportional_split = proportional_split
         self.range_writer = range_writer
 
     async def assign(self, token: int) -> None:
-        """Assign what is unassigned; `token` is the cluster leader's fencing token."""
-        waiting = [
-            job
-            for job in self.job_index.open.values()
-            if sum(r.tasks for r in job.record.ranges) < job.record.tasks
+        """Assign what is unassigned; `token` is the cluster leader's fencing token.
+
+        Raises StoreUnavailable, OutcomeUnknown included.
+        """
+        for job in self._unassigned_jobs():
+            assigned = _assigned_tasks(job)
+            # A job may end while the write for the one before it is under way.
+            if assigned >= job.record.tasks or not job.open:
+                continue
+            if not stays_in_one_shard(job.spec):
+                await self._split(job, assigned, token)
+            elif not assigned:
+                await self.constrained.assign(job, token)
+            elif job.finished.count:
+                await self.constrained.assign_unfinished(job, token)
+
+    def _unassigned_jobs(self) -> list[Job]:
+        """Open jobs with unassigned tasks, in the order in which they should start.
+
+        What is planned first gets the capacity.
+        """
+        jobs = [
+            job for job in self.job_index.open.values() if _assigned_tasks(job) < job.record.tasks
         ]
-        # In the order of starts: what is planned first gets the room.
-        waiting.sort(
+        jobs.sort(
             key=lambda job: (
                 self.deadlines.overdue(job),
                 not self.deadlines.late(job),
                 RANK[job.spec.rank],
-                not self.quotas.under(job.spec),
+                not self.quotas.within_guarantee(job.spec),
                 self.deadlines.release(job),
             )
         )
-        for job in waiting:
-            have = sum(r.tasks for r in job.record.ranges)
-            # A job may end while the write for the one before it is under way.
-            if have >= job.record.tasks or not job.open:
-                continue
-            if stays_in_one_shard(job.spec):
-                if not have:
-                    await self.gang_planner.assign(job, token)
-                elif job.finished.count:
-                    await self.gang_planner.assign_rest(job, token)
-                continue
-            rest = (
-                job.spec
-                if not have
-                else msgspec.structs.replace(job.spec, tasks=job.record.tasks - have)
-            )
-            found = self.split.divide(rest)
-            if not found:
-                continue
-            ranges = merge([*job.record.ranges, *((a + have, b + have, p) for a, b, p in found)])
-            await self.range_writer.write_ranges(
-                job, {keys.shard(CLUSTER_LEADER_SHARD): token}, ranges
-            )
+        return jobs
+
+    async def _split(self, job: Job, assigned: int, token: int) -> None:
+        """Split the unassigned tasks, which follow those assigned, over the shards."""
+        spec = job.spec
+        if assigned:
+            spec = msgspec.structs.replace(spec, tasks=job.record.tasks - assigned)
+        found = self.proportional_split.split(spec)
+        if not found:
+            return
+        added = ((first + assigned, end + assigned, shard) for first, end, shard in found)
+        await self.range_writer.write_ranges(
+            job,
+            {keys.shard(CLUSTER_LEADER_SHARD): token},
+            merge([*job.record.ranges, *added]),
+        )
+
+
+def _assigned_tasks(job: Job) -> int:
+    return sum(r.tasks for r in job.record.ranges)
--- a/pitchtally/scheduling/capacity.py
+++ b/pitchtally/scheduling/capacity.py
@@ -83,7 +83,7 @@
     FREE = 0
     YIELDING = 1  # what lower ranks hold as well
     OVER_GUARANTEE = 2  # what teams beyond their guarantee hold as well
-    KEPT = 3  # after a long wait: whatever comes free first, kept for it meanwhile
+    RESERVED = 3  # after a long wait: whatever comes free first, kept for it meanwhile
 
 
 def plan_gang(
--- a/pitchtally/scheduling/gangs/range_return.py
+++ b/pitchtally/scheduling/gangs/range_return.py
@@ -1,4 +1,4 @@
-"""Jobs that can't start whole in their shard, given back to the cluster leader."""
+"""Jobs that can't start in their shard, returned to the cluster leader for a new assignment."""
 
 from __future__ import annotations
 
@@ -13,14 +13,25 @@
 from ..context import SchedulingContext
 from ..deadlines import Deadlines
 from ..quotas.quotas import Quotas
-from ..range_writer import MOST_RANGES, RangeWriter
+from ..range_writer import MAX_RANGES, RangeWriter
 from ..shards.allocations import ShardAllocation, ShardState
 from ..shards.shard_states import ShardStates
 from .reservations import is_reserved_for
 
+# Of `gang_wait_s`: how long a job stays pending in a shard before it is returned.
+_WAIT_SHARE = 1 / 2
+# So many times as long if machines are reserved for it.
+_RESERVED_WAIT_FACTOR = 4
+# Agent heartbeats that a gang stays pending whose planned machines went to other jobs.
+_LOST_PLAN_HEARTBEATS = 2
 
-class GiveBack:
-    """Gives jobs that must stay whole back to the cluster leader for a new assignment."""
+
+class RangeReturn:
+    """Returns the ranges of jobs that must stay in one shard, or start together, unstarted.
+
+    The cluster leader assigns what no shard has, so a return just removes our shard's ranges
+    from the job's record, by a compare-and-swap under our fencing token.
+    """
 
     def __init__(
         self,
@@ -40,8 +51,8 @@
         self.quotas = quotas
         self.range_writer = range_writer
 
-    async def give_back(self) -> None:
-        """Whole jobs that can't start here go back to the leader, for a fresh look."""
+    async def return_unstartable(self) -> None:
+        """Return the ranges of every such job of our shards that can't start there."""
         for shard, work in list(self.shard_states.work.items()):
             token = self.membership.token(shard)
             if not work.reconciled or token is None:
@@ -52,34 +63,34 @@
                     continue
                 if allocation.placed:
                     self._stop_if_incomplete(allocation)
-                elif self._alone(allocation) and self._gives_up(work, allocation):
-                    await self._give_back(work, allocation, token)
+                elif self._is_returnable(allocation) and self._should_return(work, allocation):
+                    await self._return(work, allocation, token)
 
     @staticmethod
-    def _alone(allocation: ShardAllocation) -> bool:
-        """Whether it has tasks that wait, and isn't a service that runs in other shards too."""
+    def _is_returnable(allocation: ShardAllocation) -> bool:
+        """Whether it has pending tasks, and isn't a service that runs in other shards too."""
         if allocation.service and len(allocation.job.record.ranges) > 1:
-            return False  # what it lacks moves alone, see `ServiceMigration`
+            return False  # its missing replicas migrate, see `ServiceMigration`
         return allocation.pending.count > 0
 
     def _stop_if_incomplete(self, allocation: ShardAllocation) -> None:
-        """Stop the tasks of an attempt that another shard has given up."""
+        """Stop the tasks of an attempt that another shard has returned."""
         job = allocation.job
         begun = bool(job.finished.count or job.local)
         if job.record.attempt and not is_fully_assigned(job) and not begun:
             for placement in list(allocation.placed.values()):
                 self.agents.stop(placement, job.spec.save)
 
-    def _gives_up(self, work: ShardState, allocation: ShardAllocation) -> bool:
-        """Whether a job has waited here in vain, or its attempt has failed."""
+    def _should_return(self, work: ShardState, allocation: ShardAllocation) -> bool:
+        """Whether a job has been pending here for too long, or its attempt has failed."""
         job = allocation.job
         begun = bool(job.finished.count or job.local)
         attempt = job.record.attempt
         if not begun and attempt and (allocation.tried == attempt or not is_fully_assigned(job)):
             return True
-        patience = self.settings.deployment.workers.gang_wait_s / 2
+        wait = self.settings.deployment.workers.gang_wait_s * _WAIT_SHARE
         if is_reserved_for(self.agents.of_shard(allocation.shard), job.id):
-            patience *= 4
+            wait *= _RESERVED_WAIT_FACTOR
         elif (
             allocation.gang
             and not begun
@@ -87,33 +98,33 @@
             and job.id not in work.ready
             and self.quotas.limit_left(job.spec) >= job.spec.tasks
         ):
-            # What it was planned on went to others: look elsewhere at once.
-            patience = self.agent_heartbeat_s * 2
-        return trio.current_time() - allocation.since >= patience
+            # Other jobs took the machines that it was planned on: have it planned anew at once.
+            wait = self.agent_heartbeat_s * _LOST_PLAN_HEARTBEATS
+        return trio.current_time() - allocation.since >= wait
 
-    def _without(self, job: Job, shard: int) -> list[TaskRange] | None:
-        """A job's ranges once a shard has given its rest back; None if that must wait."""
-        # What is done stays with the shard that did it.
-        rest = merge(
-            (a, b, p)
-            for first, end, p in job.record.ranges
-            for a, b in (
-                [(first, end)]
-                if p != shard
-                else [(t, t + 1) for t in range(first, end) if job.is_finished(t)]
-            )
-        )
-        if len(rest) <= MOST_RANGES:
-            return rest
-        # Too many pieces for a record: all of it goes, once what is done is durable.
+    @staticmethod
+    def _ranges_without(job: Job, shard: int) -> list[TaskRange] | None:
+        """A job's ranges once a shard has returned its unfinished tasks; None: not possible yet."""
+        kept: list[tuple[int, int, int]] = []
+        for first, end, other in job.record.ranges:
+            if other != shard:
+                kept.append((first, end, other))
+            else:
+                # Finished tasks stay with the shard that ran them.
+                done = (task for task in range(first, end) if job.is_finished(task))
+                kept.extend((task, task + 1, shard) for task in done)
+        remaining = merge(kept)
+        if len(remaining) <= MAX_RANGES:
+            return remaining
+        # Too many ranges for a record: all of ours go, once what is finished is durable.
         if job.local:
             return None
         return [r for r in job.record.ranges if r.shard != shard]
 
-    async def _give_back(self, work: ShardState, allocation: ShardAllocation, token: int) -> None:
+    async def _return(self, work: ShardState, allocation: ShardAllocation, token: int) -> None:
         job, shard = allocation.job, allocation.shard
-        rest = self._without(job, shard)
-        if rest is None:
+        remaining = self._ranges_without(job, shard)
+        if remaining is None:
             return
         allocation.since = trio.current_time()
         allocation.moving = True
@@ -123,8 +134,8 @@
             await self.range_writer.write_ranges(
                 job,
                 {keys.shard(shard): token},
-                rest,
-                zone=job.record.zone if may_be_active(job, rest) else None,
+                remaining,
+                zone=job.record.zone if may_be_active(job, remaining) else None,
             )
         except StoreUnavailable as error:
             await self.range_writer.resolve_job_outcome(error, job, version, shard, token)
--- a/pitchtally/scheduling/gangs/reservations.py
+++ b/pitchtally/scheduling/gangs/reservations.py
@@ -1,9 +1,10 @@
-"""Machines kept free for jobs that arrays would keep from starting."""
+"""Machines reserved for jobs that smaller tasks would keep from starting."""
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Iterable
+from dataclasses import dataclass
 from typing import NamedTuple
 
 import trio
@@ -16,11 +17,17 @@
 from ..shards.allocations import ShardAllocation, ShardState
 from ..shards.eligibility import is_ready, machine_ok
 
-log = logging.getLogger("reservations")
+log = logging.getLogger(__name__)
+
+# Of `start_within`: a gang over several machines waits for no capacity later than this.
+_LATEST_SHARE = 1 / 8
+# A reservation lasts this many times the expected wait, and some agent heartbeats.
+_WAIT_MARGIN = 1.5
+_MARGIN_HEARTBEATS = 3
 
 
 class Opening(NamedTuple):
-    """When a machine has room for its n-th task of a job."""
+    """When a machine has capacity for its n-th task of a job."""
 
     eta: float  # seconds from now
     name: str
@@ -28,8 +35,17 @@
     machine: Machine
 
 
+@dataclass(slots=True)
+class _ShardReservations:
+    """What the machines of a shard are reserved for in one planning round."""
+
+    job_ids: set[str]  # as of the start of the round
+    has_wide_gang: bool  # one of several tasks
+    has_large_task: bool  # one of an array or a service
+
+
 def is_reserved_for(machines: Iterable[Machine], job_id: str) -> bool:
-    """Whether one of these machines is kept free for the job."""
+    """Whether one of these machines is reserved for the job."""
     now = trio.current_time()
     return any(
         machine.reservation
@@ -40,7 +56,7 @@
 
 
 class Reservations:
-    """Keeps machines of a shard free for gangs, and for tasks too large to find room."""
+    """Reserves machines of a shard for gangs, and for tasks too large to start otherwise."""
 
     def __init__(
         self,
@@ -58,53 +74,76 @@
         self.quotas = quotas
 
     def reserve(self, shard: int) -> None:
-        """Keep the machines that soonest have room free for a gang that waits.
+        """Reserve the machines that soonest have capacity for a pending gang.
 
-        Arrays take room task by task as it frees up; a gang of equal rank would wait
-        until they run dry. One gang at a time, unless one machine holds it whole, and
-        none whose room is far off: machines that drain bring nothing meanwhile.
+        Arrays take capacity task by task as it frees up; a gang of equal rank would wait
+        until they are done. One gang at a time, unless one machine holds it whole, and none
+        whose capacity is far off: reserved machines run nothing new meanwhile.
         """
         work = self.shards[shard]
         now = trio.current_time()
         machines = [
             m for m in self.agents.of_shard(shard) if m.schedulable and m.quarantined_until < now
         ]
-        kept = {
-            m.reservation.job_id for m in machines if m.reservation and m.reservation.until >= now
-        }
-        held = [h for id in kept if (h := work.allocations.get(id)) is not None]
-        wide = any(h.gang and h.spec.tasks > 1 for h in held)
-        large = any(not h.gang and h.aged for h in held)
+        current = self._current(work, machines, now)
         # Also for a task so large that small ones always take what frees up first.
-        waiting = [(h.release, id, h) for id, h in work.allocations.items() if h.gang or h.aged]
-        for _, id, allocation in sorted(waiting, key=lambda r: r[:2]):
-            if id in kept or not self._may_reserve(work, allocation, now):
+        candidates = [(h.release, id, h) for id, h in work.allocations.items() if h.gang or h.aged]
+        for _, id, allocation in sorted(candidates, key=lambda r: r[:2]):
+            if id in current.job_ids or not self._may_reserve(work, allocation, now):
                 continue
             wanted = allocation.pending.count if allocation.gang else 1
-            if wanted > 1 and (wide or not self.deadlines.late(allocation.job)):
+            if not self._allowed_beside(current, allocation, wanted):
                 continue
-            if not allocation.gang and (
-                large or not self.quotas.tasks_within_limit(shard, allocation.spec)
-            ):
-                continue  # in a flood beyond the limit every array has waited long
             chosen = self._soonest(allocation, machines, wanted, now)
             if not chosen or chosen[-1].eta <= 0:
                 continue
             eta = chosen[-1].eta
             if wanted > 1:
-                if eta > self.policy.start_within / 8:
+                if not self._worth_reserving(allocation, wanted, eta):
                     continue
-                if self.quotas.tasks_within_limit(shard, allocation.spec) < wanted:
-                    continue  # its team's limit is what it waits for
-                wide = True
-            large = large or not allocation.gang
-            names = {opening.machine.name: opening.machine for opening in chosen}
-            for machine in names.values():
-                machine.reservation = Reservation(id, now + eta * 1.5 + self.agent_heartbeat_s * 3)
-            log.info("kept machines=%d for=%s eta=%.1f", len(names), id, eta)
+                current.has_wide_gang = True
+            current.has_large_task = current.has_large_task or not allocation.gang
+            self._set_reservations(chosen, id, eta, now)
+
+    @staticmethod
+    def _current(work: ShardState, machines: list[Machine], now: float) -> _ShardReservations:
+        job_ids = {
+            m.reservation.job_id for m in machines if m.reservation and m.reservation.until >= now
+        }
+        allocations = [h for id in job_ids if (h := work.allocations.get(id)) is not None]
+        return _ShardReservations(
+            job_ids,
+            has_wide_gang=any(h.gang and h.spec.tasks > 1 for h in allocations),
+            has_large_task=any(not h.gang and h.aged for h in allocations),
+        )
+
+    def _allowed_beside(
+        self, current: _ShardReservations, allocation: ShardAllocation, wanted: int
+    ) -> bool:
+        """Whether a job may reserve machines beside the jobs that have reserved some."""
+        if wanted > 1 and (current.has_wide_gang or not self.deadlines.late(allocation.job)):
+            return False
+        # While jobs beyond the limit queue up, every array has been pending for long.
+        return allocation.gang or not (
+            current.has_large_task
+            or not self.quotas.tasks_within_limit(allocation.shard, allocation.spec)
+        )
+
+    def _worth_reserving(self, allocation: ShardAllocation, wanted: int, eta: float) -> bool:
+        """Whether a gang would start soon on the machines, and isn't held up by its limit."""
+        if eta > self.policy.start_within * _LATEST_SHARE:
+            return False
+        return self.quotas.tasks_within_limit(allocation.shard, allocation.spec) >= wanted
+
+    def _set_reservations(self, chosen: list[Opening], job_id: str, eta: float, now: float) -> None:
+        names = {opening.machine.name: opening.machine for opening in chosen}
+        until = now + eta * _WAIT_MARGIN + self.agent_heartbeat_s * _MARGIN_HEARTBEATS
+        for machine in names.values():
+            machine.reservation = Reservation(job_id, until)
+        log.info("reserved machines=%d for=%s eta=%.1f", len(names), job_id, eta)
 
     def _may_reserve(self, work: ShardState, allocation: ShardAllocation, now: float) -> bool:
-        """Whether room may be kept for a job: it waits, and has done so for a report."""
+        """Whether a job is pending, and has been for the interval of an agent heartbeat."""
         attempt = allocation.job.record.attempt
         if allocation.placed or (attempt and allocation.tried == attempt):
             return False
@@ -115,7 +154,7 @@
     def _soonest(
         self, allocation: ShardAllocation, machines: list[Machine], wanted: int, now: float
     ) -> list[Opening]:
-        """Where that many tasks find room soonest; nothing if there is none for all."""
+        """Where that many tasks fit soonest; empty if they never all do."""
         openings = []
         for machine in machines:
             if machine.reservation and machine.reservation.until >= now:
@@ -123,26 +162,26 @@
             if not machine_ok(allocation, machine, self.policy.unhealthy_rest):
                 continue
             for n in range(1, wanted + 1):
-                eta = self._room_at(machine, allocation.resources.times(n), now)
+                eta = self._seconds_until(machine, allocation.resources.times(n), now)
                 if eta is None:
                     break
                 openings.append(Opening(eta, machine.name, n, machine))
         chosen = sorted(openings, key=lambda opening: opening[:3])[:wanted]
         return chosen if len(chosen) == wanted else []
 
-    def _room_at(self, machine: Machine, resources: Resources, now: float) -> float | None:
-        """Seconds until a machine has room for a need if nothing more starts there."""
+    def _seconds_until(self, machine: Machine, request: Resources, now: float) -> float | None:
+        """Seconds until a machine has such capacity if nothing more starts there; None: never."""
         available = machine.available()
-        if fits(resources, available):
+        if fits(request, available):
             return 0.0
         ends = []
         for placement in machine.placements.values():
             if placement.spec.is_service:
-                continue  # it never leaves by itself
+                continue  # it never ends by itself
             ran = now - (placement.running_since or now)
             ends.append((max(1.0, self.estimates.task(placement.spec) - ran), placement.resources))
-        for end, resources_freed in sorted(ends):
-            available = available.plus(resources_freed)
-            if fits(resources, available):
+        for end, freed in sorted(ends):
+            available = available.plus(freed)
+            if fits(request, available):
                 return end
         return None
--- /dev/null
+++ b/pitchtally/scheduling/gangs/single_shard_planner.py
@@ -0,0 +1,162 @@
+"""Plans for arrays and services whose tasks all go to one shard."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from typing import NamedTuple
+
+import trio
+
+from ...jobs.job_record import TaskRange
+from ...jobs.resources import capacity_of, count_fitting, resource_request
+from ...membership.messages import MachineFlag, ShardStatus
+from ...protocol import user_api
+from ..capacity import CapacitySource, Plan, allows_machine_type, plan_gang, share_ratio
+from ..context import SchedulingContext
+from ..shards.shard_statuses import ShardStatuses
+from .free_capacity import FreeCapacity, ZoneCapacities
+
+# Machines that are expected to take work again, whether their agents are heard now or not.
+_UP_FLAGS = frozenset({MachineFlag.USABLE, MachineFlag.LOST, MachineFlag.UNHEARD})
+# Those, and machines that haven't sent their first heartbeat.
+_COMING_FLAGS = _UP_FLAGS | {MachineFlag.NEW}
+
+
+class _ShardCapacity(NamedTuple):
+    """A shard that has capacity for all replicas of a service."""
+
+    capacity: int  # replicas that fit, negated: the least is the best
+    shard: int
+    plan: ZoneCapacities
+
+
+class _ZoneCapacity(NamedTuple):
+    """Tasks of a job that fit into a zone."""
+
+    now: float
+    empty: float  # if nothing else ran there
+
+
+class SingleShardPlanner:
+    """Picks the shard, and the zone, of a job that must not be split over shards."""
+
+    def __init__(
+        self, context: SchedulingContext, statuses: ShardStatuses, free_capacity: FreeCapacity
+    ) -> None:
+        self.job_index = context.job_index
+        self.machine_types = context.machine_types
+        self.statuses = statuses
+        self.free_capacity = free_capacity
+
+    def plan(self, spec: user_api.JobSpec) -> Plan | None:
+        """The shard, and the zone if the job needs one; None if no shard can hold it."""
+        if spec.is_service:
+            plan = self.plan_service(spec, self.statuses.newest)
+            if plan is not None:
+                return plan
+        best = self.best_shard(spec)
+        if best is None:
+            return None
+        ranges = [TaskRange(0, spec.tasks, best)]
+        zone = self.pick_zone(spec, ranges)
+        if zone is None and spec.one_zone and spec.tasks > 1:
+            return None
+        return Plan(ranges, zone)
+
+    def plan_service(self, spec: user_api.JobSpec, shards: Iterable[int]) -> Plan | None:
+        """One of these shards that has capacity for every replica, by preemption if need be.
+
+        None if none has: the replicas then go wherever there is capacity for some.
+        """
+        now = trio.current_time()
+        for source in (CapacitySource.FREE, CapacitySource.YIELDING):
+            capacities = self.free_capacity.by_zone(spec, source)
+            candidates = []
+            for shard in shards:
+                here = {key: count for key, count in capacities.items() if key[0] == shard}
+                found = plan_gang(here, spec.tasks, one_zone=spec.one_zone, spread=spec.spread)
+                if found is not None:
+                    candidates.append(_ShardCapacity(-sum(here.values()), shard, found))
+            if candidates:
+                _, shard, found = min(candidates, key=lambda row: row[:2])
+                self.free_capacity.book(now, spec, found)
+                bound = spec.one_zone and spec.tasks > 1
+                zone = next(zone for _, zone in found) if bound else None
+                return Plan([TaskRange(0, spec.tasks, shard)], zone)
+        return None
+
+    def pick_zone(
+        self, spec: user_api.JobSpec, ranges: list[TaskRange], *, bound: bool | None = None
+    ) -> str | None:
+        """The zone for a one-zone job of several tasks, fixed before its first start.
+
+        `bound`: whether the job is bound to a zone, if the number of tasks in `spec` doesn't
+        tell. None if it isn't bound, or if no zone can hold it.
+        """
+        if not spec.one_zone or not (spec.tasks > 1 if bound is None else bound):
+            return None
+        if spec.zone is not None:
+            return spec.zone
+        wanted = spec.tasks if spec.kind == user_api.GANG else 1
+        best = max(
+            self._zone_capacities(spec, {shard for _, _, shard in ranges}).items(),
+            default=None,
+            key=lambda row: (row[1].now >= wanted, row[1].empty >= wanted, *row[1]),
+        )
+        return best[0] if best is not None and best[1].empty >= wanted else None
+
+    def _zone_capacities(
+        self, spec: user_api.JobSpec, shards: set[int]
+    ) -> dict[str, _ZoneCapacity]:
+        """Tasks that fit into each zone of these shards, or of all if none is given."""
+        request = resource_request(spec)
+        capacities: dict[str, _ZoneCapacity] = {}
+        for status in self.statuses.newest.values():
+            if shards and status.shard not in shards:
+                continue
+            for machine in status.machines:
+                machine_type = self.machine_types().get(machine.type)
+                if machine_type is None or machine.flag not in _COMING_FLAGS:
+                    continue
+                if not allows_machine_type(spec, machine_type, machine.zone, machine.spot):
+                    continue
+                now, empty = capacities.get(machine.zone, (0.0, 0.0))
+                capacities[machine.zone] = _ZoneCapacity(
+                    now + count_fitting(request, machine.free),
+                    empty + count_fitting(request, capacity_of(machine_type)),
+                )
+        return capacities
+
+    def best_shard(self, spec: user_api.JobSpec) -> int | None:
+        """The shard with capacity now, else by preemption, else with the shortest queue.
+
+        None if no shard's machines could hold the job even when empty.
+        """
+        rows = []
+        for status in self.statuses.newest.values():
+            capacity = self._empty_capacity(status, spec)
+            if capacity < (spec.tasks if spec.kind == user_api.GANG else 1):
+                continue
+            queued = sum(
+                count * share_ratio(spec, self.job_index.open.get(id))
+                for id, count in status.waiting.items()
+            )
+            unreported = len(self.statuses.unreported.get(status.shard, ()))
+            now = self.statuses.free_capacity(status, spec, yielding=False) - unreported
+            soon = self.statuses.free_capacity(status, spec, yielding=True) - unreported
+            rows.append((now < spec.tasks, soon < spec.tasks, queued / capacity, status.shard))
+        if not rows:
+            return None
+        best = min(rows)[3]
+        self.statuses.record_allocation(best, spec, spec.tasks)
+        return best
+
+    def _empty_capacity(self, status: ShardStatus, spec: user_api.JobSpec) -> int:
+        """Tasks that a shard's machines hold if nothing else runs on them."""
+        return sum(
+            count_fitting(resource_request(spec), capacity_of(machine_type))
+            for machine in status.machines
+            if machine.flag in _UP_FLAGS
+            and (machine_type := self.machine_types().get(machine.type)) is not None
+            and allows_machine_type(spec, machine_type, machine.zone, machine.spot)
+        )
--- a/pitchtally/scheduling/gangs/starter.py
+++ b/pitchtally/scheduling/gangs/starter.py
@@ -2,22 +2,35 @@
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 import trio
 
 from ...agents.machine import Machine, Reservation
-from ...jobs.resources import Resources, count_fitting, fits, resource_request
+from ...jobs.resources import Resources, count_fitting, fits
 from ..capacity import is_fully_assigned
 from ..context import SchedulingContext
 from ..priorities import PriorityOrder
 from ..quotas.quotas import Quotas
-from ..shards.allocations import ShardAllocation, ShardState
+from ..shards.allocations import ShardAllocation, ShardState, most_in_zone
 from ..shards.eligibility import is_ready, machine_ok
 from ..shards.shard_statuses import ShardStatuses
 from ..shards.task_start import next_attempt, place_task
 
+# Peer heartbeat intervals after which a shard's status is too old to wait for, and for which
+# a gang's machines stay reserved while other shards make theirs available.
+_STATUS_INTERVALS = 4
+
+
+class _MachineCapacity(NamedTuple):
+    """A machine, and the tasks of a gang that it could start now."""
+
+    machine: Machine
+    tasks: int
+
 
 class GangStarter:
-    """Places the gangs of a shard that find all their room."""
+    """Places the gangs of a shard for which there is capacity now."""
 
     def __init__(
         self,
@@ -36,124 +49,141 @@
         self.quotas = quotas
 
     def start(self, work: ShardState, shard: int) -> None:
-        """Place the gangs of a shard that find all their room now."""
+        """Place the gangs of a shard that have capacity for all their tasks, by priority."""
         if not work.gangs:
             return
         now = trio.current_time()
-        rows = []
-        for id, allocation in work.gangs.items():
-            job = allocation.job
-            if allocation.placed or not is_ready(work, id, allocation, now):
-                continue
-            if job.finished.count or job.local:
-                # One done means all done: what was lost with its machine has its result
-                # kept, and ends as soon as it is started again.
-                pass
-            elif job.record.attempt:
-                if allocation.tried == job.record.attempt or not is_fully_assigned(job):
-                    continue
-            elif allocation.pending.count < job.spec.tasks - job.finished.count - len(job.local):
-                continue
-            rows.append((*self.priorities.key(allocation, self.samples.stretches[-1]), id))
-        for _, _, _, id in sorted(rows):
+        candidates = [
+            (*self.priorities.key(allocation, self.samples.stretches[-1]), id)
+            for id, allocation in work.gangs.items()
+            if self._is_startable(work, allocation, now)
+        ]
+        for _, _, _, id in sorted(candidates):
             allocation = work.allocations[id]
-            plan = self._machines(allocation, shard, now)
-            if plan is None:
+            machines = self._find_machines(allocation, shard, now)
+            if machines is None:
                 work.ready.discard(id)
                 continue
             job = allocation.job
-            shared = job.record.attempt
-            if job.finished.count or job.local:
-                shared = 0
-            if shared and not self._all_ready(work, allocation, plan, now):
+            shared_attempt = 0 if job.finished.count or job.local else job.record.attempt
+            if shared_attempt and not self._all_shards_ready(work, allocation, machines, now):
                 continue
-            attempt = shared or next_attempt(self.agents, shard)
-            allocation.tried = attempt
-            for machine in plan:
-                place_task(self.agents, allocation, allocation.pending.pop(), machine, attempt)
-                if machine.reservation and machine.reservation.job_id == id:
-                    machine.reservation = None
-            allocation.aged = False
-
-    def _all_ready(
-        self, work: ShardState, allocation: ShardAllocation, plan: list[Machine], now: float
+            attempt = shared_attempt or next_attempt(self.agents, shard)
+            self._place(allocation, machines, attempt)
+
+    @staticmethod
+    def _is_startable(work: ShardState, allocation: ShardAllocation, now: float) -> bool:
+        """Whether all tasks of the gang that are ours to start are pending."""
+        job = allocation.job
+        if allocation.placed or not is_ready(work, job.id, allocation, now):
+            return False
+        if job.finished.count or job.local:
+            # One task finished means that all have: the agent that lost its machine had the
+            # result saved, so a task that is started again ends at once.
+            return True
+        if job.record.attempt:
+            return allocation.tried != job.record.attempt and is_fully_assigned(job)
+        return allocation.pending.count >= job.spec.tasks - job.finished.count - len(job.local)
+
+    def _place(self, allocation: ShardAllocation, machines: list[Machine], attempt: int) -> None:
+        allocation.tried = attempt
+        for machine in machines:
+            place_task(self.agents, allocation, allocation.pending.pop(), machine, attempt)
+            if machine.reservation and machine.reservation.job_id == allocation.job.id:
+                machine.reservation = None
+        allocation.aged = False
+
+    def _all_shards_ready(
+        self, work: ShardState, allocation: ShardAllocation, machines: list[Machine], now: float
     ) -> bool:
-        """Whether every part of a gang has its room; ours is kept until then.
+        """Whether every shard of a gang has capacity for its tasks; reserves ours until then.
 
-        Started part by shard, a gang would occupy machines while the rest of it waits
-        for room, and end as incomplete. A part that isn't heard of late can't tell.
+        If each shard started its tasks at once, they would occupy machines while those of the
+        other shards are pending, and be stopped as incomplete.
         """
-        id, shard = allocation.job.id, allocation.shard
+        id = allocation.job.id
         work.ready.add(id)
-        fresh = now - self.policy.heartbeat_interval * 4
-        for other in {p for _, _, p in allocation.job.record.ranges if p != shard}:
-            theirs = self.shards.get(other)
-            if theirs is not None:
-                ready = id in theirs.ready
-            elif (
-                self.statuses.received_at.get(other, -1e9) < fresh
-                or other not in self.statuses.newest
-            ):
-                ready = True
-            else:
-                ready = id in self.statuses.newest[other].ready
-            if not ready:
-                for machine in plan:
-                    machine.reservation = Reservation(id, now + self.policy.heartbeat_interval * 4)
+        for other in {p for _, _, p in allocation.job.record.ranges if p != allocation.shard}:
+            if not self._is_shard_ready(other, id, now):
+                until = now + self.policy.heartbeat_interval * _STATUS_INTERVALS
+                for machine in machines:
+                    machine.reservation = Reservation(id, until)
                 return False
         return True
 
-    def _machines(
+    def _is_shard_ready(self, shard: int, job_id: str, now: float) -> bool:
+        """Whether a shard has capacity for its tasks of a gang, or its status is too old."""
+        ours = self.shards.get(shard)
+        if ours is not None:
+            return job_id in ours.ready
+        oldest = now - self.policy.heartbeat_interval * _STATUS_INTERVALS
+        if self.statuses.received_at.get(shard, -1e9) < oldest:
+            return True
+        status = self.statuses.newest.get(shard)
+        return status is None or job_id in status.ready
+
+    def _find_machines(
         self, allocation: ShardAllocation, shard: int, now: float
     ) -> list[Machine] | None:
-        """A machine for every task at once, in one zone where that is asked; or None."""
+        """A machine for each pending task, within the caps for zones; None if some lack one."""
         job = allocation.job
-        spec = job.spec
-        resources = resource_request(spec)
         wanted = allocation.pending.count
-        if self.quotas.tasks_within_limit(shard, spec) < wanted:
+        if self.quotas.tasks_within_limit(shard, job.spec) < wanted:
             return None
-        machines = []
+        candidates = self._machines_with_capacity(allocation, shard, now)
+        # Least waste first: machines with GPUs are left for tasks that request some.
+        candidates.sort(
+            key=lambda candidate: (
+                not _is_reserved(candidate.machine, job.id),
+                candidate.machine.consecutive_errors,
+                _wasted_price(allocation.resources, candidate.machine),
+                job.spec.image not in candidate.machine.cached_images,
+            )
+        )
+        caps = {zone: cap for p, zone, cap in job.record.caps if p == shard}
+        limit = most_in_zone(job.spec) if job.spec.spread and job.spec.tasks > 1 else wanted
+        chosen: list[Machine] = []
+        zones: dict[str, int] = {}
+        for machine, tasks in candidates:
+            most = caps.get(machine.zone, 0) if job.record.caps else limit
+            for _ in range(tasks):
+                if len(chosen) == wanted or zones.get(machine.zone, 0) >= most:
+                    break
+                zones[machine.zone] = zones.get(machine.zone, 0) + 1
+                chosen.append(machine)
+        return chosen if len(chosen) == wanted else None
+
+    def _machines_with_capacity(
+        self, allocation: ShardAllocation, shard: int, now: float
+    ) -> list[_MachineCapacity]:
+        """Machines that the gang may use and that could start a task of it now."""
+        request = allocation.resources
+        found = []
         for machine in self.agents.of_shard(shard):
             if not machine.schedulable or machine.quarantined_until >= now:
                 continue
             if (
                 machine.reservation
-                and machine.reservation.job_id != job.id
+                and machine.reservation.job_id != allocation.job.id
                 and machine.reservation.until >= now
             ):
                 continue
-            if fits(resources, machine.available()) and machine_ok(
+            if fits(request, machine.available()) and machine_ok(
                 allocation, machine, self.policy.unhealthy_rest
             ):
-                machines.append((machine, count_fitting(resources, machine.available())))
-        # The least other use first: a machine with cards is left for work that needs them.
-        machines.sort(
-            key=lambda mc: (
-                not (mc[0].reservation and mc[0].reservation.job_id == job.id),
-                mc[0].consecutive_errors,
-                self._waste(resources, mc[0]),
-                spec.image not in mc[0].cached_images,
-            )
-        )
-        caps = {zone: cap for p, zone, cap in job.record.caps if p == shard}
-        limit = (spec.tasks + 1) // 2 if spec.spread and spec.tasks > 1 else wanted
-        plan: list[Machine] = []
-        zones: dict[str, int] = {}
-        for machine, count in machines:
-            most = caps.get(machine.zone, 0) if job.record.caps else limit
-            for _ in range(count):
-                if len(plan) == wanted or zones.get(machine.zone, 0) >= most:
-                    break
-                zones[machine.zone] = zones.get(machine.zone, 0) + 1
-                plan.append(machine)
-        return plan if len(plan) == wanted else None
-
-    def _waste(self, resources: Resources, machine: Machine) -> float:
-        """What the task would leave unused that others may need: cards most of all."""
-        machine_type = machine.machine_type
-        assert machine_type is not None
-        price = (
-            (machine_type.spot_price or machine_type.price) if machine.spot else machine_type.price
-        )
-        return price * (1.0 if machine_type.gpus and not resources[1] else 0.0)
+                tasks = count_fitting(request, machine.available())
+                found.append(_MachineCapacity(machine, tasks))
+        return found
+
+
+def _is_reserved(machine: Machine, job_id: str) -> bool:
+    """Whether a machine's latest reservation, even one that has run out, is the job's."""
+    return bool(machine.reservation and machine.reservation.job_id == job_id)
+
+
+def _wasted_price(request: Resources, machine: Machine) -> float:
+    """The price of a machine with GPUs for a task that uses none; 0 for others."""
+    machine_type = machine.machine_type
+    assert machine_type is not None
+    price = (machine_type.spot_price or machine_type.price) if machine.spot else machine_type.price
+    return price * (1.0 if machine_type.gpus and not request.gpus else 0.0)
--- a/pitchtally/scheduling/placement/preemption.py
+++ b/pitchtally/scheduling/placement/preemption.py
@@ -59,12 +59,12 @@
         work = self.shards[shard]
         now = trio.current_time()
         rows = []
-        beyond = [t for t in self.quotas.known if self.quotas.over_guarantee(t)]
+        beyond = [t for t in self.quotas.teams if self.quotas.over_guarantee(t)]
         for id, allocation in work.allocations.items():
             if not self._may_preempt(work, allocation, now):
                 continue
             spec = allocation.spec
-            under = self.quotas.under(spec)
+            under = self.quotas.within_guarantee(spec)
             if not sum(work.running[allocation.rank + 1 :]) and not (
                 under and any(team != spec.team for team in beyond)
             ):
@@ -177,7 +177,9 @@
                 if not lower and (
                     # One gang for another of equal rank would gain nothing.
                     is_gang(placement)
-                    or not (under and self.quotas.beyond(spec, allocation.spec.team))
+                    or not (
+                        under and self.quotas.other_team_over_guarantee(spec, allocation.spec.team)
+                    )
                 ):
                     continue
                 candidates.append((self._loss(placement, now), placement.key, placement))
--- a/pitchtally/scheduling/placement/status_publisher.py
+++ b/pitchtally/scheduling/placement/status_publisher.py
@@ -48,13 +48,13 @@
         if renew:
             self.matrix_at = now
         beyond: set[str] = set()
-        if len(self.quotas.known) > 1:
-            beyond = {t for t in self.quotas.known if self.quotas.over_guarantee(t)}
+        if len(self.quotas.teams) > 1:
+            beyond = {t for t in self.quotas.teams if self.quotas.over_guarantee(t)}
         for shard, work in self.shards.items():
             if renew:
                 self._log_load(shard, work)
             self._refresh_shard(shard, work, beyond, renew, now)
-        self.quotas.find_waiting_for_limit()
+        self.quotas.find_short_of_quota()
         return trio.current_time() - now
 
     def _refresh_shard(
@@ -80,7 +80,7 @@
         }
         status.ready = list(work.ready)
         status.use = {
-            t: self.quotas.use(shard, t) for t in self.quotas.known if self.quotas.limited(t)
+            t: self.quotas.use(shard, t) for t in self.quotas.teams if self.quotas.limited(t)
         }
         if renew or old is None or not old.matrix:
             status.stretch = min((g.level for g in work.machine_groups.values()), default=0.0)
@@ -169,7 +169,7 @@
         quotas = self.quotas
         teams = " ".join(
             f"{t}:{quotas.use(shard, t)[0]:g}/{quotas.share(shard, t)[0]:g}"
-            for t in quotas.known
+            for t in quotas.teams
             if quotas.limited(t)
         )
         log.info("load part=%d free=[%s] waiting=%s share=[%s]", shard, text, waits, teams)
--- a/pitchtally/scheduling/priorities.py
+++ b/pitchtally/scheduling/priorities.py
@@ -55,6 +55,6 @@
             return (-1, False, allocation.release)
         return (
             allocation.rank,
-            not self.quotas.under(allocation.spec),
+            not self.quotas.within_guarantee(allocation.spec),
             self.deadlines.due_of(allocation, level),
         )
--- a/pitchtally/scheduling/quotas/__init__.py
+++ b/pitchtally/scheduling/quotas/__init__.py
@@ -1,7 +1,7 @@
-"""Guarantees and limits of teams.
+"""Quotas of teams: guarantees, limits, and each shard's share of a limit.
 
 State: each team's settings, the durable shares of its limit that shards hold (in the state
-store, seen through `QuotaShares`), and the parts of shares whose transfer is under way. Only
+store, seen through `QuotaShares`), and the amounts whose transfer is in flight. Only
 `QuotaTransfer` changes shares, in one compare-and-swap for both shards.
 
 Invariant: the shares of a team's limit never add up to more than the limit, and a shard starts
--- a/pitchtally/scheduling/quotas/quota_transfer.py
+++ b/pitchtally/scheduling/quotas/quota_transfer.py
@@ -1,11 +1,13 @@
-"""Moves shares of a team's limit to the shards that can use them."""
+"""Transfers shares of a team's limit to the shards that can use them."""
 
 from __future__ import annotations
 
 import math
+from typing import NamedTuple
 
 from ...config.settings import Team
-from ...jobs.resources import Resources, count_fitting, fits, limited_request
+from ...formats.quota_shares import ShardQuotaShare
+from ...jobs.resources import TOLERANCE, Resources, count_fitting, fits, limited_request
 from ...membership.membership import Membership
 from ...membership.messages import ShardStatus
 from ...protocol import user_api
@@ -16,11 +18,18 @@
 from ..range_writer import RangeWriter
 from ..shards.allocations import ShardState
 from ..shards.shard_statuses import ShardStatuses
-from .quotas import Quotas
+from .quotas import NO_SHARE, Quotas
+
+
+class _Shortage(NamedTuple):
+    """What a shard's pending tasks of a team lack of its share."""
+
+    total: ShardQuotaShare  # for all that machines there have capacity for
+    least: ShardQuotaShare  # for the one task, or gang, that lacks the least
 
 
 class QuotaTransfer:
-    """Gives what a shard doesn't use of a team's limit to a shard that lacks it."""
+    """Transfers what a shard doesn't use of a team's limit to a shard that is short of it."""
 
     def __init__(
         self,
@@ -40,74 +49,81 @@
         self.quotas = quotas
         self.range_writer = range_writer
 
-    async def move_shares(self) -> None:
-        """Give a shard with too small a share what this shard neither uses nor waits for.
+    async def transfer(self) -> None:
+        """Transfer what our shards neither use nor have pending tasks for.
 
-        One commit lowers our share and raises the other's; we count as lowered from
-        before it is sent until the store is known to say otherwise.
+        One commit lowers our share and raises the other's. Our share counts as lowered from
+        before the commit is sent until its outcome is known.
         """
         for shard, work in list(self.shards.items()):
             token = self.membership.token(shard)
             if not work.reconciled or token is None or shard not in self.statuses.newest:
                 continue
-            for team in self.quotas.known.values():
-                if not self.quotas.limited(team.name) or (shard, team.name) in self.quotas.giving:
+            for team in self.quotas.teams.values():
+                in_flight = (shard, team.name) in self.quotas.transfers_in_flight
+                if not self.quotas.limited(team.name) or in_flight:
                     continue
                 if self.shards.get(shard) is not work:
-                    break  # lost while a share of it was being given away
-                spare = self._spare(shard, work, team.name)
-                for other in self.statuses.newest.values():
-                    if other.shard == shard:
-                        continue
-                    short, least = self._short(other, team.name)
-                    give = (min(spare[0], short[0]), min(spare[1], short[1]))
-                    waiting_for_limit = self.quotas.waiting_for_limit.get(team.name)
-                    if waiting_for_limit is not None:
-                        if waiting_for_limit[1] != other.shard:
-                            continue  # first the gang that waits for its team's limit
-                    elif not fits(Resources(*least, 0.0), Resources(*give, 0.0)):
-                        continue  # not enough to start even one task there
-                    if give[0] > 1e-6 or give[1] > 1e-6:
-                        await self._give_share(shard, token, other.shard, team, give)
-                        break
-
-    def _spare(self, shard: int, work: ShardState, team: str) -> tuple[float, float]:
+                    break  # lost while a share of it was being transferred
+                await self._transfer_spare(shard, work, token, team)
+
+    async def _transfer_spare(self, shard: int, work: ShardState, token: int, team: Team) -> None:
+        """Transfer what a shard has to spare to the first shard that it is of use to."""
+        spare = self._spare(shard, work, team.name)
+        for other in self.statuses.newest.values():
+            if other.shard == shard:
+                continue
+            shortage = self._shortage(other, team.name)
+            amount = ShardQuotaShare(
+                min(spare.cpus, shortage.total.cpus), min(spare.gpus, shortage.total.gpus)
+            )
+            gang = self.quotas.short_of_quota.get(team.name)
+            if gang is not None:
+                if gang.shard != other.shard:
+                    continue  # the gang that is short of quota comes first
+            elif not fits(Resources(*shortage.least, 0.0), Resources(*amount, 0.0)):
+                continue  # not enough to start even one task there
+            if amount.cpus > TOLERANCE or amount.gpus > TOLERANCE:
+                await self._commit_transfer(shard, token, other.shard, team, amount)
+                return
+
+    def _spare(self, shard: int, work: ShardState, team: str) -> ShardQuotaShare:
+        """What is left of a shard's share once its pending tasks that can start have theirs."""
         share, used = self.quotas.share(shard, team), self.quotas.use(shard, team)
-        cpus, gpus = share[0] - used[0], share[1] - used[1]
+        cpus, gpus = share.cpus - used.cpus, share.gpus - used.gpus
         for allocation in work.allocations.values():
             spec = allocation.job.spec
-            if spec.team == team and allocation.pending.count and not self.quotas.held_back(spec):
+            if (
+                spec.team == team
+                and allocation.pending.count
+                and not self.quotas.yields_to_gang(spec)
+            ):
                 count = self._startable(self.statuses.newest[shard], spec, allocation.pending.count)
                 # What is too little for one more task here may complete one elsewhere.
                 count = min(count, count_fitting(limited_request(spec), Resources(cpus, gpus, 0.0)))
                 cpus -= spec.cpus * count
                 gpus -= spec.gpus * count
-        return (
+        return ShardQuotaShare(
             cpus if 0 < cpus < math.inf else 0.0,
             gpus if 0 < gpus < math.inf else 0.0,
         )
 
-    def _startable(self, status: ShardStatus, spec: user_api.JobSpec, waiting: int) -> int:
-        """How many waiting tasks machines there have room for, by preemption too.
+    def _startable(self, status: ShardStatus, spec: user_api.JobSpec, pending: int) -> int:
+        """How many pending tasks machines of a shard have capacity for, by preemption too.
 
-        Share that goes to tasks without room would lie idle there while other shards
-        have room and no share. What the lowest rank holds counts as room: preemption waits
-        for the share, so the share must not wait for preemption.
+        Quota transferred for tasks without capacity would lie idle while other shards have
+        capacity and no quota. What the lowest rank holds counts as capacity: preemption waits
+        for the quota, so the quota must not wait for preemption.
         """
         yielding = spec.rank != user_api.RANKS[-1]
-        return min(
-            waiting,
-            self.statuses.free_capacity(status, spec, yielding=yielding),
-        )
+        return min(pending, self.statuses.free_capacity(status, spec, yielding=yielding))
 
-    def _short(
-        self, status: ShardStatus, team: str
-    ) -> tuple[tuple[float, float], tuple[float, float]]:
-        """What a shard's waiting tasks of a team lack of share; and for one task, the least."""
-        share, used = self.quotas.share(status.shard, team), status.use.get(team, (0.0, 0.0))
-        left = (share[0] - used[0], share[1] - used[1])
+    def _shortage(self, status: ShardStatus, team: str) -> _Shortage:
+        """What a shard's pending tasks of a team lack; nothing if none of them can start."""
+        share, used = self.quotas.share(status.shard, team), self.quotas.reported_use(status, team)
+        left = ShardQuotaShare(share.cpus - used.cpus, share.gpus - used.gpus)
         cpus = gpus = 0.0
-        least = (math.inf, math.inf)
+        least = ShardQuotaShare(math.inf, math.inf)
         for id, count in status.waiting.items():
             job = self.job_index.open.get(id)
             if job is None or job.spec.team != team:
@@ -118,32 +134,29 @@
                 continue
             cpus, gpus = cpus + spec.cpus * count, gpus + spec.gpus * count
             at_once = spec.tasks if spec.kind == user_api.GANG else 1
-            lack = (
-                max(0.0, spec.cpus * at_once - left[0]),
-                max(0.0, spec.gpus * at_once - left[1]),
-            )
-            least = min(least, lack)
-        if least[0] == math.inf:
-            return (0.0, 0.0), (0.0, 0.0)
-        return (max(0.0, cpus - left[0]), max(0.0, gpus - left[1])), least
+            least = min(least, _lacking(spec.cpus * at_once, spec.gpus * at_once, left))
+        if least.cpus == math.inf:
+            return _Shortage(NO_SHARE, NO_SHARE)
+        return _Shortage(_lacking(cpus, gpus, left), least)
 
-    async def _give_share(
-        self, shard: int, token: int, to: int, team: Team, give: tuple[float, float]
+    async def _commit_transfer(
+        self, shard: int, token: int, target: int, team: Team, amount: ShardQuotaShare
     ) -> None:
-        rows = (
-            self.quotas.shares.of(team.name)
-            or [(team.cpus_max / self.shard_count, team.gpus_max / self.shard_count)]
-            * self.shard_count
+        equal = ShardQuotaShare(team.cpus_max / self.shard_count, team.gpus_max / self.shard_count)
+        shares = self.quotas.shares.of(team.name) or [equal] * self.shard_count
+        changed = list(shares)
+        changed[shard] = ShardQuotaShare(
+            shares[shard].cpus - amount.cpus, shares[shard].gpus - amount.gpus
         )
-        moved = list(rows)
-        moved[shard] = (rows[shard][0] - give[0], rows[shard][1] - give[1])
-        moved[to] = (rows[to][0] + give[0], rows[to][1] + give[1])
-        change = self.quotas.shares.change(team.name, moved)
+        changed[target] = ShardQuotaShare(
+            shares[target].cpus + amount.cpus, shares[target].gpus + amount.gpus
+        )
+        change = self.quotas.shares.change(team.name, changed)
         versions = self.quotas.shares.versions(team.name)
-        conditions = {keys.shard(shard): token, **versions}
-        self.quotas.giving[(shard, team.name)] = give
+        preconditions = {keys.shard(shard): token, **versions}
+        self.quotas.transfers_in_flight[(shard, team.name)] = amount
         try:
-            await self.commits.commit(conditions, [change], priority=Priority.SUBMISSIONS)
+            await self.commits.commit(preconditions, [change], priority=Priority.SUBMISSIONS)
         except StoreUnavailable as error:
             await self.range_writer.resolve_outcome(
                 error,
@@ -151,7 +164,12 @@
                 versions,
                 shard,
                 token,
-                lambda: self.quotas.shares.unchanged(change.key, team.name, rows),
+                lambda: self.quotas.shares.unchanged(change.key, team.name, shares),
             )
         finally:
-            self.quotas.giving.pop((shard, team.name), None)
+            self.quotas.transfers_in_flight.pop((shard, team.name), None)
+
+
+def _lacking(cpus: float, gpus: float, left: ShardQuotaShare) -> ShardQuotaShare:
+    """What is missing of an amount beyond what is left of a share."""
+    return ShardQuotaShare(max(0.0, cpus - left.cpus), max(0.0, gpus - left.gpus))
--- a/pitchtally/scheduling/quotas/quotas.py
+++ b/pitchtally/scheduling/quotas/quotas.py
@@ -3,12 +3,16 @@
 from __future__ import annotations
 
 import math
+from typing import NamedTuple
 
 import trio
 
+from ...agents.placements import NO_USE, ResourceUse
 from ...config.settings import Team
-from ...formats.quota_shares import QuotaShares
-from ...jobs.resources import Resources, count_fitting, limited_request
+from ...formats.quota_shares import QuotaShares, ShardQuotaShare
+from ...jobs.index import Job
+from ...jobs.resources import TOLERANCE, Resources, count_fitting, limited_request
+from ...membership.messages import ShardStatus
 from ...protocol import user_api
 from ..capacity import RANK
 from ..context import SchedulingContext
@@ -16,6 +20,27 @@
 from ..shards.allocations import ShardState
 from ..shards.shard_statuses import ShardStatuses
 
+NO_SHARE = ShardQuotaShare(0.0, 0.0)
+# Tasks that a team without a limit may start at a time: more than any shard's machines hold.
+_UNLIMITED_TASKS = 1_000_000
+# In place of a shard, for a gang that no shard has yet.
+_UNASSIGNED = -1
+# Agent heartbeats after which a gang short of quota comes before all of its team's arrays.
+_GANG_FIRST_HEARTBEATS = 4
+# The stretch at which deadlines of gangs and arrays are compared.
+_COMPARED_STRETCH = 1.0
+
+
+class GangShortOfQuota(NamedTuple):
+    """A gang that machines have capacity for, but its team's limit, or a share of it, has not.
+
+    In the order in which such gangs are served.
+    """
+
+    due: float  # its stretch deadline
+    shard: int  # _UNASSIGNED if no shard has it
+    job_id: str
+
 
 class Quotas:
     """What each team may use: its guarantee, its limit, and each shard's share of the limit."""
@@ -36,167 +61,184 @@
         self.shards = shards
         self.statuses = statuses
         self.deadlines = deadlines
-        teams = context.settings.deployment.teams
-        self.known: dict[str, Team] = {team.name: team for team in teams}
-        # Parts of shares whose transfer is under way, by shard and team: CPUs, GPUs.
-        self.giving: dict[tuple[int, str], tuple[float, float]] = {}
-        # team -> (due, shard, id) of the gang short of share
-        self.waiting_for_limit: dict[str, tuple[float, int, str]] = {}
-
-    def share(self, shard: int, team: str) -> tuple[float, float]:
+        self.teams: dict[str, Team] = {
+            team.name: team for team in context.settings.deployment.teams
+        }
+        # By shard and team: what `QuotaTransfer` is taking from the shard's share.
+        self.transfers_in_flight: dict[tuple[int, str], ShardQuotaShare] = {}
+        # The first gang of each limited team that is short of quota.
+        self.short_of_quota: dict[str, GangShortOfQuota] = {}
+
+    def share(self, shard: int, team: str) -> ShardQuotaShare:
         """This shard's durable share of a team's limits; infinite without a limit."""
-        settings = self.known.get(team)
+        settings = self.teams.get(team)
         if settings is None:
-            return (0.0, 0.0)
-        rows = self.shares.of(team)
-        if rows is not None:
-            cpus, gpus = rows[shard]
+            return NO_SHARE
+        shares = self.shares.of(team)
+        if shares is not None:
+            cpus, gpus = shares[shard]
         else:
             cpus, gpus = settings.cpus_max / self.shard_count, settings.gpus_max / self.shard_count
-        less = self.giving.get((shard, team), (0.0, 0.0))
-        return (
-            cpus - less[0] if settings.cpus_max > 0 else math.inf,
-            gpus - less[1] if settings.gpus_max > 0 else math.inf,
+        leaving = self.transfers_in_flight.get((shard, team), NO_SHARE)
+        return ShardQuotaShare(
+            cpus - leaving.cpus if settings.cpus_max > 0 else math.inf,
+            gpus - leaving.gpus if settings.gpus_max > 0 else math.inf,
         )
 
     def limited(self, team: str) -> bool:
         """Whether a team has a limit; an unknown one counts as limited."""
-        found = self.known.get(team)
+        found = self.teams.get(team)
         return found is None or found.cpus_max > 0 or found.gpus_max > 0
 
     def guaranteed(self, team: str) -> bool:
         """Whether a team has a guarantee."""
-        found = self.known.get(team)
+        found = self.teams.get(team)
         return found is not None and (found.cpus > 0 or found.gpus > 0)
 
-    def use(self, shard: int, team: str) -> tuple[float, float]:
+    def use(self, shard: int, team: str) -> ResourceUse:
         """CPUs and GPUs that a team's tasks take in a shard."""
         return self.agents.placements.team_use(shard, team)
 
+    def reported_use(self, status: ShardStatus, team: str) -> ResourceUse:
+        """CPUs and GPUs that a team's tasks take in a shard according to its status."""
+        return ResourceUse(*status.use.get(team, NO_USE))
+
     def tasks_within_limit(self, shard: int, spec: user_api.JobSpec) -> int:
         """How many more tasks of this job the team's share allows in the shard."""
         if not self.limited(spec.team):
-            return 1_000_000
-        unheard = self._unheard(shard)
-        if unheard is None:
+            return _UNLIMITED_TASKS
+        unreconciled = self._unreconciled_use(shard)
+        if unreconciled is None:
             return 0
         share, used = self.share(shard, spec.team), self.use(shard, spec.team)
-        cpus, gpus = share[0] - used[0] - unheard[0], share[1] - used[1] - unheard[1]
-        if self.held_back(spec):
-            # The gang's part leaves all that it needs, any other as much of that as it
-            # holds of the limit; the rest goes on, for a gang may wait long for shares
-            # to move in an outage.
-            _, place, id = self.waiting_for_limit[spec.team]
-            gang, team = self.job_index.open[id].spec, self.known[spec.team]
+        cpus = share.cpus - used.cpus - unreconciled.cpus
+        gpus = share.gpus - used.gpus - unreconciled.gpus
+        if self.yields_to_gang(spec):
+            # The gang's shard leaves all that the gang requests, any other as much of it as
+            # it holds of the limit. Tasks within what remains start all the same, since shares
+            # may take long to reach the gang during an outage.
+            _, gang_shard, id = self.short_of_quota[spec.team]
+            gang, team = self.job_index.open[id].spec, self.teams[spec.team]
             if team.cpus_max:
-                fraction = 1.0 if place == shard else share[0] / team.cpus_max
+                fraction = 1.0 if gang_shard == shard else share.cpus / team.cpus_max
                 cpus -= gang.cpus * gang.tasks * fraction
             if team.gpus_max:
-                fraction = 1.0 if place == shard else share[1] / team.gpus_max
+                fraction = 1.0 if gang_shard == shard else share.gpus / team.gpus_max
                 gpus -= gang.gpus * gang.tasks * fraction
         return count_fitting(limited_request(spec), Resources(cpus, gpus, 0.0))
 
-    def _unheard(self, shard: int) -> tuple[float, float] | None:
-        """The most that a team may use, unknown to us, on machines since the failover.
+    def _unreconciled_use(self, shard: int) -> ResourceUse | None:
+        """The most that a team may use on machines not reconciled since the failover.
 
-        Any of them may hold nothing but this team's tasks. A zone that is cut off in the
-        midst of a failover must not stop every limited team on the machines that answer.
+        Any of them may run nothing but this team's tasks. None if that is unknown. A zone that
+        is cut off during a failover must not stop every limited team on the machines that
+        answer, so only the silent machines count.
         """
         machines_with_orphans = self.agents.machines_with_orphans.get(shard)
         if self.shards[shard].reconciled and not machines_with_orphans:
-            return (0.0, 0.0)
-        hold = self.agents.shards.get(shard)
-        if hold is None or not hold.loaded:
+            return NO_USE
+        agents_shard = self.agents.shards.get(shard)
+        if agents_shard is None or not agents_shard.loaded:
             return None
         cpus = gpus = 0.0
-        # Nor is anything known of what tasks of jobs that are over take until they end.
-        for name in hold.suspects | (machines_with_orphans or set()):
+        # Orphans, tasks of jobs that are over, take an unknown amount until they end.
+        for name in agents_shard.suspects | (machines_with_orphans or set()):
             machine = self.agents.machines.get(name)
             if machine is None or machine.machine_type is None:
                 return None
             cpus, gpus = cpus + machine.machine_type.cpus, gpus + machine.machine_type.gpus
-        return (cpus, gpus)
+        return ResourceUse(cpus, gpus)
 
-    def held_back(self, spec: user_api.JobSpec) -> bool:
-        """Whether a gang of the team comes first and can't gather enough of its limit.
+    def yields_to_gang(self, spec: user_api.JobSpec) -> bool:
+        """Whether a gang of the team comes first and is short of quota.
 
-        Arrays take what frees up task by task, so a gang would wait for ever for a
-        limit that its own team's arrays fill.
+        Arrays take what frees up task by task, so a gang would never start under a limit
+        that its own team's arrays reach.
         """
-        gang = self.waiting_for_limit.get(spec.team)
+        gang = self.short_of_quota.get(spec.team)
         if gang is None or spec.kind == user_api.GANG:
             return False
-        job, first = self.job_index.open.get(spec.id), self.job_index.open.get(gang[2])
+        job, first = self.job_index.open.get(spec.id), self.job_index.open.get(gang.job_id)
         if job is None or first is None or RANK[spec.rank] < RANK[first.spec.rank]:
             return False
-        # The gang's stretch deadline is far off for its size, while it needs little of
-        # the limit, and only once: after a few reports it comes first.
-        waited = trio.current_time() - self.deadlines.release(first)
-        return waited > self.agent_heartbeat_s * 4 or gang[0] <= self.deadlines.due(job, 1.0)
-
-    def find_waiting_for_limit(self) -> None:
-        """For each limited team, the first gang that has room on machines but no share."""
-        self.waiting_for_limit.clear()
-        limited = {team for team in self.known if self.limited(team)}
+        # A gang's stretch deadline is far off for its size, while it needs little of the
+        # limit, and only once: after a few heartbeats it comes first.
+        pending_s = trio.current_time() - self.deadlines.release(first)
+        return (
+            pending_s > self.agent_heartbeat_s * _GANG_FIRST_HEARTBEATS
+            or gang.due <= self.deadlines.due(job, _COMPARED_STRETCH)
+        )
+
+    def find_short_of_quota(self) -> None:
+        """For each limited team, find the first gang that has capacity on machines but no quota."""
+        self.short_of_quota.clear()
+        self._find_unassigned_gangs()
+        for status in self.statuses.newest.values():
+            for id, count in status.waiting.items():
+                job = self.job_index.open.get(id)
+                if (
+                    job is not None
+                    and job.spec.kind == user_api.GANG
+                    and self.limited(job.spec.team)
+                    and self._is_short_of_share(status, job, count)
+                ):
+                    self._note_short_of_quota(job, status.shard)
+
+    def _find_unassigned_gangs(self) -> None:
+        """Gangs that no shard has, since the limit has no place for all of their tasks."""
+        limited = {team for team in self.teams if self.limited(team)}
         for gang in self.job_index.open.values() if limited else ():
-            # Not assigned yet, since the limit has no place for all of it.
-            team = gang.spec.team
             if (
                 gang.spec.kind == user_api.GANG
                 and not gang.record.ranges
-                and team in limited
+                and gang.spec.team in limited
                 and self.limit_left(gang.spec) < gang.spec.tasks
             ):
-                row = (self.deadlines.due(gang, 1.0), -1, gang.id)
-                if team not in self.waiting_for_limit or row < self.waiting_for_limit[team]:
-                    self.waiting_for_limit[team] = row
-        for status in self.statuses.newest.values():
-            for id, count in status.waiting.items():
-                job = self.job_index.open.get(id)
-                if job is None or job.spec.kind != user_api.GANG or not self.limited(job.spec.team):
-                    continue
-                spec = job.spec
-                share, used = self.share(status.shard, spec.team), status.use.get(spec.team, (0, 0))
-                available = Resources(share[0] - used[0], share[1] - used[1], 0.0)
-                if count_fitting(limited_request(spec), available) >= count:
-                    continue
-                if (
-                    id not in status.reserved
-                    and self.statuses.free_capacity(status, spec, yielding=True) < count
-                ):
-                    continue
-                row = (self.deadlines.due(job, 1.0), status.shard, id)
-                if (
-                    spec.team not in self.waiting_for_limit
-                    or row < self.waiting_for_limit[spec.team]
-                ):
-                    self.waiting_for_limit[spec.team] = row
+                self._note_short_of_quota(gang, _UNASSIGNED)
+
+    def _is_short_of_share(self, status: ShardStatus, job: Job, count: int) -> bool:
+        """Whether a shard has capacity for these pending tasks, but too small a share."""
+        spec = job.spec
+        share, used = self.share(status.shard, spec.team), self.reported_use(status, spec.team)
+        available = Resources(share.cpus - used.cpus, share.gpus - used.gpus, 0.0)
+        if count_fitting(limited_request(spec), available) >= count:
+            return False
+        return (
+            job.id in status.reserved
+            or self.statuses.free_capacity(status, spec, yielding=True) >= count
+        )
+
+    def _note_short_of_quota(self, gang: Job, shard: int) -> None:
+        entry = GangShortOfQuota(self.deadlines.due(gang, _COMPARED_STRETCH), shard, gang.id)
+        first = self.short_of_quota.get(gang.spec.team)
+        if first is None or entry < first:
+            self.short_of_quota[gang.spec.team] = entry
 
-    def use_anywhere(self, team: str) -> tuple[float, float]:
-        """A team's use in all shards: ours exactly, others' as last told."""
-        rows = [
-            self.use(p, team) if p in self.shards else status.use.get(team, (0.0, 0.0))
-            for p, status in self.statuses.newest.items()
+    def use_anywhere(self, team: str) -> ResourceUse:
+        """A team's use in all shards: ours exactly, others' as last reported."""
+        uses: list[tuple[float, float]] = [
+            self.use(shard, team) if shard in self.shards else status.use.get(team, NO_USE)
+            for shard, status in self.statuses.newest.items()
         ]
-        return sum(r[0] for r in rows), sum(r[1] for r in rows)
+        return ResourceUse(sum(use[0] for use in uses), sum(use[1] for use in uses))
 
-    def under(self, spec: user_api.JobSpec) -> bool:
+    def within_guarantee(self, spec: user_api.JobSpec) -> bool:
         """Whether the team, with one more such task, runs no more than its guarantee.
 
         Guarantees decide order and preemption only, so peers' statuses are exact enough;
-        limits are rules and rest on durable shares instead.
+        limits must never be exceeded and rest on durable shares instead.
         """
-        team = self.known.get(spec.team)
+        team = self.teams.get(spec.team)
         if team is None or not (team.cpus or team.gpus):
             return False
         cpus, gpus = self.use_anywhere(spec.team)
-        return (not team.cpus or cpus + spec.cpus <= team.cpus + 1e-6) and (
-            not team.gpus or gpus + spec.gpus <= team.gpus + 1e-6
+        return (not team.cpus or cpus + spec.cpus <= team.cpus + TOLERANCE) and (
+            not team.gpus or gpus + spec.gpus <= team.gpus + TOLERANCE
         )
 
     def limit_left(self, spec: user_api.JobSpec) -> int:
         """How many more tasks of a job its team's limit allows, over all shards."""
-        team = self.known.get(spec.team)
+        team = self.teams.get(spec.team)
         if team is None:
             return 0
         cpus, gpus = self.use_anywhere(spec.team)
@@ -207,14 +249,14 @@
         )
         return count_fitting(limited_request(spec), available)
 
-    def beyond(self, spec: user_api.JobSpec, other: str) -> bool:
-        """Whether a team other than ours runs more than its own guarantee."""
+    def other_team_over_guarantee(self, spec: user_api.JobSpec, other: str) -> bool:
+        """Whether the job's team isn't `other`, and runs more than its guarantee."""
         return spec.team != other and self.over_guarantee(spec.team)
 
     def over_guarantee(self, name: str) -> bool:
         """Whether a team runs more than its guarantee."""
-        team = self.known.get(name)
+        team = self.teams.get(name)
         if team is None:
             return False
         cpus, gpus = self.use_anywhere(name)
-        return cpus > team.cpus + 1e-6 or (gpus > team.gpus + 1e-6 and team.gpus > 0)
+        return cpus > team.cpus + TOLERANCE or (gpus > team.gpus + TOLERANCE and team.gpus > 0)
--- a/pitchtally/scheduling/range_writer.py
+++ b/pitchtally/scheduling/range_writer.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 
 import msgspec
 import trio
@@ -21,16 +21,16 @@
 from ..state_store.replica import Replica
 from .capacity import is_fully_assigned
 
-log = logging.getLogger("range_writer")
+log = logging.getLogger(__name__)
 
-# Pieces that a job's record may fall into: it has to fit into one value of the store.
-MOST_RANGES = 40
+# Ranges that a job's record may hold: it has to fit into one value of the store.
+MAX_RANGES = 40
 # Seconds between two tries to resolve an unknown outcome.
 RETRY_INTERVAL_S = 0.3
 
 
-def _same_plan(job: Job, before: JobRecord) -> bool:
-    """Whether a job's record says the same as before of who gets which tasks."""
+def _same_assignment(job: Job, before: JobRecord) -> bool:
+    """Whether a job's record says the same as before of which shard has which tasks."""
     now = job.record
     return (now.stage, now.ranges, now.zone, now.attempt, now.caps) == (
         before.stage,
@@ -60,50 +60,70 @@
     async def write_ranges(
         self,
         job: Job,
-        guard: dict[str, int],
+        preconditions: dict[str, int],
         ranges: list[TaskRange],
         *,
         zone: str | UnsetType | None = UNSET,
         attempt: int | UnsetType = UNSET,
         caps: list[tuple[int, str, int]] | UnsetType = UNSET,
     ) -> bool:
-        """Write who gets which tasks of a job; False if a condition failed.
+        """Write which shard has which tasks of a job; False if a precondition failed.
 
         `zone`, `attempt` and `caps` bind jobs whose tasks constrain one another; those left
         out stay as they are. Raises StoreUnavailable, OutcomeUnknown included.
         """
-        key = keys.job(job.id)
         bindings: dict[str, object] = {
             name: value
             for name, value in (("zone", zone), ("attempt", attempt), ("caps", caps))
             if value is not UNSET
         }
-        # Our copy applies our own writes ahead of the watch: a shard of ours that was
-        # taken over meanwhile must not be given tasks that its new leader starts too.
-        for _, _, shard in ranges:
-            token = self.membership.token(shard)
-            if token is not None:
-                guard[keys.shard(shard)] = token
-        # Moves are for the better, assignments for going at all.
+        preconditions = {**preconditions, **self._tokens_of_led_shards(ranges)}
+        # Migrations improve a placement; assignments are what lets tasks start at all.
         priority = (
             Priority.PROGRESS if is_fully_assigned(job) and not bindings else Priority.SUBMISSIONS
         )
-        value = self.record_with(job, ranges=ranges, **bindings)
-        if self.layout.needs_conversion(job) or not self.layout.record_fits(value):
-            before = job.record
-            if not await self.migration.convert(job, priority) or not _same_plan(job, before):
-                return False  # what was decided on may have changed meanwhile
-            value = self.record_with(job, ranges=ranges, **bindings)
-        if not self.layout.record_fits(value):
-            return False  # too many pieces for a record: the tasks stay where they are
+        value = await self._encode_in_limits(job, priority, ranges=ranges, **bindings)
+        if value is None:
+            return False
+        key = keys.job(job.id)
         try:
             return await self.commits.commit(
-                {key: job.version, **guard}, [Write(key, value)], priority=priority
+                {key: job.version, **preconditions}, [Write(key, value)], priority=priority
             )
         except InvalidTransaction as error:
             log.info("ranges refused job=%s cause=%s", job.id, error)
             return False
 
+    def _tokens_of_led_shards(self, ranges: Iterable[TaskRange]) -> dict[str, int]:
+        """Preconditions that this controller still leads the shards that it leads now.
+
+        The replica applies our own writes ahead of the watch. If another controller acquired
+        one of these shards meanwhile, both would start the tasks that are assigned to it.
+        """
+        tokens: dict[str, int] = {}
+        for _, _, shard in ranges:
+            token = self.membership.token(shard)
+            if token is not None:
+                tokens[keys.shard(shard)] = token
+        return tokens
+
+    async def _encode_in_limits(
+        self, job: Job, priority: Priority, **changes: object
+    ) -> bytes | None:
+        """The changed record, converted to a layout that holds it if need be.
+
+        None if no layout holds it, or if the assignment changed during the conversion: the
+        tasks then stay where they are.
+        """
+        value = self.record_with(job, **changes)
+        if self.layout.needs_conversion(job) or not self.layout.record_fits(value):
+            before = job.record
+            converted = await self.migration.convert(job, priority)
+            if not converted or not _same_assignment(job, before):
+                return None
+            value = self.record_with(job, **changes)
+        return value if self.layout.record_fits(value) else None
+
     def record_with(self, job: Job, **changes: object) -> bytes:
         """A job's record as it is now, but for these fields, encoded."""
         record: JobRecord = msgspec.structs.replace(job.current_record(), **changes)
@@ -118,13 +138,14 @@
         token: int,
         value: Callable[[], bytes],
     ) -> None:
-        """After a commit without an answer, nothing goes on until it can't happen any more.
+        """Return once a commit that failed with `error` can't take effect any more.
+
+        A read doesn't tell: the store may carry out a transaction seconds after the client
+        gave up on its answer. So the key's present value (`value`) is written under the same
+        preconditions. Whichever of the two commits comes first, the other's compare fails.
+        Also returns when the shard is lost, since the outcome is then up to its next leader.
 
-        To read the store isn't enough: a transaction may be carried out seconds after its
-        answer was given up, and what was kept back meanwhile would have gone on by then.
-        So the key is written as it stands. Whichever of the two comes first, the other's
-        condition fails; a shard that was lost meanwhile is its new leader's affair.
-        `versions`: those of the key, and of others, that the transaction rested on.
+        `versions` are the versions of the key, and of others, that the commit expected.
         """
         if not isinstance(error, OutcomeUnknown):
             return
@@ -137,8 +158,8 @@
                     [Write(key, value())],
                     priority=Priority.SUBMISSIONS,
                 )
-            except StoreUnavailable as again:
-                log.debug("settling %s: %s", key, again)
+            except StoreUnavailable as retry_error:
+                log.debug("outcome unresolved key=%s: %s", key, retry_error)
                 await trio.sleep(RETRY_INTERVAL_S)
 
     async def resolve_job_outcome(
--- a/pitchtally/scheduling/rebalancing/__init__.py
+++ b/pitchtally/scheduling/rebalancing/__init__.py
@@ -1,7 +1,9 @@
-"""Pending tasks moved between shards.
+"""Pending tasks migrated between shards.
 
-Owns no lasting state but when it last looked. `TaskTransfer` alone gives tasks away, by one
+Duty: tasks start in the shard that can start them soonest, whatever their first assignment.
+
+State: none but the times of the last rounds. `TaskMigration` alone migrates tasks, by one
 compare-and-swap of the job's record under this controller's fencing token.
 
-Invariant: a task that may have been given away starts nowhere until the outcome is known.
+Invariant: a task that may have been migrated starts nowhere until the outcome is known.
 """
--- /dev/null
+++ b/pitchtally/scheduling/rebalancing/queue_balancing.py
@@ -0,0 +1,157 @@
+"""Pending tasks migrated from shards with long queues to shards with short ones."""
+
+from __future__ import annotations
+
+import math
+from typing import NamedTuple
+
+import trio
+
+from ...membership.messages import MachineFlag, ShardStatus
+from ...protocol import user_api
+from ..capacity import RANK, allows_machine_type, stays_in_one_shard
+from ..context import SchedulingContext
+from ..range_writer import MAX_RANGES
+from ..shards.allocations import ShardAllocation, ShardState
+from ..shards.eligibility import is_ready
+from ..shards.shard_statuses import ShardStatuses
+from .task_migration import TaskMigration
+
+# Jobs with the most pending CPUs of a shard that are tried in a round.
+_MAX_JOBS = 2
+# A queue is too long if it takes this many times as long as the shortest, and some more
+# agent heartbeats.
+_IMBALANCE = 1.25
+_IMBALANCE_HEARTBEATS = 2
+# Machine-seconds: the least work of a task that queued work is divided by.
+_LEAST_TASK_WORK = 1e-6
+# Machines that take tasks now or very soon.
+_ABLE_FLAGS = frozenset({MachineFlag.USABLE, MachineFlag.NEW})
+
+
+class DrainTime(NamedTuple):
+    """How long a shard's queue takes, counted in GPUs or CPUs as the job asked about."""
+
+    seconds: float  # infinite if no machine there may run the job
+    width: float  # GPUs or CPUs of the machines that may
+
+
+class _ShortestQueue(NamedTuple):
+    seconds: float
+    shard: int
+
+
+class QueueBalancing:
+    """Evens out the queues of shards: the paper's queue balancing of machines, one level up.
+
+    A shard accepts a job by the availability of its machines on arrival; boots, lost machines
+    and wrong estimates change that while the tasks are pending.
+    """
+
+    def __init__(
+        self,
+        context: SchedulingContext,
+        shards: dict[int, ShardState],
+        statuses: ShardStatuses,
+        migration: TaskMigration,
+    ) -> None:
+        self.policy = context.policy
+        self.job_index = context.job_index
+        self.machine_types = context.machine_types
+        self.estimates = context.estimates
+        self.agent_heartbeat_s = context.agent_heartbeat_s
+        self.shards = shards
+        self.statuses = statuses
+        self.migration = migration
+        self._last_round_at = -1e9
+
+    async def balance(self) -> None:
+        """Migrate tasks of one job of each of our shards whose queue is too long."""
+        now = trio.current_time()
+        if now - self._last_round_at < self.policy.heartbeat_interval:
+            return  # peers' statuses are no newer
+        self._last_round_at = now
+        for shard, work in list(self.shards.items()):
+            status = self.statuses.newest.get(shard)
+            if status is None or not work.reconciled:
+                continue
+            for id in self._candidates(work, now):
+                if await self._migrate_excess(work.allocations[id], status):
+                    break
+
+    @staticmethod
+    def _candidates(work: ShardState, now: float) -> list[str]:
+        """The jobs with the most pending CPUs that may be split over shards."""
+        rows = [
+            (allocation.pending.count * allocation.job.spec.cpus, id)
+            for id, allocation in work.allocations.items()
+            if is_ready(work, id, allocation, now)
+            and not allocation.faulty
+            and not stays_in_one_shard(allocation.job.spec)
+            and not allocation.service  # goes by free capacity: replicas never end
+            and len(allocation.job.record.ranges) <= MAX_RANGES
+        ]
+        return [id for _, id in sorted(rows, reverse=True)[:_MAX_JOBS]]
+
+    async def _migrate_excess(self, allocation: ShardAllocation, status: ShardStatus) -> bool:
+        """Migrate as many tasks as make the two queues equal; False if there is no need."""
+        spec = allocation.job.spec
+        here, width = self.drain_time(status, spec)
+        shortest = self._shortest_queue(allocation.shard, spec)
+        if shortest is None:
+            return False
+        if here <= shortest.seconds * _IMBALANCE + self.agent_heartbeat_s * _IMBALANCE_HEARTBEATS:
+            return False
+        count = allocation.pending.count  # all, where no machine here may run it
+        if width:
+            amount = spec.gpus if spec.gpus > 0 else spec.cpus
+            task = max(_LEAST_TASK_WORK, amount * self.estimates.task(spec))
+            count = min(count, int((here - shortest.seconds) / 2 * width / task))
+        if count <= 0:
+            return False
+        await self.migration.migrate(allocation, shortest.shard, count)
+        return True
+
+    def _shortest_queue(self, shard: int, spec: user_api.JobSpec) -> _ShortestQueue | None:
+        """The other shard where the job's tasks would start soonest."""
+        shortest: _ShortestQueue | None = None
+        for other in self.statuses.newest.values():
+            if (
+                other.shard == shard
+                or not other.reconciled
+                or other.shard in self.statuses.unreported
+            ):
+                continue
+            seconds = self.drain_time(other, spec).seconds
+            if shortest is None or seconds < shortest.seconds:
+                shortest = _ShortestQueue(seconds, other.shard)
+        return shortest
+
+    def drain_time(self, status: ShardStatus, spec: user_api.JobSpec) -> DrainTime:
+        """How long a shard takes for what is queued there ahead of such a job.
+
+        Counted in GPUs for jobs that request some, else in CPUs, over the machines that may
+        run the job.
+        """
+        by_gpus = spec.gpus > 0
+        width = self._width(status, spec, by_gpus=by_gpus)
+        if not width:
+            return DrainTime(math.inf, 0.0)
+        work = 0.0
+        for id, count in status.waiting.items():
+            job = self.job_index.open.get(id)
+            if job is None or RANK[job.spec.rank] > RANK[spec.rank]:
+                continue
+            amount = job.spec.gpus if by_gpus else job.spec.cpus
+            work += count * amount * self.estimates.task(job.spec)
+        return DrainTime(work / width, width)
+
+    def _width(self, status: ShardStatus, spec: user_api.JobSpec, *, by_gpus: bool) -> float:
+        """GPUs or CPUs of a shard's machines that may run the job."""
+        width = 0.0
+        for (type_, zone, spot), machines in self.statuses.groups_of(status).items():
+            machine_type = self.machine_types().get(type_)
+            if machine_type is not None and allows_machine_type(spec, machine_type, zone, spot):
+                able = sum(1 for machine in machines if machine.flag in _ABLE_FLAGS)
+                width += able * (machine_type.gpus if by_gpus else machine_type.cpus)
+        return width
--- a/pitchtally/scheduling/rebalancing/service_migration.py
+++ b/pitchtally/scheduling/rebalancing/service_migration.py
@@ -1,9 +1,10 @@
-"""Replicas that find no room in their shard, moved to a shard that has some.
+"""Replicas that find no capacity in their shard, migrated to a shard that has some.
 
-An array's other tasks end some day, and what is left of it then goes elsewhere as a whole.
-A service's never end, so what it lacks has to move alone. A spread service keeps to its
-zones' shares over several shards by caps in its record: the shard that gives replicas away
-keeps no more places in a zone than it has taken, and the other gets what that leaves.
+An array's running tasks end some day, and what is left of it then goes elsewhere together.
+A service's never end, so its missing replicas have to migrate alone. The caps in the record
+of a spread service limit its replicas by shard and zone, so that all shards together stay
+within each zone's limit: the source shard's caps fall to the replicas that it has placed, and
+the target shard's rise by those that migrate.
 """
 
 from __future__ import annotations
@@ -18,24 +19,25 @@
 from ...state_store.errors import StoreUnavailable
 from ..capacity import CapacitySource, plan_gang, stays_in_one_shard
 from ..context import SchedulingContext
-from ..gangs.planner import GangPlanner
+from ..gangs.free_capacity import FreeCapacity
+from ..gangs.single_shard_planner import SingleShardPlanner
 from ..quotas.quotas import Quotas
 from ..shards.allocations import ShardAllocation, ShardState, most_in_zone
 from ..shards.eligibility import is_ready
 from ..shards.shard_statuses import ShardStatuses
-from .task_transfer import TaskTransfer
+from .task_migration import TaskMigration
 
-log = logging.getLogger("service_migration")
+log = logging.getLogger(__name__)
 
-# Report intervals that a replica waits for room in its own shard.
-PATIENCE_REPORTS = 2
-# Of `start_within`: a service that fits nowhere as it stands starts anew elsewhere.
-LEAVE_SHARE = 1 / 6
+# Agent heartbeats that a replica stays pending in its own shard before it migrates.
+_PENDING_HEARTBEATS = 2
+# Of `start_within`: a service whose missing replicas fit nowhere then starts anew elsewhere.
+_RESTART_SHARE = 1 / 6
 
 ZoneCounts = dict[str, int]
 
 
-class Move(NamedTuple):
+class ReplicaMigration(NamedTuple):
     """Where missing replicas go: a shard, and how many of them into which zone."""
 
     shard: int
@@ -43,7 +45,7 @@
 
 
 class ServiceMigration:
-    """Moves replicas of services that must stay whole, or starts those anew elsewhere."""
+    """Migrates missing replicas of one-zone and spread services, or restarts these elsewhere."""
 
     def __init__(
         self,
@@ -51,8 +53,9 @@
         shards: dict[int, ShardState],
         statuses: ShardStatuses,
         quotas: Quotas,
-        gang_planner: GangPlanner,
-        transfer: TaskTransfer,
+        free_capacity: FreeCapacity,
+        single_shard_planner: SingleShardPlanner,
+        migration: TaskMigration,
     ) -> None:
         self.settings = context.settings
         self.policy = context.policy
@@ -61,62 +64,63 @@
         self.shards = shards
         self.statuses = statuses
         self.quotas = quotas
-        self.gang_planner = gang_planner
-        self.transfer = transfer
+        self.free_capacity = free_capacity
+        self.single_shard_planner = single_shard_planner
+        self.migration = migration
 
-    async def move(self) -> None:
-        """Look at every such service of our shards that lacks replicas."""
+    async def migrate(self) -> None:
+        """Migrate or restart every such service of our shards that lacks capacity here."""
         for shard, work in list(self.shards.items()):
-            if not work.reconciled or not self.transfer.leads(shard):
+            if not work.reconciled or not self.migration.leads(shard):
                 continue
             for allocation in list(work.allocations.values()):
-                if self._lacks_room(work, allocation):
-                    await self._move_or_leave(allocation)
+                if self._lacks_capacity(work, allocation):
+                    await self._migrate_or_restart(allocation)
 
-    def _lacks_room(self, work: ShardState, allocation: ShardAllocation) -> bool:
+    def _lacks_capacity(self, work: ShardState, allocation: ShardAllocation) -> bool:
         now = trio.current_time()
         if not allocation.service or not stays_in_one_shard(allocation.spec) or allocation.faulty:
             return False
         if not is_ready(work, allocation.job.id, allocation, now):
             return False
         if not allocation.placed and len(allocation.job.record.ranges) == 1:
-            return False  # nothing of it runs: it goes back to the leader
-        if now - allocation.since < self.agent_heartbeat_s * PATIENCE_REPORTS:
+            return False  # nothing of it runs: it returns to the cluster leader
+        if now - allocation.since < self.agent_heartbeat_s * _PENDING_HEARTBEATS:
             return False
         if not self.quotas.tasks_within_limit(allocation.shard, allocation.spec):
-            return False  # it waits for its team's limit, wherever it is
+            return False  # its team's limit holds it up, in any shard
         return self._find(allocation, [allocation.shard], capped=True) is None
 
-    async def _move_or_leave(self, allocation: ShardAllocation) -> None:
+    async def _migrate_or_restart(self, allocation: ShardAllocation) -> None:
         others = [shard for shard in self.statuses.newest if shard != allocation.shard]
-        # Our own shard again, if only its caps keep it from using what zones leave.
+        # Our own shard first: its caps may be lower than the zones' limits allow.
         found = self._find(allocation, [allocation.shard, *others])
         if found is not None:
-            await self._move(allocation, found)
-        elif trio.current_time() - allocation.since >= self.policy.start_within * LEAVE_SHARE:
-            self._leave(allocation, others)
+            await self._migrate(allocation, found)
+        elif trio.current_time() - allocation.since >= self.policy.start_within * _RESTART_SHARE:
+            self._restart_elsewhere(allocation, others)
 
     def _find(
         self, allocation: ShardAllocation, shards: list[int], *, capped: bool = False
-    ) -> Move | None:
-        """The first of these shards with room for all missing replicas, by preemption too.
+    ) -> ReplicaMigration | None:
+        """The first of these shards with capacity for all missing replicas, by preemption too.
 
-        `capped`: as the record's caps have it, not as they might.
+        `capped`: within the caps of the record, not those that it could have.
         """
         spec, missing = allocation.spec, allocation.pending.count
         zone = allocation.job.record.zone if allocation.one_zone else None
         for source in (CapacitySource.FREE, CapacitySource.YIELDING):
-            capacities = self.gang_planner.free_capacity(spec, source)
+            capacities = self.free_capacity.by_zone(spec, source)
             for shard in shards:
-                left = self._zone_limits(allocation, capped=capped)
+                limits = self._zone_limits(allocation, capped=capped)
                 here = {
-                    (p, z): min(available, left.get(z, missing))
-                    for (p, z), available in capacities.items()
-                    if p == shard and zone in (None, z)
+                    (other, z): min(available, limits.get(z, missing))
+                    for (other, z), available in capacities.items()
+                    if other == shard and zone in (None, z)
                 }
                 found = plan_gang(here, missing, one_zone=False, spread=False)
                 if found is not None:
-                    return Move(shard, {z: count for (_, z), count in found.items()})
+                    return ReplicaMigration(shard, {z: count for (_, z), count in found.items()})
         return None
 
     def _placed(self, allocation: ShardAllocation) -> ZoneCounts:
@@ -131,36 +135,36 @@
             return {zone: allocation.most_in_zone(zone) - n for zone, n in placed.items()}
         return zone_limits(allocation.job, placed, allocation.shard)
 
-    async def _move(self, allocation: ShardAllocation, move: Move) -> None:
+    async def _migrate(self, allocation: ShardAllocation, found: ReplicaMigration) -> None:
         caps = None
         if allocation.spec.spread:
-            caps = moved_caps(allocation.job, self._placed(allocation), allocation.shard, move)
+            caps = migrated_caps(allocation.job, self._placed(allocation), allocation.shard, found)
         log.info(
-            "replicas move job=%s from=%d to=%d count=%d",
+            "replicas migrate job=%s from=%d to=%d count=%d",
             allocation.job.id,
             allocation.shard,
-            move.shard,
+            found.shard,
             allocation.pending.count,
         )
         try:
-            await self.transfer.give(allocation, move.shard, allocation.pending.count, caps)
+            await self.migration.migrate(allocation, found.shard, allocation.pending.count, caps)
         except StoreUnavailable as error:
-            log.debug("replicas not moved: %s", error)
+            log.debug("replicas not migrated: %s", error)
 
-    def _leave(self, allocation: ShardAllocation, others: list[int]) -> None:
-        """Stop a service that can't be whole as it stands, so that it starts whole elsewhere."""
+    def _restart_elsewhere(self, allocation: ShardAllocation, others: list[int]) -> None:
+        """Stop a service whose replicas can't all run here, so that all start elsewhere."""
         if len({r.shard for r in allocation.job.record.ranges}) > 1:
             return  # the others' replicas aren't ours to stop
-        if self.gang_planner.plan_service(allocation.spec, others) is None:
+        if self.single_shard_planner.plan_service(allocation.spec, others) is None:
             return
-        log.info("service leaves job=%s part=%d", allocation.job.id, allocation.shard)
+        log.info("service restarts elsewhere job=%s shard=%d", allocation.job.id, allocation.shard)
         allocation.not_before = trio.current_time() + self.settings.deployment.workers.lease_s
         for placement in list(allocation.placed.values()):
             self.agents.stop(placement, 0.0)
 
 
 def zone_limits(job: Job, placed: ZoneCounts, shard: int) -> ZoneCounts:
-    """How many more replicas may be in each zone, other shards' caps and our places counted."""
+    """How many more replicas may be in each zone, other shards' caps and our placements counted."""
     taken: Counter[str] = Counter(placed)
     for other, zone, cap in job.record.caps:
         if other != shard:
@@ -169,11 +173,13 @@
     return {zone: max(0, most - taken[zone]) for zone in placed}
 
 
-def moved_caps(job: Job, placed: ZoneCounts, shard: int, move: Move) -> list[tuple[int, str, int]]:
-    """The caps after a move: ours at what we have placed, the other shard's raised by the move.
+def migrated_caps(
+    job: Job, placed: ZoneCounts, shard: int, migration: ReplicaMigration
+) -> list[tuple[int, str, int]]:
+    """The caps after a migration: ours at what is placed, the target's raised by what migrates.
 
-    Ours fall by what we gave up and no shard gets more than that leaves, so a zone's caps
-    never add up to more than its share.
+    Ours fall by the replicas that migrate, and the target's rise by no more than the zones'
+    limits leave, so a zone's caps never add up to more than its limit.
     """
     caps: Counter[tuple[int, str]] = Counter()
     for other, zone, cap in job.record.caps:
@@ -181,6 +187,6 @@
             caps[(other, zone)] += cap
     for zone, count in placed.items():
         caps[(shard, zone)] = count
-    for zone, count in move.zones.items():
-        caps[(move.shard, zone)] += count
+    for zone, count in migration.zones.items():
+        caps[(migration.shard, zone)] += count
     return [(other, zone, cap) for (other, zone), cap in sorted(caps.items()) if cap]
--- a/pitchtally/scheduling/rebalancing/task_migration.py
+++ b/pitchtally/scheduling/rebalancing/task_migration.py
@@ -1,12 +1,13 @@
-"""Pending tasks of a shard given to another one."""
+"""Pending tasks of a shard migrated to another one."""
 
 from __future__ import annotations
 
 import logging
+from collections.abc import Iterable
 
 from msgspec import UNSET
 
-from ...jobs.job_record import merge
+from ...jobs.job_record import TaskRange, merge
 from ...membership.membership import Membership
 from ...state_store import keys
 from ...state_store.errors import StoreUnavailable
@@ -14,10 +15,10 @@
 from ..shards.allocations import ShardAllocation
 from ..shards.shard_statuses import ShardStatuses
 
-log = logging.getLogger("task_transfer")
+log = logging.getLogger(__name__)
 
 
-class TaskTransfer:
+class TaskMigration:
     """Moves pending tasks to another shard by one compare-and-swap."""
 
     def __init__(
@@ -28,17 +29,17 @@
         self.range_writer = range_writer
 
     def leads(self, shard: int) -> bool:
-        """Whether this controller leads the shard, and so may give its tasks away."""
+        """Whether this controller leads the shard, and so may migrate its tasks."""
         return self.membership.token(shard) is not None
 
-    async def give(
+    async def migrate(
         self,
         allocation: ShardAllocation,
-        to: int,
+        target: int,
         count: int,
         caps: list[tuple[int, str, int]] | None = None,
     ) -> None:
-        """Tasks that are nowhere go to another shard, in one conditional write.
+        """Move `count` pending tasks to the shard `target`, in one conditional write.
 
         `caps`, if given, are the job's new ones (see `JobRecord.caps`).
         """
@@ -50,25 +51,34 @@
         allocation.moving = True
         version = job.version
         try:
-            ranges: list[tuple[int, int, int]] = []
-            for a, b, p in job.record.ranges:
-                if p != shard:
-                    ranges.append((a, b, p))
-                    continue
-                cuts = sorted((max(a, x), min(b, y)) for x, y in carved if x < b and y > a)
-                for x, y in cuts:
-                    ranges += [(a, x, shard), (x, y, to)]
-                    a = y
-                ranges.append((a, b, shard))
+            ranges = _migrated(job.record.ranges, shard, target, carved)
             if await self.range_writer.write_ranges(
-                job, {keys.shard(shard): token}, merge(ranges), caps=UNSET if caps is None else caps
+                job, {keys.shard(shard): token}, ranges, caps=UNSET if caps is None else caps
             ):
-                self.statuses.record_allocation(to, job.spec, count)
-                log.debug("gave job=%s tasks=%d from=%d to=%d", job.id, count, shard, to)
+                self.statuses.record_allocation(target, job.spec, count)
+                log.debug("migrated job=%s tasks=%d from=%d to=%d", job.id, count, shard, target)
         except StoreUnavailable as error:
-            # Perhaps it was done, or will be: until it can't, the tasks start nowhere.
+            # The write may have taken effect, or still may: until neither can be, these
+            # tasks must not start here.
             await self.range_writer.resolve_job_outcome(error, job, version, shard, token)
         finally:
             allocation.moving = False
             if job.open:
                 allocation.rebuild()
+
+
+def _migrated(
+    ranges: Iterable[TaskRange], source: int, target: int, carved: list[tuple[int, int]]
+) -> list[TaskRange]:
+    """A job's ranges once the carved tasks of `source` are assigned to `target`."""
+    migrated: list[tuple[int, int, int]] = []
+    for first, end, shard in ranges:
+        if shard != source:
+            migrated.append((first, end, shard))
+            continue
+        cuts = sorted((max(first, a), min(end, b)) for a, b in carved if a < end and b > first)
+        for cut_first, cut_end in cuts:
+            migrated += [(first, cut_first, source), (cut_first, cut_end, target)]
+            first = cut_end
+        migrated.append((first, end, source))
+    return merge(migrated)
--- a/pitchtally/scheduling/scheduler.py
+++ b/pitchtally/scheduling/scheduler.py
@@ -1,11 +1,11 @@
 """Which shard gets a job's tasks, and which of them start on a machine.
 
-The path of the design: an accepting controller keeps a job if its shard covers it at a
-stretch of at most B times the lowest anywhere, else the cluster leader splits it by
-summed availability; within a shard the tasks are allotted to machine queues the
-same way; a machine with capacity starts its queue in deadline order and then takes
-from the longest queue of its shard. Around it stand ranks, guarantees and limits of
-teams, zones, gangs, preemption, and shards that give tasks to a shard with capacity.
+The design follows Celaya and Marchal: an accepting controller keeps a job if its shard covers
+it at a stretch of at most B times the lowest anywhere, else the cluster leader splits it in
+proportion to summed availability; within a shard the tasks are allotted to machine queues the
+same way; a machine with capacity starts its queue in deadline order and then takes from the
+longest queue of its shard. Ranks, team quotas, zones, gangs, preemption and the migration of
+tasks between shards are added to it.
 """
 
 from __future__ import annotations
@@ -26,16 +26,19 @@
 from ..protocol import cloud_api, user_api
 from ..state_store.errors import StoreUnavailable
 from ..state_store.replica import Replica
-from .assignment.admission import Admission
+from .assignment.admission import Admission, JobPlanners
+from .assignment.constrained_assignment import ConstrainedAssignment
 from .assignment.job_assignment import JobAssignment
 from .assignment.proportional_split import ProportionalSplit
 from .capacity import Plan
 from .context import AvailabilitySamples, SchedulingContext
 from .deadlines import Deadlines
 from .estimates import Estimates
-from .gangs.give_back import GiveBack
+from .gangs.free_capacity import FreeCapacity
 from .gangs.planner import GangPlanner
+from .gangs.range_return import RangeReturn
 from .gangs.reservations import Reservations
+from .gangs.single_shard_planner import SingleShardPlanner
 from .gangs.starter import GangStarter
 from .placement.allotment import Allotment
 from .placement.draining import DrainingEviction
@@ -48,21 +51,22 @@
 from .quotas.quota_transfer import QuotaTransfer
 from .quotas.quotas import Quotas
 from .range_writer import RETRY_INTERVAL_S, RangeWriter
+from .rebalancing.queue_balancing import QueueBalancing
 from .rebalancing.rebalancing import Rebalancing
 from .rebalancing.service_migration import ServiceMigration
-from .rebalancing.task_transfer import TaskTransfer
+from .rebalancing.task_migration import TaskMigration
 from .shards.allocations import ShardState
 from .shards.failure_tracker import FailureTracker
 from .shards.shard_states import ShardStates
 from .shards.shard_statuses import ShardStatuses
 
-log = logging.getLogger("scheduler")
+log = logging.getLogger(__name__)
 
-# Planning rests this many times as long as it took: a tenth of the time is for it, and
-# the rest of the processor for reports and users.
-_REST = 9.0
+# After planning, the loop sleeps this many times as long as planning took: a tenth of the
+# time is for planning, and the rest for agent heartbeats and users.
+_PLANNING_PAUSE_FACTOR = 9.0
 # Seconds between two rounds of the global loop, at the least.
-_LEAST_ROUND_S = 0.2
+_MIN_GLOBAL_ROUND_S = 0.2
 
 
 class Scheduler:
@@ -80,8 +84,10 @@
         migration: JobMigration,
         machine_types: Callable[[], dict[str, cloud_api.MachineType]],
     ):
-        """`machine_types` gives the machine types of the catalog as it is now; each argument is a
-        component of a lower layer that the controller has composed."""
+        """`machine_types` returns the machine types of the catalog as it is now.
+
+        Each other argument is a component of a lower layer that the controller has composed.
+        """
         context = SchedulingContext(
             settings=settings,
             policy=policy,
@@ -94,28 +100,31 @@
             agent_heartbeat_s=settings.deployment.workers.report_s,
             shard_count=settings.deployment.count,
         )
-        work: dict[int, ShardState] = {}
         self.membership = membership
         self.agent_heartbeat_s = context.agent_heartbeat_s
         self.estimates = context.estimates
         self.planning_trigger = PlanningTrigger()
         self.range_writer = RangeWriter(commits, membership, replica, migration)
+        self._compose_shared(context, QuotaShares(replica, job_index.gate))
+        self._compose_shard_planning(context)
+        self._compose_global_planning(context)
+
+    def _compose_shared(self, context: SchedulingContext, shares: QuotaShares) -> None:
+        """The components that planning within a shard and over several both use."""
+        work: dict[int, ShardState] = {}
         self.deadlines = Deadlines(context)
-        self.statuses = ShardStatuses(context, membership, work)
-        shares = QuotaShares(replica, job_index.gate)
+        self.statuses = ShardStatuses(context, self.membership, work)
         self.quotas = Quotas(context, shares, work, self.statuses, self.deadlines)
         self.priorities = PriorityOrder(context, self.deadlines, self.quotas)
-        failures = FailureTracker(context)
+        self.failures = FailureTracker(context)
         self.shards = ShardStates(
-            context, work, self.statuses, self.deadlines, failures, self.planning_trigger
+            context, work, self.statuses, self.deadlines, self.failures, self.planning_trigger
         )
-        self._compose_shard_planning(context, failures)
-        self._compose_global_planning(context)
 
-    def _compose_shard_planning(self, context: SchedulingContext, failures: FailureTracker) -> None:
+    def _compose_shard_planning(self, context: SchedulingContext) -> None:
         """The components that plan within a shard."""
         work = self.shards.work
-        self.survey = Survey(context, work, self.deadlines, failures)
+        self.survey = Survey(context, work, self.deadlines, self.failures)
         self.allotment = Allotment(context, work)
         self.gang_starter = GangStarter(context, work, self.statuses, self.priorities, self.quotas)
         self.placer = Placer(context, work, self.priorities, self.quotas, self.gang_starter)
@@ -126,25 +135,33 @@
 
     def _compose_global_planning(self, context: SchedulingContext) -> None:
         """The components that plan over several shards."""
-        work, membership, writer = self.shards.work, self.membership, self.range_writer
-        self.gang_planner = GangPlanner(context, self.statuses, self.quotas, self.deadlines, writer)
-        split = ProportionalSplit(context, self.statuses, self.deadlines, self.gang_planner)
+        work, writer = self.shards.work, self.range_writer
+        free_capacity = FreeCapacity(context, self.statuses)
+        single_shard = SingleShardPlanner(context, self.statuses, free_capacity)
+        gangs = GangPlanner(context, self.statuses, self.quotas, self.deadlines, free_capacity)
+        split = ProportionalSplit(context, self.statuses, self.deadlines, single_shard)
         self.admission = Admission(
-            context, membership, work, self.statuses, self.gang_planner, split
+            context,
+            self.membership,
+            work,
+            self.statuses,
+            JobPlanners(gangs, single_shard, split),
         )
+        constrained = ConstrainedAssignment(self.quotas, gangs, single_shard, writer)
         self.assignment = JobAssignment(
-            context, self.deadlines, self.quotas, self.gang_planner, split, writer
+            context, self.deadlines, self.quotas, constrained, split, writer
         )
-        self.give_back = GiveBack(
-            context, membership, self.shards, self.deadlines, self.quotas, writer
+        self.range_return = RangeReturn(
+            context, self.membership, self.shards, self.deadlines, self.quotas, writer
         )
-        transfer = TaskTransfer(membership, self.statuses, writer)
-        self.rebalancing = Rebalancing(context, work, self.statuses, self.quotas, transfer)
+        migration = TaskMigration(self.membership, self.statuses, writer)
+        self.rebalancing = Rebalancing(context, work, self.statuses, self.quotas, migration)
+        self.queue_balancing = QueueBalancing(context, work, self.statuses, migration)
         self.service_migration = ServiceMigration(
-            context, work, self.statuses, self.quotas, self.gang_planner, transfer
+            context, work, self.statuses, self.quotas, free_capacity, single_shard, migration
         )
         self.quota_transfer = QuotaTransfer(
-            context, membership, work, self.statuses, self.quotas, writer
+            context, self.membership, work, self.statuses, self.quotas, writer
         )
 
     def decide(self, spec: user_api.JobSpec) -> Plan:
@@ -156,10 +173,10 @@
         return self.admission.decide_as_leader(spec)
 
     async def run(self) -> None:
-        """Allot, preempt, refresh statuses; what is due is worked out anew each time."""
+        """Plan within each of our shards and refresh their statuses, over and over."""
         while True:
             await self.planning_trigger.wait(self.agent_heartbeat_s / 4)
-            # Starts travel with reports: planning much more often than these come is idle.
+            # Starts are sent with the answers to agent heartbeats: more frequent planning is idle.
             await trio.sleep(self.agent_heartbeat_s / 10)
             spent = 0.0
             for shard, work in list(self.shards.work.items()):
@@ -167,10 +184,10 @@
                     at = trio.current_time()
                     self._plan(shard, work)
                     spent += trio.current_time() - at
-                    await trio.sleep(0)  # reports come before planning
+                    await trio.sleep(0)  # agent heartbeats come before planning
             spent += self.status_publisher.refresh()
-            # Planning takes a bounded share of the processor, whatever its size.
-            await trio.sleep(min(self.agent_heartbeat_s, spent * _REST))
+            # Planning takes a bounded share of the processor, whatever the number of machines.
+            await trio.sleep(min(self.agent_heartbeat_s, spent * _PLANNING_PAUSE_FACTOR))
 
     def _plan(self, shard: int, work: ShardState) -> None:
         """One planning round of a shard."""
@@ -182,21 +199,25 @@
         self.reservations.reserve(shard)
 
     async def run_global_scheduling(self) -> None:
-        """The leader gives out jobs that nobody kept; leaders move what another can start."""
+        """Assign jobs as the cluster leader; return, migrate and transfer as a shard leader."""
         spent = 0.0
         while True:
-            await trio.sleep(max(_LEAST_ROUND_S, min(self.agent_heartbeat_s, spent * _REST)))
+            await trio.sleep(
+                max(
+                    _MIN_GLOBAL_ROUND_S, min(self.agent_heartbeat_s, spent * _PLANNING_PAUSE_FACTOR)
+                )
+            )
             at = trio.current_time()
             try:
                 token = self.membership.cluster_leader_token
                 if token is not None:
                     await self.assignment.assign(token)
-                await self.give_back.give_back()
-                await self.service_migration.move()
+                await self.range_return.return_unstartable()
+                await self.service_migration.migrate()
                 await self.rebalancing.rebalance()
-                await self.rebalancing.balance_queues()
-                await self.quota_transfer.move_shares()
+                await self.queue_balancing.balance()
+                await self.quota_transfer.transfer()
                 spent = min(self.agent_heartbeat_s, trio.current_time() - at)
             except StoreUnavailable as error:
-                log.debug("split not written: %s", error)
+                log.debug("global round stopped: %s", error)
                 await trio.sleep(RETRY_INTERVAL_S)
--- a/tests/cluster/test_large_fleet.py
+++ b/tests/cluster/test_large_fleet.py
@@ -461,7 +461,7 @@
     async def main() -> None:
         leader = _leader_of(0, 50)
         hold = leader.agents.shards[0]
-        leader.scheduler.quotas.known = {"free": Team("free", cpus_max=600.0)}  # 200 for each shard
+        leader.scheduler.quotas.teams = {"free": Team("free", cpus_max=600.0)}  # 200 for each shard
         leader.scheduler.shards.work[0].reconciled = not unheard
         for number in range(unheard):
             name = f"i-{number * 3:06d}"
--- a/tests/cluster/test_services.py
+++ b/tests/cluster/test_services.py
@@ -18,7 +18,11 @@
 from pitchtally.jobs.job_record import OPEN, JobRecord, TaskRange
 from pitchtally.protocol.cloud_api import MachineType
 from pitchtally.scheduling.estimates import Estimates
-from pitchtally.scheduling.rebalancing.service_migration import Move, moved_caps, zone_limits
+from pitchtally.scheduling.rebalancing.service_migration import (
+    ReplicaMigration,
+    migrated_caps,
+    zone_limits,
+)
 from pitchtally.scheduling.shards.allocations import most_in_zone
 
 from ..harness.cluster_faults import cluster_leader, restart
@@ -335,7 +339,7 @@
         placed = {zone: held[shard][zone] for zone in ("a", "b", "c")}
         left = zone_limits(found, placed, shard)
         zone = luck.choice([z for z, n in left.items() if n > 0])
-        record.caps = moved_caps(found, placed, shard, Move(to, {zone: 1}))
+        record.caps = migrated_caps(found, placed, shard, ReplicaMigration(to, {zone: 1}))
         held[to][zone] += 1
         for each in placed:
             caps = [n for _, z, n in record.caps if z == each]
