--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -7,9 +7,13 @@
 import trio
 
 from .agents.manager import AgentManager
-from .api.routes import Api
-from .api.submission_batcher import SubmissionBatcher
+from .api.routes import HEARTBEATS, Api, ApiListeners, ApiSchedulerView
+from .api.submission_batcher import CONCURRENT_COMMITS
 from .autoscaling.autoscaler import Autoscaler
+from .autoscaling.catalog import CatalogStore, MachineCatalog
+from .autoscaling.cloud_client import CloudClient
+from .autoscaling.config import AutoscalerConfig
+from .autoscaling.scheduler_view import SchedulerView
 from .config.policy import Policy
 from .config.settings import Settings, host_port
 from .formats.gate import FormatGate
@@ -39,7 +43,6 @@
 # Of the sockets that a controller may hold: for calls of our own, and for peers.
 OUTWARD = 0.12
 PEERS = 0.05
-REPORTS = "/v1/report"
 
 
 class _ShardLeaderships:
@@ -85,7 +88,7 @@
             Cancellation(*row) for row in self._job_index.cancelled_after(revision)
         ]
         heartbeat.shards = self._scheduler.statuses.own()
-        heartbeat.released = self._autoscaler.released_names()
+        heartbeat.released = self._autoscaler.terminated_names()
         heartbeat.drain = self._autoscaler.drain_names()
 
     def plan_job(self, spec: user_api.JobSpec) -> ScheduleReply:
@@ -129,7 +132,7 @@
             self.job_index, self.commits, self._leader_precondition, policy.period
         )
         self.decisions = DecisionLog(
-            self._decision_context, self._counters, lambda: self.api.read_barrier.last
+            self._decision_context, self._counters, lambda: self.api.read_barrier.last_read
         )
         self.progress = ProgressWriter(
             self.job_index,
@@ -137,7 +140,7 @@
             self.layout,
             self.migration,
             policy.period,
-            lambda: self.api.line.waiting,
+            lambda: self.api.admission_queue.occupied,
             self.decisions.on_decision,
         )
         self.agents = AgentManager(
@@ -160,30 +163,63 @@
             self.migration,
             lambda: self.autoscaler.types,
         )
-        self.autoscaler = Autoscaler(
-            settings,
-            policy,
+        self.autoscaler = self._build_autoscaler()
+        self.loops = LoopSupervisor()
+        self._nursery: trio.Nursery | None = None  # while this controller runs
+        self.api = self._build_api()
+        self._connect()
+
+    def _build_autoscaler(self) -> Autoscaler:
+        cloud = CloudClient(self.settings, self.policy)
+        catalog = MachineCatalog(
+            CatalogStore(self.state_store, self.replica, self.gate),
+            cloud,
+            self.agents.machines,
+            lambda: self.membership.cluster_leader_token is not None,
+            self.policy.list_every,
+        )
+        scheduler = self.scheduler
+        view = SchedulerView(
+            shard_statuses=lambda: scheduler.statuses.newest,
+            status_received_at=scheduler.statuses.received_at.get,
+            leads_shard=lambda shard: shard in scheduler.shards.states,
+            running_tasks=scheduler.statuses.running,
+            tasks_within_limit=scheduler.quotas.limit_left,
+            slack=scheduler.priorities.slack,
+            task_seconds=scheduler.estimates.task,
+            recent_specs=lambda: scheduler.shards.recent.values(),
+        )
+        return Autoscaler(
+            AutoscalerConfig.of(self.settings, self.policy),
+            cloud,
+            catalog,
             self.membership,
-            self.job_index,
             self.agents,
-            self.scheduler,
-            self.state_store,
+            self.job_index.open,
+            view,
             self.replica,
         )
-        self.api = Api(
-            settings,
-            policy,
-            self.membership,
-            self.state_store,
-            self.replica,
-            self.job_index,
-            self.agents,
-            self.scheduler,
-            self.layout,
-            lambda: self.autoscaler.types,
+
+    def _build_api(self) -> Api:
+        return Api(
+            settings=self.settings,
+            policy=self.policy,
+            state_store=self.state_store,
+            replica=self.replica,
+            jobs=self.job_index.jobs,
+            layout=self.layout,
+            peers=self.membership,
+            scheduler=ApiSchedulerView(
+                plan=self.scheduler.decide, running_tasks=self.scheduler.statuses.running
+            ),
+            machine_types=self.autoscaler.catalog.types,
+            serve_agent=self.agents.serve,
+            listeners=ApiListeners(self.decisions.on_decision, self._broadcast_cancellation),
         )
-        self.loops = LoopSupervisor()
-        self._connect()
+
+    def _broadcast_cancellation(self, cancellation: Cancellation) -> None:
+        if self._nursery is not None:
+            self._nursery.start_soon(self.membership.broadcast_cancellation, cancellation)
 
     def _connect(self) -> None:
         agents, scheduler = self.agents, self.scheduler
@@ -192,7 +228,6 @@
             _ShardLeaderships(agents, scheduler), peer_messages, peer_messages, peer_messages
         )
         agents.connect(scheduler.shards, scheduler.placer)
-        self.api.on_decision = self.decisions.on_decision
 
     def _leader_precondition(self) -> Precondition | None:
         """What a cluster leader's write rests on, None if this node is not the leader."""
@@ -224,7 +259,7 @@
             max_connections=int(connections * (1 - OUTWARD - PEERS)),
             idle_timeout=times.lease_s * 3,
             request_timeout=times.report_s * 2,
-            priority_paths=frozenset({REPORTS}),
+            priority_paths=frozenset({HEARTBEATS}),
         )
         peers = Server(
             self._serve_peer,
@@ -234,7 +269,7 @@
             max_body=1 << 22,
         )
         async with trio.open_nursery() as nursery:
-            self.api.nursery = nursery
+            self._nursery = nursery
             host, port = host_port(self.settings.public_addr)
             nursery.start_soon(self.loops.supervise, "users", lambda: users.serve(host, port))
             peer_host, peer_port = host_port(self.settings.peer_bind)
@@ -261,8 +296,8 @@
     def _own_loops(self) -> list[tuple[str, Loop]]:
         """Every loop but those of the servers and of single peers, by name."""
         submission_batcher = [
-            ("acceptances", self.api.submission_batcher.run)
-        ] * SubmissionBatcher.LOOPS
+            ("submission_batcher", self.api.submission_batcher.run)
+        ] * CONCURRENT_COMMITS
         return [
             ("pauses", self.membership.pause_detector.run),
             ("replica", self.replica.run),
@@ -278,19 +313,14 @@
             ("records", self.agents.records.run),
             ("planning", self.scheduler.run),
             ("splitting", self.scheduler.run_global_scheduling),
-            ("fleet", self.autoscaler.run),
-            ("types", self.autoscaler.catalog.run),
-            ("silences", self.autoscaler.run_silences),
-            ("confirmations", self.api.read_barrier.run),
-            ("drain", self._own_drain),
+            ("autoscaler", self.autoscaler.run),
+            ("catalog", self.autoscaler.catalog.run),
+            ("heartbeat_timeouts", self.autoscaler.run_heartbeat_timeouts),
+            ("read_barrier", self.api.read_barrier.run),
+            ("drains", self.autoscaler.run_own_drains),
             ("decisions", lambda: self.decisions.run(self.policy.period)),
             *submission_batcher,
         ]
 
-    async def _own_drain(self) -> None:
-        while True:
-            await trio.sleep(self.policy.heartbeat_interval)
-            self.autoscaler.own_drain()
-
     async def _serve_peer(self, request: Request) -> Response:
         return await self.membership.serve(request)
--- a/pitchtally/scheduling/assignment/admission.py
+++ b/pitchtally/scheduling/assignment/admission.py
@@ -7,7 +7,7 @@
 from ...jobs.job_record import TaskRange
 from ...membership.membership import Membership
 from ...protocol import user_api
-from ..capacity import NOBODY, Plan, stays_in_one_shard
+from ..capacity import UNASSIGNED, Plan, stays_in_one_shard
 from ..context import SchedulingContext
 from ..gangs.planner import GangPlanner
 from ..gangs.single_shard_planner import SingleShardPlanner
@@ -45,7 +45,7 @@
         self.proportional_split = planners.proportional_split
 
     def decide(self, spec: user_api.JobSpec) -> Plan:
-        """On acceptance: keep the job in a shard of ours, or NOBODY to send it to the leader.
+        """On acceptance: keep the job in a shard of ours, or UNASSIGNED to send it to the leader.
 
         A gang's tasks are placed at once wherever there is capacity for all: it has no
         stretch to compare, and a detour by the leader would only cost time.
@@ -56,17 +56,17 @@
             if work.loaded and shard in self.statuses.newest
         ]
         if not ours:
-            return NOBODY
+            return UNASSIGNED
         if spec.kind == user_api.GANG:
             token = self.membership.token(ours[0])
-            return (token is not None and self.gang_planner.plan(spec, token)) or NOBODY
+            return (token is not None and self.gang_planner.plan(spec, token)) or UNASSIGNED
         if spec.is_service:
             # Free capacity is compared, not queues: it goes to the leader only if ours lack it.
-            return self.single_shard_planner.plan_service(spec, ours) or NOBODY
+            return self.single_shard_planner.plan_service(spec, ours) or UNASSIGNED
         if stays_in_one_shard(spec):
             best = self.single_shard_planner.best_shard(spec)
             if best not in ours:
-                return NOBODY
+                return UNASSIGNED
             ranges = [TaskRange(0, spec.tasks, best)]
             return Plan(ranges, self.single_shard_planner.pick_zone(spec, ranges))
         return Plan(self._keep_or_split(spec, ours))
@@ -87,11 +87,11 @@
         return self.proportional_split.split(spec)
 
     def decide_as_leader(self, spec: user_api.JobSpec) -> Plan:
-        """Where a job goes that no shard of its accepting controller keeps; NOBODY if unknown."""
+        """Place a job that its accepting controller does not keep; UNASSIGNED if unknown."""
         if self.membership.cluster_leader_token is None or spec.kind == user_api.GANG:
-            return NOBODY
+            return UNASSIGNED
         if stays_in_one_shard(spec):
-            return self.single_shard_planner.plan(spec) or NOBODY
+            return self.single_shard_planner.plan(spec) or UNASSIGNED
         if spec.is_service:
             plan = self.single_shard_planner.plan_service(spec, self.statuses.newest)
             if plan is not None:
--- a/pitchtally/scheduling/assignment/proportional_split.py
+++ b/pitchtally/scheduling/assignment/proportional_split.py
@@ -11,8 +11,8 @@
 from .. import stretch
 from ..capacity import allows_machine_type, stays_in_one_shard
 from ..context import SchedulingContext
-from ..deadlines import Deadlines
 from ..gangs.single_shard_planner import SingleShardPlanner
+from ..shards.deadlines import Deadlines
 from ..shards.shard_statuses import ShardStatuses
 
 # Machine-seconds: the least work of a task that what was sent to a shard is divided by.
--- a/pitchtally/scheduling/gangs/free_capacity.py
+++ b/pitchtally/scheduling/gangs/free_capacity.py
@@ -18,7 +18,7 @@
 ZoneCapacities = dict[tuple[int, str], int]
 
 # Sources that include what running tasks would free when preempted.
-_BY_PREEMPTION = (CapacitySource.YIELDING, CapacitySource.OVER_GUARANTEE)
+_BY_PREEMPTION = (CapacitySource.PREEMPTIBLE, CapacitySource.OVER_GUARANTEE)
 # Peer heartbeat intervals after which a status shows the tasks that were planned before.
 _BOOKING_INTERVALS = 3
 
@@ -104,12 +104,12 @@
 ) -> Resources:
     """What a gang may use of a machine; one that is reserved offers what is free alone."""
     available = machine.free
-    if source is CapacitySource.RESERVED and machine.name not in status.kept:
+    if source is CapacitySource.RESERVED and machine.name not in status.reserved_machines:
         available = capacity_of(machine_type)
-    elif source in _BY_PREEMPTION and machine.name not in status.kept:
-        available = available.plus(machine.yielding)
+    elif source in _BY_PREEMPTION and machine.name not in status.reserved_machines:
+        available = available.plus(machine.preemptible)
         if source is CapacitySource.OVER_GUARANTEE:
-            available = available.plus(machine.over)
+            available = available.plus(machine.over_guarantee)
     return available
 
 
--- a/pitchtally/scheduling/gangs/planner.py
+++ b/pitchtally/scheduling/gangs/planner.py
@@ -12,8 +12,8 @@
 from ...protocol import user_api
 from ..capacity import CapacitySource, Plan, plan_gang
 from ..context import SchedulingContext
-from ..deadlines import Deadlines
 from ..quotas.quotas import Quotas
+from ..shards.deadlines import Deadlines
 from ..shards.shard_statuses import ShardStatuses
 from .free_capacity import FreeCapacity, ZoneCapacities
 
@@ -76,7 +76,7 @@
         within_guarantee = self.quotas.within_guarantee(spec)
         sources = [CapacitySource.FREE]
         if spec.rank != user_api.RANKS[-1]:
-            sources.append(CapacitySource.YIELDING)
+            sources.append(CapacitySource.PREEMPTIBLE)
         if within_guarantee and len(self.quotas.teams) > 1:
             sources.append(CapacitySource.OVER_GUARANTEE)
         if job is not None and self.deadlines.late(job) and self._may_reserve(job.id, now):
--- a/pitchtally/scheduling/gangs/range_return.py
+++ b/pitchtally/scheduling/gangs/range_return.py
@@ -11,10 +11,10 @@
 from ...state_store.errors import StoreUnavailable
 from ..capacity import is_fully_assigned, may_be_active, stays_in_one_shard
 from ..context import SchedulingContext
-from ..deadlines import Deadlines
 from ..quotas.quotas import Quotas
 from ..range_writer import MAX_RANGES, RangeWriter
 from ..shards.allocations import ShardAllocation, ShardState
+from ..shards.deadlines import Deadlines
 from ..shards.shard_states import ShardStates
 from .reservations import is_reserved_for
 
@@ -53,7 +53,7 @@
 
     async def return_unstartable(self) -> None:
         """Return the ranges of every such job of our shards that can't start there."""
-        for shard, work in list(self.shard_states.work.items()):
+        for shard, work in list(self.shard_states.states.items()):
             token = self.membership.token(shard)
             if not work.reconciled or token is None:
                 continue
@@ -95,7 +95,7 @@
             allocation.gang
             and not begun
             and not self.deadlines.late(job)
-            and job.id not in work.ready
+            and job.id not in work.ready_gangs
             and self.quotas.limit_left(job.spec) >= job.spec.tasks
         ):
             # Other jobs took the machines that it was planned on: have it planned anew at once.
@@ -129,7 +129,7 @@
         allocation.since = trio.current_time()
         allocation.moving = True
         version = job.version
-        work.ready.discard(job.id)
+        work.ready_gangs.discard(job.id)
         try:
             await self.range_writer.write_ranges(
                 job,
--- a/pitchtally/scheduling/gangs/single_shard_planner.py
+++ b/pitchtally/scheduling/gangs/single_shard_planner.py
@@ -69,7 +69,7 @@
         None if none has: the replicas then go wherever there is capacity for some.
         """
         now = trio.current_time()
-        for source in (CapacitySource.FREE, CapacitySource.YIELDING):
+        for source in (CapacitySource.FREE, CapacitySource.PREEMPTIBLE):
             capacities = self.free_capacity.by_zone(spec, source)
             candidates = []
             for shard in shards:
@@ -139,11 +139,11 @@
                 continue
             queued = sum(
                 count * share_ratio(spec, self.job_index.open.get(id))
-                for id, count in status.waiting.items()
+                for id, count in status.pending.items()
             )
             unreported = len(self.statuses.unreported.get(status.shard, ()))
-            now = self.statuses.free_capacity(status, spec, yielding=False) - unreported
-            soon = self.statuses.free_capacity(status, spec, yielding=True) - unreported
+            now = self.statuses.free_capacity(status, spec, by_preemption=False) - unreported
+            soon = self.statuses.free_capacity(status, spec, by_preemption=True) - unreported
             rows.append((now < spec.tasks, soon < spec.tasks, queued / capacity, status.shard))
         if not rows:
             return None
--- a/pitchtally/scheduling/gangs/starter.py
+++ b/pitchtally/scheduling/gangs/starter.py
@@ -62,7 +62,7 @@
             allocation = work.allocations[id]
             machines = self._find_machines(allocation, shard, now)
             if machines is None:
-                work.ready.discard(id)
+                work.ready_gangs.discard(id)
                 continue
             job = allocation.job
             shared_attempt = 0 if job.finished.count or job.local else job.record.attempt
@@ -102,7 +102,7 @@
         other shards are pending, and be stopped as incomplete.
         """
         id = allocation.job.id
-        work.ready.add(id)
+        work.ready_gangs.add(id)
         for other in {p for _, _, p in allocation.job.record.ranges if p != allocation.shard}:
             if not self._is_shard_ready(other, id, now):
                 until = now + self.policy.heartbeat_interval * _STATUS_INTERVALS
@@ -115,12 +115,12 @@
         """Whether a shard has capacity for its tasks of a gang, or its status is too old."""
         ours = self.shards.get(shard)
         if ours is not None:
-            return job_id in ours.ready
+            return job_id in ours.ready_gangs
         oldest = now - self.policy.heartbeat_interval * _STATUS_INTERVALS
         if self.statuses.received_at.get(shard, -1e9) < oldest:
             return True
         status = self.statuses.newest.get(shard)
-        return status is None or job_id in status.ready
+        return status is None or job_id in status.ready_gangs
 
     def _find_machines(
         self, allocation: ShardAllocation, shard: int, now: float
--- a/pitchtally/scheduling/quotas/quota_transfer.py
+++ b/pitchtally/scheduling/quotas/quota_transfer.py
@@ -115,8 +115,8 @@
         capacity and no quota. What the lowest rank holds counts as capacity: preemption waits
         for the quota, so the quota must not wait for preemption.
         """
-        yielding = spec.rank != user_api.RANKS[-1]
-        return min(pending, self.statuses.free_capacity(status, spec, yielding=yielding))
+        by_preemption = spec.rank != user_api.RANKS[-1]
+        return min(pending, self.statuses.free_capacity(status, spec, by_preemption=by_preemption))
 
     def _shortage(self, status: ShardStatus, team: str) -> _Shortage:
         """What a shard's pending tasks of a team lack; nothing if none of them can start."""
@@ -124,7 +124,7 @@
         left = ShardQuotaShare(share.cpus - used.cpus, share.gpus - used.gpus)
         cpus = gpus = 0.0
         least = ShardQuotaShare(math.inf, math.inf)
-        for id, count in status.waiting.items():
+        for id, count in status.pending.items():
             job = self.job_index.open.get(id)
             if job is None or job.spec.team != team:
                 continue
--- a/pitchtally/scheduling/quotas/quotas.py
+++ b/pitchtally/scheduling/quotas/quotas.py
@@ -16,15 +16,15 @@
 from ...protocol import user_api
 from ..capacity import RANK
 from ..context import SchedulingContext
-from ..deadlines import Deadlines
 from ..shards.allocations import ShardState
+from ..shards.deadlines import Deadlines
 from ..shards.shard_statuses import ShardStatuses
 
 NO_SHARE = ShardQuotaShare(0.0, 0.0)
 # Tasks that a team without a limit may start at a time: more than any shard's machines hold.
 _UNLIMITED_TASKS = 1_000_000
 # In place of a shard, for a gang that no shard has yet.
-_UNASSIGNED = -1
+_NO_SHARD = -1
 # Agent heartbeats after which a gang short of quota comes before all of its team's arrays.
 _GANG_FIRST_HEARTBEATS = 4
 # The stretch at which deadlines of gangs and arrays are compared.
@@ -38,7 +38,7 @@
     """
 
     due: float  # its stretch deadline
-    shard: int  # _UNASSIGNED if no shard has it
+    shard: int  # _NO_SHARD if no shard has it
     job_id: str
 
 
@@ -101,7 +101,7 @@
 
     def reported_use(self, status: ShardStatus, team: str) -> ResourceUse:
         """CPUs and GPUs that a team's tasks take in a shard according to its status."""
-        return ResourceUse(*status.use.get(team, NO_USE))
+        return ResourceUse(*status.usage.get(team, NO_USE))
 
     def tasks_within_limit(self, shard: int, spec: user_api.JobSpec) -> int:
         """How many more tasks of this job the team's share allows in the shard."""
@@ -174,7 +174,7 @@
         self.short_of_quota.clear()
         self._find_unassigned_gangs()
         for status in self.statuses.newest.values():
-            for id, count in status.waiting.items():
+            for id, count in status.pending.items():
                 job = self.job_index.open.get(id)
                 if (
                     job is not None
@@ -194,7 +194,7 @@
                 and gang.spec.team in limited
                 and self.limit_left(gang.spec) < gang.spec.tasks
             ):
-                self._note_short_of_quota(gang, _UNASSIGNED)
+                self._note_short_of_quota(gang, _NO_SHARD)
 
     def _is_short_of_share(self, status: ShardStatus, job: Job, count: int) -> bool:
         """Whether a shard has capacity for these pending tasks, but too small a share."""
@@ -204,8 +204,8 @@
         if count_fitting(limited_request(spec), available) >= count:
             return False
         return (
-            job.id in status.reserved
-            or self.statuses.free_capacity(status, spec, yielding=True) >= count
+            job.id in status.reserved_jobs
+            or self.statuses.free_capacity(status, spec, by_preemption=True) >= count
         )
 
     def _note_short_of_quota(self, gang: Job, shard: int) -> None:
@@ -217,7 +217,7 @@
     def use_anywhere(self, team: str) -> ResourceUse:
         """A team's use in all shards: ours exactly, others' as last reported."""
         uses: list[tuple[float, float]] = [
-            self.use(shard, team) if shard in self.shards else status.use.get(team, NO_USE)
+            self.use(shard, team) if shard in self.shards else status.usage.get(team, NO_USE)
             for shard, status in self.statuses.newest.items()
         ]
         return ResourceUse(sum(use[0] for use in uses), sum(use[1] for use in uses))
--- a/pitchtally/scheduling/rebalancing/queue_balancing.py
+++ b/pitchtally/scheduling/rebalancing/queue_balancing.py
@@ -138,7 +138,7 @@
         if not width:
             return DrainTime(math.inf, 0.0)
         work = 0.0
-        for id, count in status.waiting.items():
+        for id, count in status.pending.items():
             job = self.job_index.open.get(id)
             if job is None or RANK[job.spec.rank] > RANK[spec.rank]:
                 continue
--- a/pitchtally/scheduling/rebalancing/rebalancing.py
+++ b/pitchtally/scheduling/rebalancing/rebalancing.py
@@ -87,10 +87,10 @@
     ) -> None:
         """Migrate the tasks that find no capacity here to the first shard that has some."""
         spec, pending = allocation.job.spec, allocation.pending.count
-        here = self.statuses.free_capacity(status, spec, yielding=False)
+        here = self.statuses.free_capacity(status, spec, by_preemption=False)
         if not stays_in_one_shard(spec):
             here = min(here, self.quotas.tasks_within_limit(allocation.shard, spec))
-        elif allocation.job.id in status.reserved:
+        elif allocation.job.id in status.reserved_jobs:
             return
         # A job that must stay in one shard waits for quota where it has capacity, since quota
         # shares are transferred to it; migrating would leave each transfer a shard behind.
@@ -106,7 +106,7 @@
 
     def _migratable(self, spec: user_api.JobSpec, other: ShardStatus, most: int) -> int:
         """How many tasks another shard can start now, as far as its status shows."""
-        available = self.statuses.free_capacity(other, spec, yielding=False)
+        available = self.statuses.free_capacity(other, spec, by_preemption=False)
         unreported = len(self.statuses.unreported.get(other.shard, ()))
         if stays_in_one_shard(spec):
             return spec.tasks if available - unreported >= spec.tasks else 0
@@ -114,7 +114,7 @@
             return 0
         available -= sum(
             count
-            for id, count in other.waiting.items()
+            for id, count in other.pending.items()
             if share_ratio(spec, self.job_index.open.get(id)) > 0
         )
         return min(available, most)
--- a/pitchtally/scheduling/rebalancing/service_migration.py
+++ b/pitchtally/scheduling/rebalancing/service_migration.py
@@ -109,7 +109,7 @@
         """
         spec, missing = allocation.spec, allocation.pending.count
         zone = allocation.job.record.zone if allocation.one_zone else None
-        for source in (CapacitySource.FREE, CapacitySource.YIELDING):
+        for source in (CapacitySource.FREE, CapacitySource.PREEMPTIBLE):
             capacities = self.free_capacity.by_zone(spec, source)
             for shard in shards:
                 limits = self._zone_limits(allocation, capped=capped)
--- a/pitchtally/scheduling/scheduler.py
+++ b/pitchtally/scheduling/scheduler.py
@@ -32,7 +32,6 @@
 from .assignment.proportional_split import ProportionalSplit
 from .capacity import Plan
 from .context import AvailabilitySamples, SchedulingContext
-from .deadlines import Deadlines
 from .estimates import Estimates
 from .gangs.free_capacity import FreeCapacity
 from .gangs.planner import GangPlanner
@@ -56,6 +55,7 @@
 from .rebalancing.service_migration import ServiceMigration
 from .rebalancing.task_migration import TaskMigration
 from .shards.allocations import ShardState
+from .shards.deadlines import Deadlines
 from .shards.failure_tracker import FailureTracker
 from .shards.shard_states import ShardStates
 from .shards.shard_statuses import ShardStatuses
@@ -123,7 +123,7 @@
 
     def _compose_shard_planning(self, context: SchedulingContext) -> None:
         """The components that plan within a shard."""
-        work = self.shards.work
+        work = self.shards.states
         self.survey = Survey(context, work, self.deadlines, self.failures)
         self.allotment = Allotment(context, work)
         self.gang_starter = GangStarter(context, work, self.statuses, self.priorities, self.quotas)
@@ -135,7 +135,7 @@
 
     def _compose_global_planning(self, context: SchedulingContext) -> None:
         """The components that plan over several shards."""
-        work, writer = self.shards.work, self.range_writer
+        work, writer = self.shards.states, self.range_writer
         free_capacity = FreeCapacity(context, self.statuses)
         single_shard = SingleShardPlanner(context, self.statuses, free_capacity)
         gangs = GangPlanner(context, self.statuses, self.quotas, self.deadlines, free_capacity)
@@ -179,8 +179,8 @@
             # Starts are sent with the answers to agent heartbeats: more frequent planning is idle.
             await trio.sleep(self.agent_heartbeat_s / 10)
             spent = 0.0
-            for shard, work in list(self.shards.work.items()):
-                if work.loaded and shard in self.shards.work:
+            for shard, work in list(self.shards.states.items()):
+                if work.loaded and shard in self.shards.states:
                     at = trio.current_time()
                     self._plan(shard, work)
                     spent += trio.current_time() - at
