--- a/pitchtally/scheduling/rebalancing/service_migration.py
+++ b/pitchtally/scheduling/rebalancing/service_migration.py
@@ -57,6 +57,7 @@
         single_shard_planner: SingleShardPlanner,
         migration: TaskMigration,
     ) -> None:
+        """Eight arguments, since it decides by both free capacity and whole-service plans."""
         self.settings = context.settings
         self.policy = context.policy
         self.agents = context.agents
