--- a/pitchtally/scheduling/assignment/job_assignment.py
+++ b/pitchtally/scheduling/assignment/job_assignment.py
@@ -63,11 +63,11 @@
         ]
         jobs.sort(
             key=lambda job: (
-                self.deadlines.overdue(job),
-                not self.deadlines.late(job),
+                self.deadlines.is_overdue(job),
+                not self.deadlines.is_late(job),
                 RANK[job.spec.rank],
                 not self.quotas.within_guarantee(job.spec),
-                self.deadlines.release(job),
+                self.deadlines.release_time(job),
             )
         )
         return jobs
--- a/pitchtally/scheduling/assignment/proportional_split.py
+++ b/pitchtally/scheduling/assignment/proportional_split.py
@@ -43,7 +43,7 @@
         work that was assigned since the shard computed them.
         """
         total = 0
-        size = stretch.sample_below(self.samples.sizes, self.deadlines.size(spec))
+        size = stretch.last_index_at_most(self.samples.sizes, self.deadlines.job_size(spec))
         unreported = sum(work for _, work in self.statuses.unreported.get(status.shard, ()))
         for name, cells in status.matrix:
             type_, zone, spot = name.split("|")
@@ -53,7 +53,7 @@
             ):
                 continue
             task = self.estimates.task(spec) * dominant_share(resource_request(spec), machine_type)
-            total += cells[level][size][stretch.sample_above(self.samples.tasks, task)]
+            total += cells[level][size][stretch.first_index_at_least(self.samples.tasks, task)]
             if unreported and total:
                 total -= math.ceil(unreported / max(task, _LEAST_TASK_WORK))
                 unreported = 0.0
@@ -85,7 +85,7 @@
         available = [self.availability(status, spec, level) for status in statuses]
         if sum(available) == 0:
             return []
-        counts = stretch.shares(available, min(spec.tasks, sum(available)))
+        counts = stretch.proportional_shares(available, min(spec.tasks, sum(available)))
         return self._ranges(spec, statuses, counts)
 
     def _ranges(
--- a/pitchtally/scheduling/gangs/free_capacity.py
+++ b/pitchtally/scheduling/gangs/free_capacity.py
@@ -10,12 +10,12 @@
 from ...jobs.resources import Resources, capacity_of, count_fitting, fits, resource_request
 from ...membership.messages import MachineStatus, ShardStatus
 from ...protocol import cloud_api, user_api
-from ..capacity import CapacitySource, allows_machine_type
+from ..capacity import CapacitySource, ShardZone, allows_machine_type
 from ..context import SchedulingContext
 from ..shards.shard_statuses import ShardStatuses
 
-# A shard and a zone, mapped to the tasks of a job that fit there; the form `plan_gang` takes.
-ZoneCapacities = dict[tuple[int, str], int]
+# Tasks of a job that fit into each zone of each shard; the form that `plan_gang` takes.
+ZoneCapacities = dict[ShardZone, int]
 
 # Sources that include what running tasks would free when preempted.
 _BY_PREEMPTION = (CapacitySource.PREEMPTIBLE, CapacitySource.OVER_GUARANTEE)
@@ -27,7 +27,7 @@
     """Capacity planned for tasks that the status of their shard can't show yet."""
 
     at: float
-    shard_zone: tuple[int, str]
+    place: ShardZone
     request: Resources  # of one task
     tasks: int
 
@@ -47,8 +47,8 @@
 
     def book(self, now: float, spec: user_api.JobSpec, plan: ZoneCapacities) -> None:
         """Count the tasks of a plan as placed until the statuses show them."""
-        for shard_zone, tasks in plan.items():
-            self._bookings.append(_Booking(now, shard_zone, resource_request(spec), tasks))
+        for place, tasks in plan.items():
+            self._bookings.append(_Booking(now, place, resource_request(spec), tasks))
 
     def by_zone(self, spec: user_api.JobSpec, source: CapacitySource) -> ZoneCapacities:
         """Tasks that each shard could start in each zone, less what is booked."""
@@ -57,13 +57,13 @@
         capacities: ZoneCapacities = {}
         for status in self.statuses.newest.values():
             for zone, tasks in self._in_shard(status, spec, source).items():
-                capacities[(status.shard, zone)] = tasks
+                capacities[ShardZone(status.shard, zone)] = tasks
         request = resource_request(spec)
         for booking in self._bookings:
-            free = capacities.get(booking.shard_zone)
+            free = capacities.get(booking.place)
             if free is not None:
                 taken = _tasks_displaced(booking, request)
-                capacities[booking.shard_zone] = max(0, free - taken)
+                capacities[booking.place] = max(0, free - taken)
         return capacities
 
     def _in_shard(
--- a/pitchtally/scheduling/gangs/planner.py
+++ b/pitchtally/scheduling/gangs/planner.py
@@ -8,7 +8,7 @@
 import trio
 
 from ...jobs.index import Job
-from ...jobs.job_record import TaskRange
+from ...jobs.job_record import TaskRange, ZoneCap
 from ...protocol import user_api
 from ..capacity import CapacitySource, Plan, plan_gang
 from ..context import SchedulingContext
@@ -79,7 +79,7 @@
             sources.append(CapacitySource.PREEMPTIBLE)
         if within_guarantee and len(self.quotas.teams) > 1:
             sources.append(CapacitySource.OVER_GUARANTEE)
-        if job is not None and self.deadlines.late(job) and self._may_reserve(job.id, now):
+        if job is not None and self.deadlines.is_late(job) and self._may_reserve(job.id, now):
             sources.append(CapacitySource.RESERVED)
         return sources
 
@@ -108,7 +108,7 @@
         zone = zones.pop() if spec.one_zone else None
         caps = []
         if spec.spread and len(ranges) > 1:
-            caps = [(shard, zone_, tasks) for (shard, zone_), tasks in found.items()]
+            caps = [ZoneCap(shard, zone_, tasks) for (shard, zone_), tasks in found.items()]
         return Plan(ranges, zone, attempt, caps)
 
     def _next_shared_attempt(self, token: int) -> int:
--- a/pitchtally/scheduling/gangs/range_return.py
+++ b/pitchtally/scheduling/gangs/range_return.py
@@ -86,7 +86,11 @@
         job = allocation.job
         begun = bool(job.finished.count or job.local)
         attempt = job.record.attempt
-        if not begun and attempt and (allocation.tried == attempt or not is_fully_assigned(job)):
+        if (
+            not begun
+            and attempt
+            and (allocation.last_shared_attempt == attempt or not is_fully_assigned(job))
+        ):
             return True
         wait = self.settings.deployment.workers.gang_wait_s * _WAIT_SHARE
         if is_reserved_for(self.agents.of_shard(allocation.shard), job.id):
@@ -94,13 +98,13 @@
         elif (
             allocation.gang
             and not begun
-            and not self.deadlines.late(job)
+            and not self.deadlines.is_late(job)
             and job.id not in work.ready_gangs
             and self.quotas.limit_left(job.spec) >= job.spec.tasks
         ):
             # Other jobs took the machines that it was planned on: have it planned anew at once.
             wait = self.agent_heartbeat_s * _LOST_PLAN_HEARTBEATS
-        return trio.current_time() - allocation.since >= wait
+        return trio.current_time() - allocation.pending_since >= wait
 
     @staticmethod
     def _ranges_without(job: Job, shard: int) -> list[TaskRange] | None:
@@ -126,7 +130,7 @@
         remaining = self._ranges_without(job, shard)
         if remaining is None:
             return
-        allocation.since = trio.current_time()
+        allocation.pending_since = trio.current_time()
         allocation.moving = True
         version = job.version
         work.ready_gangs.discard(job.id)
--- a/pitchtally/scheduling/gangs/reservations.py
+++ b/pitchtally/scheduling/gangs/reservations.py
@@ -15,7 +15,7 @@
 from ..quotas.quotas import Quotas
 from ..shards.allocations import ShardAllocation, ShardState
 from ..shards.deadlines import Deadlines
-from ..shards.eligibility import is_ready, machine_ok
+from ..shards.eligibility import is_ready, machine_allowed
 
 log = logging.getLogger(__name__)
 
@@ -121,7 +121,7 @@
         self, current: _ShardReservations, allocation: ShardAllocation, wanted: int
     ) -> bool:
         """Whether a job may reserve machines beside the jobs that have reserved some."""
-        if wanted > 1 and (current.has_wide_gang or not self.deadlines.late(allocation.job)):
+        if wanted > 1 and (current.has_wide_gang or not self.deadlines.is_late(allocation.job)):
             return False
         # While jobs beyond the limit queue up, every array has been pending for long.
         return allocation.gang or not (
@@ -145,9 +145,9 @@
     def _may_reserve(self, work: ShardState, allocation: ShardAllocation, now: float) -> bool:
         """Whether a job is pending, and has been for the interval of an agent heartbeat."""
         attempt = allocation.job.record.attempt
-        if allocation.placed or (attempt and allocation.tried == attempt):
+        if allocation.placed or (attempt and allocation.last_shared_attempt == attempt):
             return False
-        if now - allocation.since < self.agent_heartbeat_s:
+        if now - allocation.pending_since < self.agent_heartbeat_s:
             return False
         return is_ready(work, allocation.job.id, allocation, now)
 
@@ -159,7 +159,7 @@
         for machine in machines:
             if machine.reservation and machine.reservation.until >= now:
                 continue
-            if not machine_ok(allocation, machine, self.policy.unhealthy_rest):
+            if not machine_allowed(allocation, machine, self.policy.unhealthy_rest):
                 continue
             for n in range(1, wanted + 1):
                 eta = self._seconds_until(machine, allocation.resources.times(n), now)
--- a/pitchtally/scheduling/gangs/single_shard_planner.py
+++ b/pitchtally/scheduling/gangs/single_shard_planner.py
@@ -73,7 +73,7 @@
             capacities = self.free_capacity.by_zone(spec, source)
             candidates = []
             for shard in shards:
-                here = {key: count for key, count in capacities.items() if key[0] == shard}
+                here = {place: count for place, count in capacities.items() if place.shard == shard}
                 found = plan_gang(here, spec.tasks, one_zone=spec.one_zone, spread=spec.spread)
                 if found is not None:
                     candidates.append(_ShardCapacity(-sum(here.values()), shard, found))
--- a/pitchtally/scheduling/gangs/starter.py
+++ b/pitchtally/scheduling/gangs/starter.py
@@ -13,7 +13,7 @@
 from ..priorities import PriorityOrder
 from ..quotas.quotas import Quotas
 from ..shards.allocations import ShardAllocation, ShardState, most_in_zone
-from ..shards.eligibility import is_ready, machine_ok
+from ..shards.eligibility import is_ready, machine_allowed
 from ..shards.shard_statuses import ShardStatuses
 from ..shards.task_start import next_attempt, place_task
 
@@ -82,11 +82,11 @@
             # result saved, so a task that is started again ends at once.
             return True
         if job.record.attempt:
-            return allocation.tried != job.record.attempt and is_fully_assigned(job)
+            return allocation.last_shared_attempt != job.record.attempt and is_fully_assigned(job)
         return allocation.pending.count >= job.spec.tasks - job.finished.count - len(job.local)
 
     def _place(self, allocation: ShardAllocation, machines: list[Machine], attempt: int) -> None:
-        allocation.tried = attempt
+        allocation.last_shared_attempt = attempt
         for machine in machines:
             place_task(self.agents, allocation, allocation.pending.pop(), machine, attempt)
             if machine.reservation and machine.reservation.job_id == allocation.job.id:
@@ -168,7 +168,7 @@
                 and machine.reservation.until >= now
             ):
                 continue
-            if fits(request, machine.available()) and machine_ok(
+            if fits(request, machine.available()) and machine_allowed(
                 allocation, machine, self.policy.unhealthy_rest
             ):
                 tasks = count_fitting(request, machine.available())
--- a/pitchtally/scheduling/quotas/quotas.py
+++ b/pitchtally/scheduling/quotas/quotas.py
@@ -169,7 +169,7 @@
             return False
         # A gang's stretch deadline is far off for its size, while it needs little of the
         # limit, and only once: after a few heartbeats it comes first.
-        pending_s = trio.current_time() - self.deadlines.release(first)
+        pending_s = trio.current_time() - self.deadlines.release_time(first)
         return (
             pending_s > self.agent_heartbeat_s * _GANG_FIRST_HEARTBEATS
             or gang.due <= self.deadlines.due(job, _COMPARED_STRETCH)
--- a/pitchtally/scheduling/rebalancing/rebalancing.py
+++ b/pitchtally/scheduling/rebalancing/rebalancing.py
@@ -68,7 +68,7 @@
             if allocation.pending.count
             and not allocation.faulty
             and is_ready(work, id, allocation, now)
-            and now - allocation.since >= _MIN_PENDING_S
+            and now - allocation.pending_since >= _MIN_PENDING_S
         ]
         return [id for _, _, id in sorted(rows)[:_MAX_JOBS]]
 
--- a/pitchtally/scheduling/rebalancing/service_migration.py
+++ b/pitchtally/scheduling/rebalancing/service_migration.py
@@ -16,6 +16,7 @@
 import trio
 
 from ...jobs.index import Job
+from ...jobs.job_record import ZoneCap
 from ...state_store.errors import StoreUnavailable
 from ..capacity import CapacitySource, plan_gang, stays_in_one_shard
 from ..context import SchedulingContext
@@ -86,7 +87,7 @@
             return False
         if not allocation.placed and len(allocation.job.record.ranges) == 1:
             return False  # nothing of it runs: it returns to the cluster leader
-        if now - allocation.since < self.agent_heartbeat_s * _PENDING_HEARTBEATS:
+        if now - allocation.pending_since < self.agent_heartbeat_s * _PENDING_HEARTBEATS:
             return False
         if not self.quotas.tasks_within_limit(allocation.shard, allocation.spec):
             return False  # its team's limit holds it up, in any shard
@@ -98,7 +99,10 @@
         found = self._find(allocation, [allocation.shard, *others])
         if found is not None:
             await self._migrate(allocation, found)
-        elif trio.current_time() - allocation.since >= self.policy.start_within * _RESTART_SHARE:
+        elif (
+            trio.current_time() - allocation.pending_since
+            >= self.policy.start_within * _RESTART_SHARE
+        ):
             self._restart_elsewhere(allocation, others)
 
     def _find(
@@ -115,9 +119,9 @@
             for shard in shards:
                 limits = self._zone_limits(allocation, capped=capped)
                 here = {
-                    (other, z): min(available, limits.get(z, missing))
-                    for (other, z), available in capacities.items()
-                    if other == shard and zone in (None, z)
+                    place: min(available, limits.get(place.zone, missing))
+                    for place, available in capacities.items()
+                    if place.shard == shard and zone in (None, place.zone)
                 }
                 found = plan_gang(here, missing, one_zone=False, spread=False)
                 if found is not None:
@@ -176,7 +180,7 @@
 
 def migrated_caps(
     job: Job, placed: ZoneCounts, shard: int, migration: ReplicaMigration
-) -> list[tuple[int, str, int]]:
+) -> list[ZoneCap]:
     """The caps after a migration: ours at what is placed, the target's raised by what migrates.
 
     Ours fall by the replicas that migrate, and the target's rise by no more than the zones'
@@ -190,4 +194,4 @@
         caps[(shard, zone)] = count
     for zone, count in migration.zones.items():
         caps[(migration.shard, zone)] += count
-    return [(other, zone, cap) for (other, zone), cap in sorted(caps.items()) if cap]
+    return [ZoneCap(other, zone, cap) for (other, zone), cap in sorted(caps.items()) if cap]
--- a/pitchtally/scheduling/rebalancing/task_migration.py
+++ b/pitchtally/scheduling/rebalancing/task_migration.py
@@ -7,7 +7,7 @@
 
 from msgspec import UNSET
 
-from ...jobs.job_record import TaskRange, merge
+from ...jobs.job_record import TaskRange, ZoneCap, merge
 from ...membership.membership import Membership
 from ...state_store import keys
 from ...state_store.errors import StoreUnavailable
@@ -37,7 +37,7 @@
         allocation: ShardAllocation,
         target: int,
         count: int,
-        caps: list[tuple[int, str, int]] | None = None,
+        caps: list[ZoneCap] | None = None,
     ) -> None:
         """Move `count` pending tasks to the shard `target`, in one conditional write.
 
@@ -47,7 +47,7 @@
         token = self.membership.token(shard)
         if token is None:
             return
-        carved = allocation.pending.carve(count)
+        carved = allocation.pending.split_off(count)
         allocation.moving = True
         version = job.version
         try:
