--- a/pitchtally/scheduling/assignment/proportional_split.py
+++ b/pitchtally/scheduling/assignment/proportional_split.py
@@ -4,6 +4,7 @@
 
 import math
 
+from ...agents.machine import MachineGroupKey
 from ...jobs.job_record import TaskRange
 from ...jobs.resources import dominant_share, resource_request
 from ...membership.messages import ShardStatus
@@ -44,13 +45,11 @@
         """
         total = 0
         size = stretch.last_index_at_most(self.samples.sizes, self.deadlines.job_size(spec))
-        unreported = sum(work for _, work in self.statuses.unreported.get(status.shard, ()))
+        unreported = sum(sent.work for sent in self.statuses.unreported.get(status.shard, ()))
         for name, cells in status.matrix:
-            type_, zone, spot = name.split("|")
+            type_, zone, spot = MachineGroupKey.parse(name)
             machine_type = self.machine_types().get(type_)
-            if machine_type is None or not allows_machine_type(
-                spec, machine_type, zone, spot == "1"
-            ):
+            if machine_type is None or not allows_machine_type(spec, machine_type, zone, spot):
                 continue
             task = self.estimates.task(spec) * dominant_share(resource_request(spec), machine_type)
             total += cells[level][size][stretch.first_index_at_least(self.samples.tasks, task)]
--- a/pitchtally/scheduling/gangs/planner.py
+++ b/pitchtally/scheduling/gangs/planner.py
@@ -104,11 +104,10 @@
             attempt,
             source.name,
         )
-        zones = {zone for _, zone in found}
-        zone = zones.pop() if spec.one_zone else None
+        zone = next(place.zone for place in found) if spec.one_zone else None
         caps = []
         if spec.spread and len(ranges) > 1:
-            caps = [ZoneCap(shard, zone_, tasks) for (shard, zone_), tasks in found.items()]
+            caps = [ZoneCap(place.shard, place.zone, tasks) for place, tasks in found.items()]
         return Plan(ranges, zone, attempt, caps)
 
     def _next_shared_attempt(self, token: int) -> int:
--- a/pitchtally/scheduling/gangs/range_return.py
+++ b/pitchtally/scheduling/gangs/range_return.py
@@ -53,18 +53,18 @@
 
     async def return_unstartable(self) -> None:
         """Return the ranges of every such job of our shards that can't start there."""
-        for shard, work in list(self.shard_states.states.items()):
+        for shard, state in list(self.shard_states.states.items()):
             token = self.membership.token(shard)
-            if not work.reconciled or token is None:
+            if not state.reconciled or token is None:
                 continue
-            for allocation in list(work.allocations.values()):
+            for allocation in list(state.allocations.values()):
                 job = allocation.job
                 if not job.open or not stays_in_one_shard(job.spec) or allocation.moving:
                     continue
                 if allocation.placed:
                     self._stop_if_incomplete(allocation)
-                elif self._is_returnable(allocation) and self._should_return(work, allocation):
-                    await self._return(work, allocation, token)
+                elif self._is_returnable(allocation) and self._should_return(state, allocation):
+                    await self._return(state, allocation, token)
 
     @staticmethod
     def _is_returnable(allocation: ShardAllocation) -> bool:
@@ -81,7 +81,7 @@
             for placement in list(allocation.placed.values()):
                 self.agents.stop(placement, job.spec.save)
 
-    def _should_return(self, work: ShardState, allocation: ShardAllocation) -> bool:
+    def _should_return(self, state: ShardState, allocation: ShardAllocation) -> bool:
         """Whether a job has been pending here for too long, or its attempt has failed."""
         job = allocation.job
         begun = bool(job.finished.count or job.local)
@@ -99,7 +99,7 @@
             allocation.gang
             and not begun
             and not self.deadlines.is_late(job)
-            and job.id not in work.ready_gangs
+            and job.id not in state.ready_gangs
             and self.quotas.limit_left(job.spec) >= job.spec.tasks
         ):
             # Other jobs took the machines that it was planned on: have it planned anew at once.
@@ -125,7 +125,7 @@
             return None
         return [r for r in job.record.ranges if r.shard != shard]
 
-    async def _return(self, work: ShardState, allocation: ShardAllocation, token: int) -> None:
+    async def _return(self, state: ShardState, allocation: ShardAllocation, token: int) -> None:
         job, shard = allocation.job, allocation.shard
         remaining = self._ranges_without(job, shard)
         if remaining is None:
@@ -133,7 +133,7 @@
         allocation.pending_since = trio.current_time()
         allocation.moving = True
         version = job.version
-        work.ready_gangs.discard(job.id)
+        state.ready_gangs.discard(job.id)
         try:
             await self.range_writer.write_ranges(
                 job,
--- a/pitchtally/scheduling/gangs/reservations.py
+++ b/pitchtally/scheduling/gangs/reservations.py
@@ -80,16 +80,16 @@
         until they are done. One gang at a time, unless one machine holds it whole, and none
         whose capacity is far off: reserved machines run nothing new meanwhile.
         """
-        work = self.shards[shard]
+        state = self.shards[shard]
         now = trio.current_time()
         machines = [
             m for m in self.agents.of_shard(shard) if m.schedulable and m.quarantined_until < now
         ]
-        current = self._current(work, machines, now)
+        current = self._current(state, machines, now)
         # Also for a task so large that small ones always take what frees up first.
-        candidates = [(h.release, id, h) for id, h in work.allocations.items() if h.gang or h.aged]
+        candidates = [(h.release, id, h) for id, h in state.allocations.items() if h.gang or h.aged]
         for _, id, allocation in sorted(candidates, key=lambda r: r[:2]):
-            if id in current.job_ids or not self._may_reserve(work, allocation, now):
+            if id in current.job_ids or not self._may_reserve(state, allocation, now):
                 continue
             wanted = allocation.pending.count if allocation.gang else 1
             if not self._allowed_beside(current, allocation, wanted):
@@ -106,11 +106,11 @@
             self._set_reservations(chosen, id, eta, now)
 
     @staticmethod
-    def _current(work: ShardState, machines: list[Machine], now: float) -> _ShardReservations:
+    def _current(state: ShardState, machines: list[Machine], now: float) -> _ShardReservations:
         job_ids = {
             m.reservation.job_id for m in machines if m.reservation and m.reservation.until >= now
         }
-        allocations = [h for id in job_ids if (h := work.allocations.get(id)) is not None]
+        allocations = [h for id in job_ids if (h := state.allocations.get(id)) is not None]
         return _ShardReservations(
             job_ids,
             has_wide_gang=any(h.gang and h.spec.tasks > 1 for h in allocations),
@@ -142,14 +142,14 @@
             machine.reservation = Reservation(job_id, until)
         log.info("reserved machines=%d for=%s eta=%.1f", len(names), job_id, eta)
 
-    def _may_reserve(self, work: ShardState, allocation: ShardAllocation, now: float) -> bool:
+    def _may_reserve(self, state: ShardState, allocation: ShardAllocation, now: float) -> bool:
         """Whether a job is pending, and has been for the interval of an agent heartbeat."""
         attempt = allocation.job.record.attempt
         if allocation.placed or (attempt and allocation.last_shared_attempt == attempt):
             return False
         if now - allocation.pending_since < self.agent_heartbeat_s:
             return False
-        return is_ready(work, allocation.job.id, allocation, now)
+        return is_ready(state, allocation.job.id, allocation, now)
 
     def _soonest(
         self, allocation: ShardAllocation, machines: list[Machine], wanted: int, now: float
--- a/pitchtally/scheduling/gangs/starter.py
+++ b/pitchtally/scheduling/gangs/starter.py
@@ -48,34 +48,34 @@
         self.priorities = priorities
         self.quotas = quotas
 
-    def start(self, work: ShardState, shard: int) -> None:
+    def start(self, state: ShardState, shard: int) -> None:
         """Place the gangs of a shard that have capacity for all their tasks, by priority."""
-        if not work.gangs:
+        if not state.gangs:
             return
         now = trio.current_time()
         candidates = [
             (*self.priorities.key(allocation, self.samples.stretches[-1]), id)
-            for id, allocation in work.gangs.items()
-            if self._is_startable(work, allocation, now)
+            for id, allocation in state.gangs.items()
+            if self._is_startable(state, allocation, now)
         ]
         for _, _, _, id in sorted(candidates):
-            allocation = work.allocations[id]
+            allocation = state.allocations[id]
             machines = self._find_machines(allocation, shard, now)
             if machines is None:
-                work.ready_gangs.discard(id)
+                state.ready_gangs.discard(id)
                 continue
             job = allocation.job
             shared_attempt = 0 if job.finished.count or job.local else job.record.attempt
-            if shared_attempt and not self._all_shards_ready(work, allocation, machines, now):
+            if shared_attempt and not self._all_shards_ready(state, allocation, machines, now):
                 continue
             attempt = shared_attempt or next_attempt(self.agents, shard)
             self._place(allocation, machines, attempt)
 
     @staticmethod
-    def _is_startable(work: ShardState, allocation: ShardAllocation, now: float) -> bool:
+    def _is_startable(state: ShardState, allocation: ShardAllocation, now: float) -> bool:
         """Whether all tasks of the gang that are ours to start are pending."""
         job = allocation.job
-        if allocation.placed or not is_ready(work, job.id, allocation, now):
+        if allocation.placed or not is_ready(state, job.id, allocation, now):
             return False
         if job.finished.count or job.local:
             # One task finished means that all have: the agent that lost its machine had the
@@ -94,7 +94,7 @@
         allocation.aged = False
 
     def _all_shards_ready(
-        self, work: ShardState, allocation: ShardAllocation, machines: list[Machine], now: float
+        self, state: ShardState, allocation: ShardAllocation, machines: list[Machine], now: float
     ) -> bool:
         """Whether every shard of a gang has capacity for its tasks; reserves ours until then.
 
@@ -102,7 +102,7 @@
         other shards are pending, and be stopped as incomplete.
         """
         id = allocation.job.id
-        work.ready_gangs.add(id)
+        state.ready_gangs.add(id)
         for other in {p for _, _, p in allocation.job.record.ranges if p != allocation.shard}:
             if not self._is_shard_ready(other, id, now):
                 until = now + self.policy.heartbeat_interval * _STATUS_INTERVALS
--- a/pitchtally/scheduling/quotas/quota_transfer.py
+++ b/pitchtally/scheduling/quotas/quota_transfer.py
@@ -55,21 +55,21 @@
         One commit lowers our share and raises the other's. Our share counts as lowered from
         before the commit is sent until its outcome is known.
         """
-        for shard, work in list(self.shards.items()):
+        for shard, state in list(self.shards.items()):
             token = self.membership.token(shard)
-            if not work.reconciled or token is None or shard not in self.statuses.newest:
+            if not state.reconciled or token is None or shard not in self.statuses.newest:
                 continue
             for team in self.quotas.teams.values():
                 in_flight = (shard, team.name) in self.quotas.transfers_in_flight
                 if not self.quotas.limited(team.name) or in_flight:
                     continue
-                if self.shards.get(shard) is not work:
+                if self.shards.get(shard) is not state:
                     break  # lost while a share of it was being transferred
-                await self._transfer_spare(shard, work, token, team)
+                await self._transfer_spare(shard, state, token, team)
 
-    async def _transfer_spare(self, shard: int, work: ShardState, token: int, team: Team) -> None:
+    async def _transfer_spare(self, shard: int, state: ShardState, token: int, team: Team) -> None:
         """Transfer what a shard has to spare to the first shard that it is of use to."""
-        spare = self._spare(shard, work, team.name)
+        spare = self._spare(shard, state, team.name)
         for other in self.statuses.newest.values():
             if other.shard == shard:
                 continue
@@ -87,11 +87,11 @@
                 await self._commit_transfer(shard, token, other.shard, team, amount)
                 return
 
-    def _spare(self, shard: int, work: ShardState, team: str) -> ShardQuotaShare:
+    def _spare(self, shard: int, state: ShardState, team: str) -> ShardQuotaShare:
         """What is left of a shard's share once its pending tasks that can start have theirs."""
         share, used = self.quotas.share(shard, team), self.quotas.use(shard, team)
         cpus, gpus = share.cpus - used.cpus, share.gpus - used.gpus
-        for allocation in work.allocations.values():
+        for allocation in state.allocations.values():
             spec = allocation.job.spec
             if (
                 spec.team == team
--- a/pitchtally/scheduling/rebalancing/queue_balancing.py
+++ b/pitchtally/scheduling/rebalancing/queue_balancing.py
@@ -42,7 +42,7 @@
 
 
 class QueueBalancing:
-    """Evens out the queues of shards: the paper's queue balancing of machines, one level up.
+    """Evens out the queues of shards, as idle machines do with the queues within a shard.
 
     A shard accepts a job by the availability of its machines on arrival; boots, lost machines
     and wrong estimates change that while the tasks are pending.
@@ -71,21 +71,21 @@
         if now - self._last_round_at < self.policy.heartbeat_interval:
             return  # peers' statuses are no newer
         self._last_round_at = now
-        for shard, work in list(self.shards.items()):
+        for shard, state in list(self.shards.items()):
             status = self.statuses.newest.get(shard)
-            if status is None or not work.reconciled:
+            if status is None or not state.reconciled:
                 continue
-            for id in self._candidates(work, now):
-                if await self._migrate_excess(work.allocations[id], status):
+            for id in self._candidates(state, now):
+                if await self._migrate_excess(state.allocations[id], status):
                     break
 
     @staticmethod
-    def _candidates(work: ShardState, now: float) -> list[str]:
+    def _candidates(state: ShardState, now: float) -> list[str]:
         """The jobs with the most pending CPUs that may be split over shards."""
         rows = [
             (allocation.pending.count * allocation.job.spec.cpus, id)
-            for id, allocation in work.allocations.items()
-            if is_ready(work, id, allocation, now)
+            for id, allocation in state.allocations.items()
+            if is_ready(state, id, allocation, now)
             and not allocation.faulty
             and not stays_in_one_shard(allocation.job.spec)
             and not allocation.service  # goes by free capacity: replicas never end
@@ -137,14 +137,14 @@
         width = self._width(status, spec, by_gpus=by_gpus)
         if not width:
             return DrainTime(math.inf, 0.0)
-        work = 0.0
+        queued = 0.0
         for id, count in status.pending.items():
             job = self.job_index.open.get(id)
             if job is None or RANK[job.spec.rank] > RANK[spec.rank]:
                 continue
             amount = job.spec.gpus if by_gpus else job.spec.cpus
-            work += count * amount * self.estimates.task(job.spec)
-        return DrainTime(work / width, width)
+            queued += count * amount * self.estimates.task(job.spec)
+        return DrainTime(queued / width, width)
 
     def _width(self, status: ShardStatus, spec: user_api.JobSpec, *, by_gpus: bool) -> float:
         """GPUs or CPUs of a shard's machines that may run the job."""
--- a/pitchtally/scheduling/rebalancing/rebalancing.py
+++ b/pitchtally/scheduling/rebalancing/rebalancing.py
@@ -46,28 +46,28 @@
         if now - self._last_round_at < self.policy.heartbeat_interval:
             return  # peers' statuses are no newer
         self._last_round_at = now
-        for shard, work in list(self.shards.items()):
+        for shard, state in list(self.shards.items()):
             status = self.statuses.newest.get(shard)
-            if status is None or not work.reconciled:
+            if status is None or not state.reconciled:
                 continue
-            for id in self._candidates(work, now):
-                if self.shards.get(shard) is not work:
+            for id in self._candidates(state, now):
+                if self.shards.get(shard) is not state:
                     break  # lost while tasks of it were being migrated
-                allocation = work.allocations.get(id)
-                if allocation is None or not is_ready(work, id, allocation, now):
+                allocation = state.allocations.get(id)
+                if allocation is None or not is_ready(state, id, allocation, now):
                     continue
                 if self._may_migrate(allocation):
                     await self._migrate_to_free_capacity(allocation, status)
 
     @staticmethod
-    def _candidates(work: ShardState, now: float) -> list[str]:
+    def _candidates(state: ShardState, now: float) -> list[str]:
         """Jobs with tasks that have been pending for a while, by rank and release."""
         rows = [
             (allocation.rank, allocation.release, id)
-            for id, allocation in work.allocations.items()
+            for id, allocation in state.allocations.items()
             if allocation.pending.count
             and not allocation.faulty
-            and is_ready(work, id, allocation, now)
+            and is_ready(state, id, allocation, now)
             and now - allocation.pending_since >= _MIN_PENDING_S
         ]
         return [id for _, _, id in sorted(rows)[:_MAX_JOBS]]
--- a/pitchtally/scheduling/rebalancing/service_migration.py
+++ b/pitchtally/scheduling/rebalancing/service_migration.py
@@ -72,18 +72,18 @@
 
     async def migrate(self) -> None:
         """Migrate or restart every such service of our shards that lacks capacity here."""
-        for shard, work in list(self.shards.items()):
-            if not work.reconciled or not self.migration.leads(shard):
+        for shard, state in list(self.shards.items()):
+            if not state.reconciled or not self.migration.leads(shard):
                 continue
-            for allocation in list(work.allocations.values()):
-                if self._lacks_capacity(work, allocation):
+            for allocation in list(state.allocations.values()):
+                if self._lacks_capacity(state, allocation):
                     await self._migrate_or_restart(allocation)
 
-    def _lacks_capacity(self, work: ShardState, allocation: ShardAllocation) -> bool:
+    def _lacks_capacity(self, state: ShardState, allocation: ShardAllocation) -> bool:
         now = trio.current_time()
         if not allocation.service or not stays_in_one_shard(allocation.spec) or allocation.faulty:
             return False
-        if not is_ready(work, allocation.job.id, allocation, now):
+        if not is_ready(state, allocation.job.id, allocation, now):
             return False
         if not allocation.placed and len(allocation.job.record.ranges) == 1:
             return False  # nothing of it runs: it returns to the cluster leader
--- a/pitchtally/scheduling/scheduler.py
+++ b/pitchtally/scheduling/scheduler.py
@@ -111,31 +111,33 @@
 
     def _compose_shared(self, context: SchedulingContext, shares: QuotaShares) -> None:
         """The components that planning within a shard and over several both use."""
-        work: dict[int, ShardState] = {}
+        states: dict[int, ShardState] = {}
         self.deadlines = Deadlines(context)
-        self.statuses = ShardStatuses(context, self.membership, work)
-        self.quotas = Quotas(context, shares, work, self.statuses, self.deadlines)
+        self.statuses = ShardStatuses(context, self.membership, states)
+        self.quotas = Quotas(context, shares, states, self.statuses, self.deadlines)
         self.priorities = PriorityOrder(context, self.deadlines, self.quotas)
         self.failures = FailureTracker(context)
         self.shards = ShardStates(
-            context, work, self.statuses, self.deadlines, self.failures, self.planning_trigger
+            context, states, self.statuses, self.deadlines, self.failures, self.planning_trigger
         )
 
     def _compose_shard_planning(self, context: SchedulingContext) -> None:
         """The components that plan within a shard."""
-        work = self.shards.states
-        self.survey = Survey(context, work, self.deadlines, self.failures)
-        self.allotment = Allotment(context, work)
-        self.gang_starter = GangStarter(context, work, self.statuses, self.priorities, self.quotas)
-        self.placer = Placer(context, work, self.priorities, self.quotas, self.gang_starter)
-        self.draining = DrainingEviction(context, work)
-        self.preemption = Preemption(context, work, self.deadlines, self.quotas)
-        self.reservations = Reservations(context, work, self.deadlines, self.quotas)
-        self.status_publisher = StatusPublisher(context, work, self.statuses, self.quotas)
+        states = self.shards.states
+        self.survey = Survey(context, states, self.deadlines, self.failures)
+        self.allotment = Allotment(context, states)
+        self.gang_starter = GangStarter(
+            context, states, self.statuses, self.priorities, self.quotas
+        )
+        self.placer = Placer(context, states, self.priorities, self.quotas, self.gang_starter)
+        self.draining = DrainingEviction(context, states)
+        self.preemption = Preemption(context, states, self.deadlines, self.quotas)
+        self.reservations = Reservations(context, states, self.deadlines, self.quotas)
+        self.status_publisher = StatusPublisher(context, states, self.statuses, self.quotas)
 
     def _compose_global_planning(self, context: SchedulingContext) -> None:
         """The components that plan over several shards."""
-        work, writer = self.shards.states, self.range_writer
+        states, writer = self.shards.states, self.range_writer
         free_capacity = FreeCapacity(context, self.statuses)
         single_shard = SingleShardPlanner(context, self.statuses, free_capacity)
         gangs = GangPlanner(context, self.statuses, self.quotas, self.deadlines, free_capacity)
@@ -143,7 +145,7 @@
         self.admission = Admission(
             context,
             self.membership,
-            work,
+            states,
             self.statuses,
             JobPlanners(gangs, single_shard, split),
         )
@@ -155,13 +157,13 @@
             context, self.membership, self.shards, self.deadlines, self.quotas, writer
         )
         migration = TaskMigration(self.membership, self.statuses, writer)
-        self.rebalancing = Rebalancing(context, work, self.statuses, self.quotas, migration)
-        self.queue_balancing = QueueBalancing(context, work, self.statuses, migration)
+        self.rebalancing = Rebalancing(context, states, self.statuses, self.quotas, migration)
+        self.queue_balancing = QueueBalancing(context, states, self.statuses, migration)
         self.service_migration = ServiceMigration(
-            context, work, self.statuses, self.quotas, free_capacity, single_shard, migration
+            context, states, self.statuses, self.quotas, free_capacity, single_shard, migration
         )
         self.quota_transfer = QuotaTransfer(
-            context, self.membership, work, self.statuses, self.quotas, writer
+            context, self.membership, states, self.statuses, self.quotas, writer
         )
 
     def decide(self, spec: user_api.JobSpec) -> Plan:
@@ -179,21 +181,21 @@
             # Starts are sent with the answers to agent heartbeats: more frequent planning is idle.
             await trio.sleep(self.agent_heartbeat_s / 10)
             spent = 0.0
-            for shard, work in list(self.shards.states.items()):
-                if work.loaded and shard in self.shards.states:
+            for shard, state in list(self.shards.states.items()):
+                if state.loaded and shard in self.shards.states:
                     at = trio.current_time()
-                    self._plan(shard, work)
+                    self._plan(shard, state)
                     spent += trio.current_time() - at
                     await trio.sleep(0)  # agent heartbeats come before planning
             spent += self.status_publisher.refresh()
             # Planning takes a bounded share of the processor, whatever the number of machines.
             await trio.sleep(min(self.agent_heartbeat_s, spent * _PLANNING_PAUSE_FACTOR))
 
-    def _plan(self, shard: int, work: ShardState) -> None:
+    def _plan(self, shard: int, state: ShardState) -> None:
         """One planning round of a shard."""
         self.survey.survey(shard)
         self.allotment.allot(shard)
-        self.gang_starter.start(work, shard)
+        self.gang_starter.start(state, shard)
         self.draining.evict_draining(shard)
         self.preemption.preempt(shard)
         self.reservations.reserve(shard)
--- a/pitchtally/scheduling/shards/shard_statuses.py
+++ b/pitchtally/scheduling/shards/shard_statuses.py
@@ -63,7 +63,7 @@
         self.unreported: dict[int, list[UnreportedAllocation]] = {}  # by shard
         # Caches by shard.
         self.capacities: dict[int, dict[CapacityKey, int]] = {}  # see `free_capacity`
-        self.zones: dict[int, dict[tuple[object, ...], dict[str, int]]] = {}  # see `GangPlanner`
+        self.zones: dict[int, dict[tuple[object, ...], dict[str, int]]] = {}  # see `FreeCapacity`
         self.groups: dict[int, dict[MachineGroupKey, list[MachineStatus]]] = {}  # see `groups_of`
 
     def put(self, status: ShardStatus) -> None:
