--- a/pitchtally/agents/heartbeats/endpoint.py
+++ b/pitchtally/agents/heartbeats/endpoint.py
@@ -90,16 +90,16 @@
         self, heartbeat: agent_api.AgentHeartbeat, led_shard: LedShard
     ) -> Response:
         token = led_shard.token
-        known = self._index.machines.get(heartbeat.machine)
+        registered = self._index.machines.get(heartbeat.machine)
         number = HeartbeatNumber(heartbeat.epoch, heartbeat.seq)
-        if known is not None and number <= known.last_heartbeat:
+        if registered is not None and number <= registered.last_heartbeat:
             # Every heartbeat has its own number: this is a copy, and no agent waits for it.
             return _unavailable()
-        if known is not None:
-            check_last_response(known, heartbeat, self._lease_s)
+        if registered is not None:
+            check_last_response(registered, heartbeat, self._lease_s)
         machine = self._intake.observe(heartbeat, led_shard, direct=False)
         if machine is None:
-            return self._respond_to_old(heartbeat, token, known)
+            return self._respond_to_old(heartbeat, token, registered)
         machine.last_heartbeat = number
         commands = self._commands.for_heartbeat(machine, heartbeat)
         machine.awaited_commands = [c for c in commands if c.op != agent_api.STOP]
--- a/pitchtally/agents/heartbeats/status_intake.py
+++ b/pitchtally/agents/heartbeats/status_intake.py
@@ -85,7 +85,7 @@
             log.info("agent epoch new machine=%s tasks=%d", machine.name, len(machine.placements))
             self._control.remove_all(machine, LossCause.NEW_EPOCH)
         machine.epoch, machine.seq = status.epoch, status.seq
-        machine.last_heartbeat_at = self._reachability.last_heard_at = now
+        machine.last_heartbeat_at = self._reachability.last_contact_at = now
         if machine.lost:
             machine.lost = False
             machine.idle_since = now
--- a/pitchtally/agents/lease_expiry.py
+++ b/pitchtally/agents/lease_expiry.py
@@ -20,9 +20,9 @@
 # Looks at all machines per heartbeat interval.
 CHECKS_PER_HEARTBEAT = 4
 # After a preemption notice has run out, so many intervals without a heartbeat mean it is gone.
-PREEMPTED_SILENT_HEARTBEATS = 2
+PREEMPTED_MISSED_HEARTBEATS = 2
 # An unrecorded machine is forgotten after so many times the heartbeat timeout.
-FORGET_TIMEOUTS = 4
+UNREGISTER_TIMEOUTS = 4
 
 
 class LeaseExpiry:
@@ -57,15 +57,17 @@
                     self._check(machine, now, leading_until, resumed_at)
 
     def _check(self, machine: Machine, now: float, leading_until: float, resumed_at: float) -> None:
-        silent_for = now - max(machine.last_heartbeat_at, resumed_at)
+        since_last_heartbeat = now - max(machine.last_heartbeat_at, resumed_at)
         if self._lease_has_expired(machine, leading_until):
             log.info("lease expired machine=%s tasks=%d", machine.name, len(machine.placements))
             machine.lost = True
             self._control.remove_all(machine, LossCause.LEASE_EXPIRED)
-        if silent_for > self._heartbeat_timeout or self._is_preempted(machine, now, silent_for):
+        if since_last_heartbeat > self._heartbeat_timeout or self._is_preempted(
+            machine, now, since_last_heartbeat
+        ):
             machine.lost = True
-        forgotten_after = self._heartbeat_timeout * FORGET_TIMEOUTS
-        if machine.lost and not machine.recorded and silent_for > forgotten_after:
+        forgotten_after = self._heartbeat_timeout * UNREGISTER_TIMEOUTS
+        if machine.lost and not machine.recorded and since_last_heartbeat > forgotten_after:
             self._index.remove(machine.name)
 
     def _lease_has_expired(self, machine: Machine, leading_until: float) -> bool:
@@ -79,10 +81,10 @@
             return False
         return leading_until > lease_expired_at(machine.lease_renewed_at, self._times)
 
-    def _is_preempted(self, machine: Machine, now: float, silent_for: float) -> bool:
+    def _is_preempted(self, machine: Machine, now: float, since_last_heartbeat: float) -> bool:
         """Announced by the provider, and silent since: that comes before the lease's end."""
         return (
             machine.preemption_at is not None
             and now > machine.preemption_at
-            and silent_for > self._times.report_s * PREEMPTED_SILENT_HEARTBEATS
+            and since_last_heartbeat > self._times.report_s * PREEMPTED_MISSED_HEARTBEATS
         )
--- a/pitchtally/agents/reachability.py
+++ b/pitchtally/agents/reachability.py
@@ -47,7 +47,7 @@
         self._client = client
         self._status = status
         self._times = times
-        self.last_heard_at = trio.current_time()  # when any agent was
+        self.last_contact_at = trio.current_time()  # when any agent was
 
     async def run(self) -> None:
         """Ask a few agents whenever none has been heard for a while."""
@@ -55,8 +55,10 @@
             await trio.sleep(self._times.report_s)
             now = trio.current_time()
             own = self._own_addresses()
-            silent_for = now - self.last_heard_at
-            suspicious = own and silent_for >= self._times.lease_s * SUSPICIOUS_LEASE_SHARE
+            since_last_heartbeat = now - self.last_contact_at
+            suspicious = (
+                own and since_last_heartbeat >= self._times.lease_s * SUSPICIOUS_LEASE_SHARE
+            )
             if not self._status.agents_unreachable and not suspicious:
                 continue
             # Machines of other shards count too: where ours are gone but others answer,
@@ -64,7 +66,7 @@
             addresses = own[:PROBED_OWN] + self._other_addresses()[:PROBED_OTHERS]
             answering = await self._any_answers(addresses)
             if answering:
-                self.last_heard_at = trio.current_time()
+                self.last_contact_at = trio.current_time()
             self._status.set_agents_unreachable(bool(addresses) and not answering)
 
     def _own_addresses(self) -> list[str]:
--- a/pitchtally/api/admission_queue.py
+++ b/pitchtally/api/admission_queue.py
@@ -44,39 +44,39 @@
         """`is_accepted`: whether any node has accepted the job, as far as this one knows."""
         self._is_accepted = is_accepted
         self._entries: dict[str, _Entry] = {}
-        self._order: list[tuple[float, str]] = []  # (since, id), sorted
+        self._by_first_attempt: list[tuple[float, str]] = []  # (since, id), sorted
         self._swept_at = -math.inf
 
     @property
     def occupied(self) -> bool:
         """Whether any caller is expected back."""
         self._sweep()
-        return bool(self._order)
+        return bool(self._by_first_attempt)
 
     def ahead_of(self, id: str) -> int:
         """How many earlier callers are still expected back."""
         self._sweep()
         entry = self._entries.get(id)
         if entry is None:
-            return len(self._order)
-        return bisect.bisect_left(self._order, (entry.since, id))
+            return len(self._by_first_attempt)
+        return bisect.bisect_left(self._by_first_attempt, (entry.since, id))
 
     def refuse(self, id: str, wait: float) -> int:
         """Remember a submission that is refused now; the seconds after which to retry."""
         now = trio.current_time()
         seconds = max(1, min(MAX_RETRY_S, math.ceil(wait)))
         entry = self._entries.setdefault(id, _Entry(now, now))
-        place = bisect.bisect_left(self._order, (entry.since, id))
-        if self._order[place : place + 1] != [(entry.since, id)]:
-            self._order.insert(place, (entry.since, id))
+        place = bisect.bisect_left(self._by_first_attempt, (entry.since, id))
+        if self._by_first_attempt[place : place + 1] != [(entry.since, id)]:
+            self._by_first_attempt.insert(place, (entry.since, id))
         entry.expected_until = now + seconds + GRACE_S
         return seconds
 
     def leave(self, id: str) -> None:
         """The submission is accepted, or never will be."""
         entry = self._entries.pop(id, None)
-        if entry is not None and (entry.since, id) in self._order:
-            self._order.remove((entry.since, id))
+        if entry is not None and (entry.since, id) in self._by_first_attempt:
+            self._by_first_attempt.remove((entry.since, id))
 
     def _sweep(self) -> None:
         """Drop callers that did not come back, or were accepted elsewhere, now and then."""
@@ -87,7 +87,9 @@
         for id, entry in list(self._entries.items()):
             if entry.expected_until + MEMORY_S < now or self._is_accepted(id):
                 del self._entries[id]
-        self._order = [(since, id) for since, id in self._order if self._is_expected(id, now)]
+        self._by_first_attempt = [
+            (since, id) for since, id in self._by_first_attempt if self._is_expected(id, now)
+        ]
 
     def _is_expected(self, id: str, now: float) -> bool:
         entry = self._entries.get(id)
--- a/pitchtally/api/submission_batcher.py
+++ b/pitchtally/api/submission_batcher.py
@@ -142,7 +142,7 @@
                 preconditions,
                 [s.change for s in batch],
                 priority=Priority.SUBMISSIONS,
-                on_sent=dispatched,
+                on_dispatched=dispatched,
             )
         except CompareFailed as error:
             self._requeue_unaffected(batch, error)
--- a/pitchtally/autoscaling/machine_health.py
+++ b/pitchtally/autoscaling/machine_health.py
@@ -25,7 +25,7 @@
 # Times its usual boot that a machine may take.
 MAX_BOOTS = 4
 # Heartbeat timeouts for which a machine may be listed as running without any heartbeat.
-NEVER_HEARD_TIMEOUTS = 2
+NO_HEARTBEAT_TIMEOUTS = 2
 
 
 @dataclass(slots=True)
@@ -157,7 +157,7 @@
             self._unheard_since.pop(name, None)
         elif machine.age > self._boot_seconds(machine.type) * MAX_BOOTS:
             since = self._unheard_since.setdefault(name, now)
-            if now - since > self._config.heartbeat_timeout * NEVER_HEARD_TIMEOUTS:
+            if now - since > self._config.heartbeat_timeout * NO_HEARTBEAT_TIMEOUTS:
                 self._terminations.request(name, TerminationCause.NO_HEARTBEAT)
 
     def _check_reported(self, name: str, status: MachineStatus, now: float) -> None:
@@ -193,5 +193,5 @@
         return self._boot_seconds(machine_type) * MAX_BOOTS + self._config.list_lag
 
     def _boot_seconds(self, machine_type: str) -> float:
-        known = self._machine_types().get(machine_type)
-        return known.boot if known else DEFAULT_BOOT_S
+        catalog_entry = self._machine_types().get(machine_type)
+        return catalog_entry.boot if catalog_entry else DEFAULT_BOOT_S
--- a/pitchtally/membership/freshness.py
+++ b/pitchtally/membership/freshness.py
@@ -42,10 +42,10 @@
     A peer that has not read the store since it started does not know what its predecessor
     confirmed or acquired, so its reply says nothing.
     """
-    known = list(replies)
-    if not known or not all(reply is not None and reply.has_read for reply in known):
+    collected = list(replies)
+    if not collected or not all(reply is not None and reply.has_read for reply in collected):
         return None
-    return min(reply.asked_at for reply in known if reply is not None)
+    return min(reply.asked_at for reply in collected if reply is not None)
 
 
 def cancellations_verified(replica_at: float, replies: Iterable[PeerReply | None]) -> float:
@@ -56,18 +56,18 @@
     that cannot reach each other learn from the third. Without the store, all peers'
     replies together suffice: each holds what it confirmed itself, and nobody else confirms.
     """
-    known = list(replies)
+    collected = list(replies)
     verified = max(
         [
             replica_at,
             *(
                 reply.cancellations_verified_at
-                for reply in known
+                for reply in collected
                 if reply is not None and reply.has_read
             ),
         ]
     )
-    asked_at = all_peers_asked_at(known)
+    asked_at = all_peers_asked_at(collected)
     return verified if asked_at is None else max(verified, asked_at)
 
 
--- a/pitchtally/state_store/client.py
+++ b/pitchtally/state_store/client.py
@@ -105,20 +105,20 @@
         *,
         priority: Priority,
         timeout: float | None = None,
-        on_sent: Callable[[], None] | None = None,
+        on_dispatched: Callable[[], None] | None = None,
     ) -> Response:
         """Send a request once the limits allow it; raises `StoreUnavailable`."""
         await self.request_limit.acquire(priority)
-        if on_sent is not None:
-            on_sent()
-        sent_at = trio.current_time()
+        if on_dispatched is not None:
+            on_dispatched()
+        dispatched_at = trio.current_time()
         try:
             response = await self._client.call(
                 self._address, method, target, body, timeout=timeout or self._timeout
             )
         except HttpError as error:
             self._client.drop(self._address)
-            self._note_failure(sent_at)
+            self._note_failure(dispatched_at)
             raise NoResponse(str(error)) from None
         if response.status == 429:
             self.request_limit.penalize()
@@ -126,15 +126,15 @@
                 self.write_limit.penalize()
             raise StoreUnavailable("over its limit")
         if response.status >= 500:
-            self._note_failure(sent_at)
+            self._note_failure(dispatched_at)
             raise StoreUnavailable(f"status {response.status}")
         self.failing_since = None
-        self._replied_at = max(self._replied_at, sent_at)
+        self._replied_at = max(self._replied_at, dispatched_at)
         return response
 
-    def _note_failure(self, sent_at: float) -> None:
-        if self.failing_since is None and sent_at > self._replied_at:
-            self.failing_since = sent_at
+    def _note_failure(self, dispatched_at: float) -> None:
+        if self.failing_since is None and dispatched_at > self._replied_at:
+            self.failing_since = dispatched_at
 
     async def read_page(self, prefix: str, after: str | None) -> state_store_api.StoredPage:
         """Read a page of the keys with a prefix, after a key; raises `StoreUnavailable`."""
@@ -154,7 +154,7 @@
         writes: Sequence[Write],
         *,
         priority: Priority,
-        on_sent: Callable[[], None] | None = None,
+        on_dispatched: Callable[[], None] | None = None,
     ) -> int:
         """Compare-and-swap: write all if every key has its expected version (0: absent).
 
@@ -164,7 +164,9 @@
         body = _encode_transaction(expected_versions, writes)
         if writes:
             await self.write_limit.acquire(priority, len(writes))
-        response = await self._call("POST", _COMMIT_PATH, body, priority=priority, on_sent=on_sent)
+        response = await self._call(
+            "POST", _COMMIT_PATH, body, priority=priority, on_dispatched=on_dispatched
+        )
         if response.status == 200:
             return self._decode(_revision_decoder, response.body).revision
         if response.status == 409:
@@ -200,7 +202,7 @@
         *,
         priority: Priority = Priority.LEASES,
         timeout: float | None = None,
-        on_sent: Callable[[], None] | None = None,
+        on_dispatched: Callable[[], None] | None = None,
     ) -> state_store_api.Events | None:
         """Changes after a revision; None if that is too old and keys must be read again.
 
@@ -213,7 +215,7 @@
             f"/follow?starts={prefix}&since={after}&waitMs={int(wait * 1000)}",
             priority=priority,
             timeout=wait + (timeout or self._timeout),
-            on_sent=on_sent,
+            on_dispatched=on_dispatched,
         )
         if response.status == 410:
             return None
--- a/pitchtally/state_store/replica.py
+++ b/pitchtally/state_store/replica.py
@@ -93,7 +93,7 @@
         self._apply(key, value, version)
 
     async def refresh(
-        self, timeout: float | None = None, on_sent: Callable[[], None] | None = None
+        self, timeout: float | None = None, on_dispatched: Callable[[], None] | None = None
     ) -> Refresh:
         """Bring the replica up to the store's present by one read of its own.
 
@@ -104,11 +104,11 @@
             raise StoreUnavailable("nothing is loaded yet")
         asked_at = trio.current_time()
 
-        def note_sent() -> None:
+        def note_dispatched() -> None:
             nonlocal asked_at
             asked_at = trio.current_time()
-            if on_sent is not None:
-                on_sent()
+            if on_dispatched is not None:
+                on_dispatched()
 
         events = await self._state_store.watch(
             keys.ROOT,
@@ -116,7 +116,7 @@
             0.0,
             priority=Priority.COMPLETIONS,
             timeout=timeout,
-            on_sent=note_sent,
+            on_dispatched=note_dispatched,
         )
         if events is None:
             raise StoreUnavailable("the copy is too old to be refreshed")
--- a/standins/agent.py
+++ b/standins/agent.py
@@ -116,14 +116,14 @@
         }
 
     async def _exchange_heartbeat(self) -> None:
-        sent_at, epoch = trio.current_time(), self.epoch
+        dispatched_at, epoch = trio.current_time(), self.epoch
         response = await self._send_heartbeat()
         await self._while_hung()
-        timed_out = trio.current_time() - sent_at > HEARTBEAT_TIMEOUT_S
+        timed_out = trio.current_time() - dispatched_at > HEARTBEAT_TIMEOUT_S
         if self.terminated or epoch != self.epoch or timed_out:
             return
         if response.status == 200:
-            self._handle_reply(json.loads(response.body), sent_at)
+            self._handle_reply(json.loads(response.body), dispatched_at)
         elif not self._was_redirected(response):
             await trio.sleep(RETRY_PAUSE_S)
             self.controller = (self.controller + 1) % len(self.world.controllers)
@@ -139,11 +139,11 @@
         except HttpError:
             return Response(0)
 
-    def _handle_reply(self, reply: dict[str, Any], sent_at: float) -> None:
+    def _handle_reply(self, reply: dict[str, Any], dispatched_at: float) -> None:
         if reply.get("seal", -1) < self.fencing_token:
             return
         self._raise_token(reply["seal"])
-        self.lease_renewed_at = sent_at
+        self.lease_renewed_at = dispatched_at
         self.executor.execute(reply["orders"])
 
     def _was_redirected(self, response: Response) -> bool:
