--- a/pitchtally/api/admission_queue.py
+++ b/pitchtally/api/admission_queue.py
@@ -19,7 +19,7 @@
 from ..state_store.rate_limits import Priority
 from .submission_batcher import SubmissionBatcher
 
-log = logging.getLogger("admission_queue")
+log = logging.getLogger(__name__)
 
 # Seconds that a caller may be late after the time told; then it gave up, or asks elsewhere.
 GRACE_S = 3.0
--- a/pitchtally/api/job_creation.py
+++ b/pitchtally/api/job_creation.py
@@ -27,7 +27,7 @@
     SubmissionBatcher,
 )
 
-log = logging.getLogger("job_creation")
+log = logging.getLogger(__name__)
 
 # Seconds after which to retry a job that only the present stored format can hold.
 LARGE_JOB_RETRY_S = 3
--- a/pitchtally/api/read_barrier.py
+++ b/pitchtally/api/read_barrier.py
@@ -23,7 +23,7 @@
 from ..state_store.errors import NoResponse, StoreUnavailable
 from ..state_store.replica import Refresh, Replica
 
-log = logging.getLogger("read_barrier")
+log = logging.getLogger(__name__)
 
 # One read may start for as many requests as this node's share of the rate limit allows in the
 # same time: reads take a fifth of the requests at most, and the rest is left to commits.
--- a/pitchtally/autoscaling/autoscaler.py
+++ b/pitchtally/autoscaling/autoscaler.py
@@ -26,7 +26,7 @@
 from .scheduler_view import SchedulerView
 from .terminations import Terminations
 
-log = logging.getLogger("autoscaler")
+log = logging.getLogger(__name__)
 
 # Seconds between two looks whether this node has become the cluster leader.
 LEADERSHIP_POLL_S = 0.3
--- a/pitchtally/autoscaling/cloud_client.py
+++ b/pitchtally/autoscaling/cloud_client.py
@@ -14,7 +14,7 @@
 from ..protocol import cloud_api
 from ..state_store.rate_limits import Priority, TokenBucket
 
-log = logging.getLogger("cloud_client")
+log = logging.getLogger(__name__)
 
 # Of the rate limit, which the provider measures by a clock of its own.
 RATE_SHARE = 0.8
--- a/pitchtally/autoscaling/scale_out.py
+++ b/pitchtally/autoscaling/scale_out.py
@@ -23,7 +23,7 @@
 from .demand import PendingDemand, pending_demands, tasks_per_machine
 from .scheduler_view import SchedulerView
 
-log = logging.getLogger("scale_out")
+log = logging.getLogger(__name__)
 
 LAUNCHES_PER_ROUND = 6
 # Seconds for which a group is left alone that had no machine, or not as many as asked for.
--- a/pitchtally/autoscaling/terminations.py
+++ b/pitchtally/autoscaling/terminations.py
@@ -11,7 +11,7 @@
 from ..protocol import cloud_api
 from .cloud_client import CloudClient
 
-log = logging.getLogger("terminations")
+log = logging.getLogger(__name__)
 
 # Seconds for which peers are told that a machine is terminated.
 TERMINATED_MEMORY_S = 120.0
