--- a/tests/scheduling/test_failure_attribution.py
+++ b/tests/scheduling/test_failure_attribution.py
@@ -1,17 +1,17 @@
-"""Broken jobs and faulty machines are told apart, and neither causes a storm of tries."""
+"""Failures are attributed to jobs or machines, and neither causes a storm of retries."""
 
 from __future__ import annotations
 
 import pytest
 import trio
 
-from pitchtally.scheduling.shards.failure_attribution import Standing, is_unhealthy, standing
+from pitchtally.scheduling.shards.failure_attribution import JobHealth, classify_job, is_unhealthy
 
 from ..harness.simulation import Simulation, job, run
 
-GOOD, UNKNOWN, FAULTY = Standing.GOOD, Standing.UNKNOWN, Standing.FAULTY
+GOOD, UNKNOWN, FAULTY = JobHealth.GOOD, JobHealth.UNKNOWN, JobHealth.FAULTY
 
-STANDINGS: list[tuple[bool, int, list[float], Standing]] = [
+JOB_HEALTH: list[tuple[bool, int, list[float], JobHealth]] = [
     # a task is done, machines that it failed on, how long its tasks run; failures took 3 s
     (False, 0, [], UNKNOWN),
     (False, 1, [], UNKNOWN),
@@ -22,14 +22,12 @@
 ]
 
 
-@pytest.mark.parametrize(("done", "machines", "running", "found"), STANDINGS)
-def test_standing_of_a_job(
-    done: bool, machines: int, running: list[float], found: Standing
-) -> None:
-    assert standing(done, machines, 3.0, running, 2.0) is found
+@pytest.mark.parametrize(("done", "machines", "running", "found"), JOB_HEALTH)
+def test_health_of_a_job(done: bool, machines: int, running: list[float], found: JobHealth) -> None:
+    assert classify_job(done, machines, 3.0, running, 2.0) is found
 
 
-SICK: list[tuple[dict[str, tuple[int, Standing]], bool]] = [
+MACHINE_HEALTH: list[tuple[dict[str, tuple[int, JobHealth]], bool]] = [
     ({}, False),
     ({"a": (50, FAULTY), "b": (50, FAULTY), "c": (9, FAULTY)}, False),
     ({"a": (50, UNKNOWN), "b": (50, UNKNOWN)}, False),
@@ -40,8 +38,8 @@
 ]
 
 
-@pytest.mark.parametrize(("failures", "found"), SICK)
-def test_sickness_of_a_machine(failures: dict[str, tuple[int, Standing]], found: bool) -> None:
+@pytest.mark.parametrize(("failures", "found"), MACHINE_HEALTH)
+def test_health_of_a_machine(failures: dict[str, tuple[int, JobHealth]], found: bool) -> None:
     counts = {id: n for id, (n, _) in failures.items()}
     assert is_unhealthy(counts, {id: s for id, (_, s) in failures.items()}) is found
 
@@ -49,7 +47,7 @@
 def test_broken_jobs_cause_no_storm_and_blame_no_machine(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Arrays that fail everywhere returned healthy machines, and tried hundreds of times."""
+    """Arrays that fail everywhere had healthy machines terminated, and hundreds of retries."""
 
     async def day(sim: Simulation) -> None:
         for number in (1, 2, 3):
@@ -64,11 +62,12 @@
             for c in sim.controllers.values()
             for m in c.agents.machines.values()
         )
-        # Two machines a shard find a job out, each with as many tasks as it holds at once.
+        # Failures on two machines of a shard classify a job as faulty, each with as many tasks
+        # as it holds at once.
         assert sim.world.rules.failures <= 3 * (6 * 8 + 3 * 8)
         before = sim.world.rules.failures
         await trio.sleep(60)
-        assert 0 < sim.world.rules.failures - before <= 3 * 3 * 8  # still tried, now and then
+        assert 0 < sim.world.rules.failures - before <= 3 * 3 * 8  # still retried, rarely
         for number in (1, 2, 3):
             await sim.cancel(f"wk-{number:06d}")
         sim.check()
@@ -77,7 +76,7 @@
 
 
 def test_memory_of_failures_ends(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A job that failed on every machine there is runs once its mistake is mended."""
+    """A job that failed on every machine runs once its mistake is corrected."""
 
     async def day(sim: Simulation) -> None:
         sim.world.capacity = len(sim.world.agents)  # the cloud has no other machine
