--- a/tests/agents/test_machine_records.py
+++ b/tests/agents/test_machine_records.py
@@ -17,9 +17,14 @@
 from pitchtally.http import Response
 from pitchtally.membership.shards import ShardLeader, ShardLease
 from pitchtally.protocol import cloud_api
+from pitchtally.state_store.rate_limits import Priority
 
 from ..harness.http_stub import Call, answer_calls
 from ..harness.simulation import settings
+from ..harness.single_controller import (
+    heartbeat_request,
+    leader_of_shard,
+)
 
 SHARD, TOKEN = 0, 50
 TYPE = cloud_api.MachineType("big", cpus=8.0, memory=32.0, zones=["a"])
@@ -142,3 +147,25 @@
         assert leader.first.recorded
 
     _play(monkeypatch, body)
+
+
+def test_record_of_a_shard_takes_few_writes() -> None:
+    """310 machines are recorded before their first task: in chunks, before progress writes."""
+
+    async def main() -> None:
+        leader, written = leader_of_shard(0, 50), []
+
+        async def commit(conditions: Any, changes: Any, *, priority: int) -> bool:
+            assert priority < Priority.SUBMISSIONS
+            assert all(len(c.value) <= 8192 for c in changes)
+            written.extend(changes)
+            return True
+
+        leader.commits.commit = commit  # type: ignore[method-assign]
+        for number in range(0, 930, 3):
+            await leader.agents.serve(heartbeat_request(number, 1, 50, []))
+        await leader.agents.records.write(leader.agents.shards[0])
+        assert len(written) <= 8
+        assert all(m.recorded for m in leader.agents.machines.values())
+
+    trio.run(main, clock=trio.testing.MockClock())
--- /dev/null
+++ b/tests/cluster/test_autoscaling.py
@@ -0,0 +1,41 @@
+"""Only the present cluster leader launches and terminates machines."""
+
+from __future__ import annotations
+
+import pytest
+import trio
+import trio.testing
+
+from pitchtally.http import Request, Response
+from standins.network import HERE
+
+from ..harness.simulation import TIMES, Simulation, job, run
+
+
+def test_partitioned_cluster_leader_stops_calling_the_cloud(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The cloud API accepts no fencing token, so a deposed leader must stop by itself."""
+
+    async def day(sim: Simulation) -> None:
+        requests: list[tuple[float, str]] = []
+        handle = sim.world.handle
+
+        async def recorded(request: Request) -> Response:
+            if request.method == "POST":
+                requests.append((trio.current_time(), HERE.get()))
+            return await handle(request)
+
+        sim.network.hosts[("10.2.0.2", 8443)] = ("cloud", recorded)
+        await sim.submit(job(1, rows=60, vcpus=4.0, realS=20.0, ripenS=20.0))
+        await trio.sleep(1)
+        for other in ("state", "n1", "n2", *sim.world.agents):
+            sim.network.partition("n0", other)
+        at = trio.current_time()
+        await trio.sleep(60)
+        late = [who for when, who in requests if when > at + TIMES.lease_s / 4 + 1]
+        assert "n0" not in late
+        assert late  # its successor acts
+        sim.check()
+
+    run(monkeypatch, day)
--- a/tests/cluster/test_partitions.py
+++ b/tests/cluster/test_partitions.py
@@ -1,4 +1,4 @@
-"""What growth brought: deaf machines, late copies, a controller alone, floods."""
+"""Controllers that are partitioned from the state store, their peers or their agents."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from pitchtally.state_store.client import StateStoreClient
 from pitchtally.state_store.replica import Replica
 
-from ..harness.simulation import Simulation, job, run, settings
+from ..harness.simulation import TIMES, Simulation, job, run, settings
 
 
 def _leader(sim: Simulation, machine: str) -> Any:
@@ -286,3 +286,32 @@
         sim.check()
 
     run(monkeypatch, day)
+
+
+def test_partitioned_leader_drops_no_placement_that_its_successor_may_renew(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The successor may be renewing leases of machines that this controller can't hear."""
+
+    async def day(sim: Simulation) -> None:
+        await sim.submit(job(1, rows=8, vcpus=2.0, realS=200.0, ripenS=200.0))
+        await trio.sleep(4)
+        old = sim.controllers["n1"].agents
+        machines = [m for m in old.machines.values() if m.placements]
+        assert machines
+        for other in ("state", "n0", "n2", *(m.name for m in machines)):
+            sim.network.partition("n1", other)
+        placed = {m.name: len(m.placements) for m in machines}
+        await trio.sleep(TIMES.lease_s * 2)
+        new = next(
+            sim.controllers[n].agents
+            for n in ("n0", "n2")
+            if shard_of(machines[0].name, 3) in sim.controllers[n].agents.shards
+        )
+        assert any(new.machines[name].placements for name in placed)
+        for name, count in placed.items():
+            if name in old.machines:
+                assert len(old.machines[name].placements) == count
+        sim.check()
+
+    run(monkeypatch, day)
--- /dev/null
+++ b/tests/harness/single_controller.py
@@ -0,0 +1,77 @@
+"""One controller that leads a shard, without its loops, and requests that agents send to it."""
+
+from __future__ import annotations
+
+import json
+import sys
+from typing import Any
+
+import pytest
+import trio
+import trio.testing
+
+from pitchtally.api.validation import parse_job
+from pitchtally.config import policy
+from pitchtally.controller import Controller
+from pitchtally.http import Request
+from pitchtally.membership.shards import ShardLeader, ShardLease
+from pitchtally.protocol import cloud_api, user_api
+
+from .simulation import job, settings
+
+MACHINE_TYPE = cloud_api.MachineType("big", cpus=64.0, memory=256.0, zones=["a", "b"])
+
+
+def leader_of_shard(shard: int, token: int) -> Controller:
+    """Return a controller that leads a shard, with none of its loops running."""
+    config = settings("n0")
+    controller = Controller(config, policy.parse("", config))
+    controller.autoscaler.catalog.known = {"big": MACHINE_TYPE}
+    controller.replica.revision = token
+    controller.replica.verified_at = trio.current_time()
+    leader = ShardLeader("n0", controller.membership.incarnation)
+    controller.membership.leadership.leaders[shard] = ShardLease(leader, token)
+    controller.membership.leadership.announce(shard)
+    controller.agents.failover.load(controller.agents.shards[shard])
+    return controller
+
+
+def heartbeat_request(
+    number: int, seq: int, token: int, tasks: list[dict[str, Any]], type: str = "big"
+) -> Request:
+    """Return an agent's heartbeat, as its machine sends it."""
+    body = {
+        "vat": f"i-{number:06d}",
+        "address": "10.1.0.1:9000",
+        "press": type,
+        "parcel": "a",
+        "gleaning": False,
+        "shift": 1,
+        "tally": seq,
+        "seal": token,
+        "recallS": None,
+        "rows": tasks,
+    }
+    return Request("POST", "/v1/report", {}, json.dumps(body).encode())
+
+
+def count_calls(body: Any) -> int:
+    """Count the Python functions that a coroutine enters which runs to its end without waiting."""
+    count = 0
+
+    def entered(frame: Any, event: str, arg: Any) -> None:
+        nonlocal count
+        count += event == "call"
+
+    sys.setprofile(entered)
+    try:
+        with pytest.raises(StopIteration):
+            body.send(None)
+    finally:
+        sys.setprofile(None)
+    return count
+
+
+def job_spec(number: int, cpus: float) -> user_api.JobSpec:
+    """Return the specification of an array of 50 tasks."""
+    return parse_job(json.dumps(job(number, rows=50, vcpus=cpus)).encode())
