--- /dev/null
+++ b/tests/cluster/test_duplicated_heartbeats.py
@@ -0,0 +1,117 @@
+"""Late duplicates of agent heartbeats change nothing."""
+
+from __future__ import annotations
+
+import json
+from typing import Any
+
+import pytest
+import trio
+import trio.testing
+
+from pitchtally.http import Request
+
+from ..harness.simulation import Simulation, job, run
+
+
+def _state_of_machine(sim: Simulation, name: str) -> list[tuple[Any, ...]]:
+    """Return all that a duplicate could change, at every controller."""
+    states: list[tuple[Any, ...]] = []
+    for node, controller in sorted(sim.controllers.items()):
+        machine = controller.agents.machines.get(name)
+        if machine is None:
+            states.append((node, None))
+            continue
+        states.append(
+            (
+                node,
+                machine.epoch,
+                machine.seq,
+                machine.last_heartbeat_at,
+                machine.lease_renewed_at,
+                machine.lost,
+                machine.confirmed,
+                sorted(machine.placements),
+                machine.ineffective_responses,
+                name in controller.agents.terminated,
+            )
+        )
+    return states
+
+
+@pytest.mark.parametrize(
+    "between", ["nothing", "failover", "restart", "agent_restart", "termination"]
+)
+def test_late_duplicate_of_a_heartbeat_changes_nothing(
+    between: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """A duplicate is no sign of life, at the same leader and at a new one."""
+
+    async def day(sim: Simulation) -> None:
+        await sim.submit(job(1, rows=30, vcpus=1.0, realS=200.0, ripenS=200.0))
+        await trio.sleep(6)
+        agent = sim.world.agents["i-000001"]
+        body = json.dumps(agent.heartbeat()).encode()
+        await trio.sleep(2)
+        if between == "failover":
+            sim.kill("n1")
+            await trio.sleep(6)
+        elif between == "restart":
+            sim.kill("n1")
+            await trio.sleep(0.2)
+            sim.start("n1")
+            await trio.sleep(4)
+        elif between == "agent_restart":
+            agent.restart()
+            await trio.sleep(3)
+        elif between == "termination":
+            sim.network.partition("*", agent.name)
+            sim.network.partition(agent.name, "*")
+            await trio.sleep(30)
+            assert agent.name in sim.world.terminated
+            # Also at a leader that did not terminate the machine itself.
+            sim.kill("n1")
+            await trio.sleep(0.2)
+            sim.start("n1")
+            await trio.sleep(4)
+        # Nothing but the duplicate arrives from the machine.
+        sim.network.partition(agent.name, "*")
+        await trio.sleep(4.5)
+        alive = [c for n, c in sim.controllers.items() if n not in sim.network.crashed]
+        before = _state_of_machine(sim, agent.name)
+        for controller in alive:
+            response = (await controller.agents.serve(Request("POST", "/v1/report", {}, body))).body
+            assert b"start" not in response
+        assert _state_of_machine(sim, agent.name) == before
+
+    run(monkeypatch, day)
+
+
+def test_duplicate_does_not_bring_a_lost_machine_back(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Before a machine's first heartbeat to a new leader, a duplicate proves nothing."""
+
+    async def day(sim: Simulation) -> None:
+        await sim.submit(job(1, rows=30, vcpus=1.0, realS=8.0))
+        await trio.sleep(6)
+        agent = sim.world.agents["i-000001"]
+        body = json.dumps(agent.heartbeat()).encode()
+        sim.world.agents.pop(agent.name).terminate()
+        sim.kill("n1")
+        checks = 0
+        for _ in range(30):
+            await trio.sleep(1)
+            for name, controller in sim.controllers.items():
+                if name in sim.network.crashed:
+                    continue
+                await controller.agents.serve(Request("POST", "/v1/report", {}, body))
+                machine = controller.agents.machines.get(agent.name)
+                if machine is not None:
+                    checks += 1
+                    assert machine.lost
+                    assert not machine.placements
+        assert checks  # it was in the record of a shard that was acquired
+        sim.start("n1")
+        # The shard was reconciled without it, since the cloud does not list it any more.
+        await sim.finish(["wk-000001"], limit=40)
+
+    run(monkeypatch, day)
