--- a/tests/cluster/test_gang_scheduling.py
+++ b/tests/cluster/test_gang_scheduling.py
@@ -34,7 +34,7 @@
                 **more: Any,
             ) -> bool:
                 done: bool = await write(*args, **more)
-                for shard in list(scheduler.shards.work):
+                for shard in list(scheduler.shards.states):
                     agents.shard_lost(shard)
                 return done
 
