--- /dev/null
+++ b/tests/api/test_admission_queue.py
@@ -0,0 +1,49 @@
+"""Refused submissions keep the order of their first attempts."""
+
+from __future__ import annotations
+
+import trio
+import trio.testing
+
+from pitchtally.api.admission_queue import GRACE_S, MAX_RETRY_S, AdmissionQueue
+
+
+def test_admission_queue_keeps_the_order_of_first_attempts() -> None:
+    """A retry keeps its place; a caller that doesn't retry in time loses it."""
+
+    async def main() -> None:
+        queue = AdmissionQueue()
+        assert queue.ahead_of("a") == 0
+        assert queue.refuse("a", 0.2) == 1
+        await trio.sleep(0.5)
+        assert queue.refuse("b", 2.1) == 3
+        assert queue.refuse("c", 90.0) == MAX_RETRY_S
+        await trio.sleep(1.0)
+        assert queue.refuse("a", 1.5) == 2
+        assert [queue.ahead_of(id) for id in "abcd"] == [0, 1, 2, 3]
+        queue.leave("b")
+        assert [queue.ahead_of(id) for id in "acd"] == [0, 1, 2]
+        await trio.sleep(2.0)
+        queue.refuse("c", 90.0)
+        await trio.sleep(GRACE_S + 0.1)
+        assert [queue.ahead_of(id) for id in "cd"] == [0, 1]  # no retry of a
+        queue.refuse("a", 1.0)  # it keeps its place: it may have retried at another controller
+        assert [queue.ahead_of(id) for id in "acd"] == [0, 1, 2]
+        await trio.sleep(MAX_RETRY_S + GRACE_S)
+        assert queue.ahead_of("d") == 0
+        assert not queue.occupied
+
+    trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
+
+
+def test_admission_queue_drops_a_submission_accepted_elsewhere() -> None:
+    async def main() -> None:
+        accepted_elsewhere: set[str] = set()
+        queue = AdmissionQueue(accepted_elsewhere.__contains__)
+        queue.refuse("a", 3.0)
+        queue.refuse("b", 3.0)
+        accepted_elsewhere.add("a")
+        await trio.sleep(GRACE_S / 2)
+        assert [queue.ahead_of(id) for id in "bc"] == [0, 1]
+
+    trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
--- a/tests/cluster/test_failover.py
+++ b/tests/cluster/test_failover.py
@@ -4,6 +4,7 @@
 
 import pytest
 import trio
+import trio.testing
 
 from pitchtally.config.settings import Team
 from pitchtally.membership.shards import shard_of
@@ -191,3 +192,41 @@
         sim.check()
 
     run(monkeypatch, day, seed, teams=FULL_TEAMS)
+
+
+@pytest.mark.parametrize("cluster_leader", ["n0", "n1"])
+def test_failover_terminates_no_working_machine(
+    cluster_leader: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """A leader that has just acquired a shard must not count its machines as lost."""
+
+    async def day(sim: Simulation) -> None:
+        await sim.submit(job(1, rows=300, vcpus=1.0))
+        for _ in range(2):
+            await trio.sleep(8)
+            sim.kill(cluster_leader)
+            await trio.sleep(5)
+            sim.start(cluster_leader)
+        await trio.sleep(15)
+        assert [n for n in sim.world.terminated if n <= "i-000004"] == []
+        sim.check()
+
+    run(monkeypatch, day)
+
+
+def test_machine_lost_during_failover_does_not_block_its_shard(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A terminated machine that is still recorded must not delay the shard's reconciliation."""
+
+    async def day(sim: Simulation) -> None:
+        await sim.submit(job(1, rows=40, vcpus=1.0, realS=3.0))
+        await trio.sleep(5)
+        for name in list(sim.world.agents)[:2]:
+            sim.world.agents[name].terminate()
+        sim.kill("n0")
+        await trio.sleep(5)
+        sim.start("n0")
+        await sim.finish(["wk-000001"], limit=90)
+
+    run(monkeypatch, day)
--- a/tests/cluster/test_gang_scheduling.py
+++ b/tests/cluster/test_gang_scheduling.py
@@ -8,6 +8,7 @@
 import trio
 import trio.testing
 
+from ..harness.cluster_faults import restart
 from ..harness.simulation import Simulation, job, run
 
 
@@ -52,3 +53,77 @@
         assert not faults
 
     run(monkeypatch, day)
+
+
+def test_gang_is_not_starved_by_arrays_of_its_team(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Arrays of the team must not take every CPU of its limit that becomes available."""
+
+    async def day(sim: Simulation) -> None:
+        await sim.submit(job(1, rows=150, crew="tight", vcpus=1.0))
+        await trio.sleep(5)
+        at = trio.current_time()
+        await sim.submit(job(2, rows=1, cut="gang", crew="tight", vcpus=5.0))
+        await trio.sleep(30)
+        assert sim.world.rules.first_start["wk-000002"] - at < 20
+        sim.check()
+
+    run(monkeypatch, day)
+
+
+def test_gang_is_not_starved_by_arrays_on_full_machines(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Arrays of equal rank must not take all capacity that becomes available on large machines."""
+
+    async def day(sim: Simulation) -> None:
+        sim.world.capacity = 4
+        await sim.submit(job(1, rows=400, vcpus=1.0))
+        await trio.sleep(8)
+        at = trio.current_time()
+        await sim.submit(job(2, rows=1, cut="gang", vcpus=8.0))
+        await trio.sleep(40)
+        assert sim.world.rules.first_start["wk-000002"] - at < 30
+        sim.check()
+
+    run(monkeypatch, day)
+
+
+def test_gang_does_not_return_to_a_machine_where_it_failed(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Also when it is migrated to another shard and back meanwhile."""
+
+    async def day(sim: Simulation) -> None:
+        failing = next(iter(sim.world.agents.values()))
+        failing.fails_tasks = True
+        for number in range(1, 5):
+            await sim.submit(job(number, rows=1, cut="gang", vcpus=8.0))
+        await sim.finish([f"wk-{n:06d}" for n in range(1, 5)], limit=60)
+
+    run(monkeypatch, day)
+
+
+def test_late_gang_does_not_make_other_gangs_late(monkeypatch: pytest.MonkeyPatch) -> None:
+    """In order of acceptance, one backlog of gangs would make every later gang late."""
+    start_within = 60.0
+
+    async def day(sim: Simulation) -> None:
+        sim.policy_text = f"start_within = {start_within}"
+        await restart(sim, after=0.5)
+        sim.world.capacity = 4
+        accepted: dict[str, float] = {}
+
+        async def gang(number: int) -> None:
+            # Occupies all four machines for longer than the launch of another one takes.
+            spec = job(number, rows=4, cut="gang", vcpus=8.0, realS=11.0, ripenS=11.0)
+            await sim.submit(spec)
+            accepted[spec["ref"]] = trio.current_time()
+
+        for number in range(1, 9):
+            await gang(number)
+        for number in range(9, 21):
+            await trio.sleep(16)
+            await gang(number)
+        await sim.finish(list(accepted), limit=300)
+        waits = {id: sim.world.rules.first_start[id] - at for id, at in accepted.items()}
+        in_time = [id for id, wait in waits.items() if wait < start_within]
+        assert len(in_time) > len(accepted) * 0.6
+        assert max(waits.values()) < start_within * 4  # late gangs regain priority in the end
+
+    run(monkeypatch, day)
--- a/tests/cluster/test_partitions.py
+++ b/tests/cluster/test_partitions.py
@@ -63,3 +63,30 @@
         sim.check()
 
     run(monkeypatch, day)
+
+
+def test_controller_without_the_state_store_forwards_requests_to_a_peer(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Only in an outage for all controllers may users get 503."""
+
+    async def day(sim: Simulation) -> None:
+        sim.network.partition("n0", "state")
+        await trio.sleep(6)
+        body = {k: v for k, v in job(1).items() if k != "realS"}
+        sim.world.rules.specs["wk-000001"] = job(1)
+        assert (await sim.call(0, "POST", "/api/jobs", body)).status == 201
+        assert (await sim.call(0, "GET", "/api/jobs/wk-000001")).status == 200
+        assert (await sim.call(0, "GET", "/api/jobs/wk-000009")).status == 404
+        assert (await sim.call(0, "GET", "/ready")).status == 503
+        sim.network.heal()
+        sim.state_store.stop()
+        await trio.sleep(8)
+        # In an outage for all, no controller is better: stay ready, and send Retry-After.
+        assert (await sim.call(0, "GET", "/ready")).status == 200
+        answer = await sim.call(0, "POST", "/api/jobs", {**body, "ref": "wk-000002"})
+        assert answer.status == 503
+        assert dict(answer.headers)["Retry-After"] == "1"
+        sim.check()
+
+    run(monkeypatch, day)
--- /dev/null
+++ b/tests/cluster/test_submission.py
@@ -0,0 +1,149 @@
+"""Submissions are accepted once, in few transactions, and nobody has to give up."""
+
+from __future__ import annotations
+
+import json
+import random
+from typing import Any
+
+import pytest
+import trio
+import trio.testing
+
+from pitchtally.config.settings import StateLimits
+from pitchtally.http import HttpError, Request, Response
+
+from ..harness.cluster_faults import restart
+from ..harness.simulation import Simulation, job, run, submission
+
+
+def test_repeated_submission_of_a_known_id_is_answered_whatever_its_body(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    async def day(sim: Simulation) -> None:
+        await sim.submit(job(1, rows=1))
+        for node in range(3):
+            answer = await sim.call(node, "POST", "/api/jobs", {"ref": "wk-000001", "rows": -1})
+            assert answer.status == 200
+            answer = await sim.call(node, "POST", "/api/jobs", {"ref": "wk-000002", "rows": -1})
+            assert answer.status == 400
+            assert "field" in json.loads(answer.body)
+        await sim.finish(["wk-000001"])
+
+    run(monkeypatch, day)
+
+
+def test_queued_submissions_share_a_transaction(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Each is accepted once; a repeated one among them doesn't fail the others."""
+
+    async def day(sim: Simulation) -> None:
+        commits = 0
+        handle = sim.state_store.handle
+
+        async def delayed_handle(request: Request) -> Response:
+            nonlocal commits
+            if request.path == "/commit" and b"pt/jobs/" in request.body:
+                commits += 1
+                await trio.sleep(0.1)
+            return await handle(request)
+
+        sim.network.hosts[("10.2.0.1", 2379)] = ("state", delayed_handle)
+        statuses: list[int] = []
+
+        async def submit_one(number: int) -> None:
+            spec = job(number, rows=1)
+            sim.world.rules.specs[spec["ref"]] = spec
+            body = {k: v for k, v in spec.items() if k != "realS"}
+            statuses.append((await sim.call(0, "POST", "/api/jobs", body)).status)
+
+        async with trio.open_nursery() as nursery:
+            for number in (*range(1, 21), 7):
+                nursery.start_soon(submit_one, number)
+        assert sorted(statuses) == [200] + [201] * 20
+        assert commits < 15
+        sim.network.hosts[("10.2.0.1", 2379)] = ("state", handle)
+        await sim.finish([f"wk-{n:06d}" for n in range(1, 21)])
+
+    run(monkeypatch, day)
+
+
+def first_written_ranges(sim: Simulation, id: str) -> list[Any]:
+    """Return the ranges in a job's record as it was first written."""
+    values = [value for _, key, value in sim.state_store.log if key == f"pt/jobs/{id}"]
+    ranges: list[Any] = values[0].get("ranges", [])
+    return ranges
+
+
+@pytest.mark.parametrize("cluster_leader", ["heard", "silent"])
+def test_cluster_leader_assigns_a_small_job_before_its_record_is_written(
+    cluster_leader: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """A second write for each small job would exhaust the write rate under load."""
+
+    async def day(sim: Simulation) -> None:
+        sim.world.capacity = 4
+        await sim.submit(job(1, rows=400, vcpus=1.0, realS=3.0, ripenS=3.0))
+        await trio.sleep(8)
+        if cluster_leader == "silent":
+            sim.network.partition("n1", "n0")
+        sim.world.rules.specs.update({f"wk-{n:06d}": job(n, rows=1) for n in range(10, 30)})
+        for number in range(10, 30):
+            at = trio.current_time()
+            id = f"wk-{number:06d}"
+            spec = sim.world.rules.specs[id]
+            assert (await sim.ask(1, "POST", "/api/jobs", submission(spec), about=id))[0] == 201
+            assert trio.current_time() - at < 1.0
+        assigned = [bool(first_written_ranges(sim, f"wk-{n:06d}")) for n in range(10, 30)]
+        assert all(assigned) == (cluster_leader == "heard")
+        sim.network.heal()
+        await sim.finish([f"wk-{n:06d}" for n in range(10, 30)])
+
+    run(monkeypatch, day)
+
+
+RETRIES_FOR_S = 60.0  # seconds; the protocol's bound on a user's retries
+
+
+async def submit_with_retries(sim: Simulation, spec: dict[str, Any], rng: random.Random) -> bool:
+    """Retry as the protocol says, at any controller, for as long as users do."""
+    sim.world.rules.specs[spec["ref"]] = spec
+    started_at = trio.current_time()
+    while trio.current_time() - started_at < RETRIES_FOR_S:
+        retry_after = 1.0
+        try:
+            answer = await sim.call(rng.randrange(3), "POST", "/api/jobs", submission(spec))
+            if answer.status in (200, 201):
+                return True
+            retry_after = max(retry_after, float(dict(answer.headers).get("Retry-After", "1")))
+        except HttpError:
+            pass
+        await trio.sleep(retry_after + rng.random() * 0.3)
+    return False
+
+
+def test_no_user_gives_up_after_an_outage_under_load(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Submissions are admitted in the order of first attempts, not by the luckiest retry."""
+
+    async def day(sim: Simulation) -> None:
+        sim.state_limits = StateLimits(rps=80, write_rps=15, value_kb=8, txn_ops=8)
+        await restart(sim, after=0.5)
+        sim.world.capacity = 12
+        rng = random.Random(3)
+        accepted: dict[str, bool] = {}
+
+        async def submit_one(number: int) -> None:
+            spec = job(number, rows=1, vcpus=0.25, realS=20.0, ripenS=20.0)
+            accepted[spec["ref"]] = await submit_with_retries(sim, spec, rng)
+
+        async with trio.open_nursery() as nursery:
+            for number in range(1, 5 * 100 + 1):
+                nursery.start_soon(submit_one, number)
+                await trio.sleep(0.2)
+                if number == 5 * 20:
+                    sim.state_store.stop()
+                elif number == 5 * 65:
+                    sim.state_store.resume()
+        assert [id for id, was_accepted in accepted.items() if not was_accepted] == []
+        sim.check()
+
+    run(monkeypatch, day)
