--- a/tests/cluster/test_cancellation.py
+++ b/tests/cluster/test_cancellation.py
@@ -6,7 +6,11 @@
 import trio
 import trio.testing
 
-from ..harness.simulation import TIMES, Simulation, job, run
+from pitchtally.config.settings import Team
+
+from ..harness.cluster_faults import cluster_leader, isolate, isolate_zone_with, restart, revive
+from ..harness.simulation import SESSION_TTL_S, TIMES, Simulation, job, run
+from ..harness.workload import LONG_RUNNING
 
 
 @pytest.mark.parametrize("gap", [0.0, 0.5, 2.0])
@@ -33,3 +37,146 @@
         sim.check()  # the team's limit too: six tasks at once
 
     run(monkeypatch, day)
+
+
+def test_no_task_of_a_cancelled_job_starts_once_the_session_lease_has_expired(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """An isolated leader can't learn of the cancellation, so it must stop starting tasks."""
+
+    async def day(sim: Simulation) -> None:
+        await sim.submit(job(1, rows=600, vcpus=1.0, realS=1.0, ripenS=1.0))
+        await trio.sleep(4)
+        isolate_zone_with(sim, "n0", "a")
+        await trio.sleep(0.2)
+        await sim.cancel("wk-000001", 1)
+        await trio.sleep(TIMES.cancel_s + 2)
+        starts = sim.world.rules.starts_after_cancel
+        assert max(starts, default=0.0) < SESSION_TTL_S + TIMES.report_s
+        sim.network.heal()
+        await trio.sleep(TIMES.lease_s)
+        sim.check()
+
+    run(monkeypatch, day)
+
+
+LEADER_CHANGES = ["crash", "restart", "partition_from_agents", "restart_twice"]
+
+
+@pytest.mark.parametrize("change", LEADER_CHANGES)
+def test_job_cancelled_at_any_moment_of_a_leader_change_is_stopped(
+    change: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """One cancellation per quarter of a second while a controller's shard changes its leader."""
+
+    async def change_leader(sim: Simulation) -> None:
+        if change == "partition_from_agents":
+            for name in list(sim.world.agents):
+                sim.network.partition("n1", name)
+            await trio.sleep(TIMES.lease_s * 0.7)
+            sim.network.partitions.clear()
+            return
+        for _ in range(2 if change == "restart_twice" else 1):
+            sim.kill("n1")
+            await trio.sleep(SESSION_TTL_S * 1.6 if change == "crash" else 0.3)
+            revive(sim, "n1")
+            await trio.sleep(1.5)
+
+    async def day(sim: Simulation) -> None:
+        sim.world.capacity = 8
+        ids = []
+        for number in range(1, 31):
+            spec = job(number, rows=2, vcpus=0.5, **LONG_RUNNING)
+            ids.append(spec["ref"])
+            sim.nursery.start_soon(sim.submit, spec)
+        await trio.sleep(6)
+        sim.probes_changes = True
+        sim.nursery.start_soon(change_leader, sim)
+        for turn, id in enumerate(ids):
+            sim.nursery.start_soon(sim.cancel, id, turn)
+            await trio.sleep(0.25)
+        await trio.sleep(TIMES.cancel_s + 2)
+        assert set(sim.final_stages.values()) == {"withdrawn"}
+        assert len(sim.final_stages) == len(ids)
+        assert not sim.world.rules.placements
+        sim.check()
+
+    run(monkeypatch, day)
+
+
+FULL_TEAMS = [Team("free", cpus=8.0, cpus_max=16.0), Team("tight", cpus=4.0, cpus_max=6.0)]
+
+
+@pytest.mark.parametrize("seed", [1, 2])
+@pytest.mark.parametrize("fault", ["cut", "hang"])
+def test_team_limits_hold_as_jobs_are_cancelled_and_the_leader_changes(
+    fault: str, seed: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The quota of cancelled jobs is available again only once their tasks are known to be gone."""
+
+    async def day(sim: Simulation) -> None:
+        running = [
+            job(1, rows=8, vcpus=1.0, **LONG_RUNNING),
+            job(2, rows=8, vcpus=1.0, **LONG_RUNNING),
+            job(3, rows=6, vcpus=1.0, crew="tight", **LONG_RUNNING),
+        ]
+        for spec in running:
+            await sim.submit(spec)
+        with trio.fail_after(20):
+            while len(sim.world.rules.placements) < 22:
+                await trio.sleep(0.2)
+        waiting = [
+            job(4, rows=20, vcpus=1.0),
+            job(5, rows=12, vcpus=1.0, crew="tight"),
+            job(6, cut="gang", rows=4, vcpus=1.0),
+        ]
+        for spec in waiting:
+            await sim.submit(spec)
+        busy = sorted({machine for machine, _ in sim.world.rules.placements.values()})
+        for name in busy[:2]:
+            if fault == "cut":
+                isolate(sim, name)
+            else:
+                sim.nursery.start_soon(sim.world.agents[name].hang, TIMES.lease_s * 0.8)
+        for spec in running:
+            sim.nursery.start_soon(sim.cancel, spec["ref"], 1)
+        await trio.sleep(0.4)
+        await restart(sim, cluster_leader(sim), after=1.0)
+        await trio.sleep(TIMES.lease_s * 0.6)
+        await restart(sim, cluster_leader(sim), after=3.0)
+        await trio.sleep(TIMES.lease_s)
+        sim.network.heal()
+        await sim.finish([spec["ref"] for spec in running + waiting])
+        assert {sim.final_stages[spec["ref"]] for spec in waiting} == {"done"}
+        await trio.sleep(TIMES.cancel_s + 1)
+        sim.check()
+
+    run(monkeypatch, day, seed, teams=FULL_TEAMS)
+
+
+def test_leader_isolated_for_long_still_learns_of_cancellations(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Peers repeat cancellations without a time limit, to a leader isolated for however long."""
+
+    async def day(sim: Simulation) -> None:
+        await sim.submit(job(1, rows=6, realS=900.0, ripenS=900.0, vcpus=1.0))
+        await trio.sleep(4)
+        for other in ("n1", "n2"):
+            sim.network.partition("n0", other)
+        sim.state_store.refused_callers.add("n0")
+        await sim.cancel("wk-000001")
+        await trio.sleep(1.0)
+        sim.state_store.stop()
+        await trio.sleep(sim.times.cancel_s * 2 + 10)
+        sim.network.partitions.clear()  # the peers are reachable again, the state store still down
+        await trio.sleep(sim.times.lease_s * 2)
+        job_ = sim.controllers["n0"].job_index.jobs["wk-000001"]
+        assert not job_.open
+        assert not sim.world.rules.placements
+        sim.state_store.refused_callers.clear()
+        sim.state_store.resume()
+        await trio.sleep(5)
+        sim.check()
+
+    run(monkeypatch, day)
--- /dev/null
+++ b/tests/cluster/test_cancellation_in_outages.py
@@ -0,0 +1,187 @@
+"""Cancellations that the cluster leader can't read: refused by the store, then an outage.
+
+The state store refuses the leader, a peer accepts cancellations, then the store is down for all.
+Meanwhile the agents go on sending heartbeats to the old leader, which must stop renewing in time.
+The times are those of the two deployments.
+"""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+import pytest
+import trio
+import trio.testing
+
+from ..harness.simulation import DEPLOYMENT_TIMES, Simulation, job, run
+
+
+class Outage(NamedTuple):
+    """One course of the outage: which controllers hear each other, and which of them crash."""
+
+    canceller: int  # the controller that accepts the cancellations
+    link: str = "open"  # from the canceller to the old leader: open, refused, held
+    crash: str = ""  # the canceller restarts "before" the outage, "in" it; "gone": it stays down
+    third: bool = True  # whether the third controller hears the canceller
+    job: str = "running"  # or "new": accepted and started while the leader is refused
+    repeat: bool = False  # the first response is lost; the other peer answers the repetition
+
+    @property
+    def leader_hears_all_peers(self) -> bool:
+        """Whether the old leader hears all its peers throughout."""
+        return self.link == "open" and not self.crash
+
+
+OUTAGES = [
+    Outage(1),
+    Outage(2),
+    Outage(1, "refused"),
+    Outage(2, "refused"),
+    Outage(1, "held"),
+    Outage(2, "held"),
+    Outage(1, crash="before"),
+    Outage(2, crash="before"),
+    Outage(1, crash="in"),
+    Outage(2, crash="in"),
+    Outage(1, crash="gone"),
+    Outage(1, "refused", "before"),
+    Outage(1, "refused", "in"),
+    Outage(1, "held", "in"),
+    Outage(2, "held", "before"),
+    Outage(2, "refused", "gone"),
+    Outage(1, third=False),
+    Outage(1, "refused", third=False),
+    Outage(1, "refused", "before", False),
+    Outage(1, "held", "in", False),
+    Outage(1, job="new"),
+    Outage(2, "refused", job="new"),
+    Outage(1, "held", job="new"),
+    Outage(1, "refused", "before", job="new"),
+    Outage(1, repeat=True),
+    Outage(1, "refused", repeat=True),
+    Outage(1, "held", "before", repeat=True),
+]
+
+
+JOBS = ("wk-000001", "wk-000002", "wk-000003")
+LONG_RUNNING = {"realS": 900.0, "ripenS": 900.0, "vcpus": 1.0}
+RESTART_AFTER_S = 0.3
+HELD_FOR_S = 20.0
+
+
+class OutageDay:
+    """The steps of one day: which jobs are cancelled, and who is partitioned from whom."""
+
+    def __init__(self, sim: Simulation, outage: Outage) -> None:
+        self.sim = sim
+        self.outage = outage
+        self.canceller, self.other = f"n{outage.canceller}", f"n{3 - outage.canceller}"
+        self.cancelled = [JOBS[0]]
+
+    async def begin(self) -> None:
+        """Start long jobs; then let the store refuse the leader, and break links."""
+        sim, outage = self.sim, self.outage
+        for number in (1, 2, 3):
+            await sim.submit(job(number, rows=6, **LONG_RUNNING))
+        with trio.fail_after(sim.times.lease_s * 2):
+            while len(sim.world.rules.placements) < 18:
+                await trio.sleep(0.1)
+        assert sim.controllers["n0"].membership.cluster_leader_token is not None
+        sim.state_store.refused_callers.add("n0")
+        if outage.job == "new":
+            await sim.submit(job(4, rows=12, **LONG_RUNNING))
+            self.cancelled.append("wk-000004")
+            await trio.sleep(1.0)
+        if outage.link == "refused":
+            sim.network.refused_connections |= {(self.canceller, "n0"), ("n0", self.canceller)}
+        elif outage.link == "held":
+            sim.network.hold_back(self.canceller, "n0")
+        if not outage.third:
+            sim.network.partition(self.canceller, self.other)
+
+    async def cancel_jobs(self) -> None:
+        """Cancel jobs, and wait for the confirmations."""
+        for id in self.cancelled:
+            if self.outage.repeat:
+                await self._cancel_without_response(id)
+                await self._cancel_at(3 - self.outage.canceller, id)
+            else:
+                await self._cancel_at(self.outage.canceller, id)
+
+    async def _cancel_without_response(self, id: str) -> None:
+        """Cancel a job so that neither the user nor a peer hears of the commit."""
+        sim = self.sim
+        sim.network.partition(self.canceller, "n0")
+        sim.network.partition(self.canceller, self.other)
+        sim.invariants.cancel_requested.add(id)
+        await sim.call(self.outage.canceller, "POST", f"/api/jobs/{id}/cancel")
+        sim.network.partitions.clear()
+        await trio.sleep(0.5)
+
+    async def _cancel_at(self, node: int, id: str) -> None:
+        self.sim.invariants.cancel_requested.add(id)
+        answer = await self.sim.ask(node, "POST", f"/api/jobs/{id}/cancel", about=id)
+        assert answer == (200, "withdrawn")
+
+    async def cut_off(self) -> None:
+        """Stop the store for longer than `cancel_s`; the canceller may crash before or in it."""
+        sim, outage = self.sim, self.outage
+        if outage.crash == "before":
+            sim.kill(self.canceller)
+            await trio.sleep(0.2)
+            sim.start(self.canceller)
+            await trio.sleep(0.5)
+        await trio.sleep(0.3)
+        sim.state_store.stop()
+        assert sim.controllers["n0"].membership.cluster_leader_token is not None
+        if outage.crash in ("in", "gone"):
+            await trio.sleep(3.0)
+            sim.kill(self.canceller)
+            if outage.crash == "in":
+                await trio.sleep(RESTART_AFTER_S)
+                sim.start(self.canceller)
+        await trio.sleep(HELD_FOR_S)
+        sim.network.release_held_back()
+        await trio.sleep(sim.times.cancel_s + 2.0 - HELD_FOR_S)
+
+    def check_stopped(self) -> None:
+        """Check that cancelled tasks are gone, and all others run if the leader heard everybody."""
+        left = self._left()
+        assert not left & set(self.cancelled)
+        self.sim.check()
+        if self.outage.leader_hears_all_peers:
+            # No peer is missing: the leader knows all cancellations, so all other tasks go on.
+            assert self.sim.world.rules.tasks_lost_to_lease_expiry == 0
+            assert left >= {"wk-000002", "wk-000003"}
+
+    def _left(self) -> set[str]:
+        return {task.rpartition("/")[0] for task in self.sim.world.rules.placements}
+
+    async def recover(self) -> None:
+        """End all faults: every job is known, and no cancelled one runs again."""
+        sim = self.sim
+        sim.state_store.resume()
+        sim.state_store.refused_callers.clear()
+        sim.network.heal()
+        if self.outage.crash == "gone":
+            sim.start(self.canceller)
+        await sim.wait_until_known(list(JOBS), within=30)
+        await trio.sleep(sim.times.lease_s * 2)
+        assert not self._left() & set(self.cancelled)
+        sim.check()
+
+
+@pytest.mark.parametrize("deployment", DEPLOYMENT_TIMES)
+@pytest.mark.parametrize("outage", OUTAGES, ids=lambda g: "-".join(str(v) for v in g))
+def test_cancelled_tasks_are_stopped_in_time(
+    outage: Outage, deployment: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async def day(sim: Simulation) -> None:
+        steps = OutageDay(sim, outage)
+        await steps.begin()
+        await steps.cancel_jobs()
+        await steps.cut_off()
+        steps.check_stopped()
+        await steps.recover()
+
+    run(monkeypatch, day, times=DEPLOYMENT_TIMES[deployment])
--- a/tests/harness/cluster_faults.py
+++ b/tests/harness/cluster_faults.py
@@ -64,3 +64,11 @@
     await trio.sleep(seconds)
     sim.state_store.refused_callers.clear()
     sim.state_store.resume()
+
+
+def isolate_zone_with(sim: Simulation, controller: str, zone: str) -> None:
+    """Partition a controller and a zone's machines from all others, but not from one another."""
+    inside = {controller} | {n for n, w in sim.world.agents.items() if w.zone == zone}
+    for name in inside:
+        for other in {*NODES, "state", "cloud", *sim.world.agents} - inside:
+            sim.network.partition(name, other)
--- a/tests/harness/fault_scenarios.py
+++ b/tests/harness/fault_scenarios.py
@@ -14,6 +14,7 @@
 from .cluster_faults import (
     cluster_leader,
     isolate,
+    isolate_zone_with,
     refuse_then_outage,
     restart,
     revive,
@@ -141,11 +142,7 @@
 
 
 async def zone_partitioned_beyond_lease(sim: Simulation) -> None:
-    inside = {"n0"} | {n for n, w in sim.world.agents.items() if w.zone == "a"}
-    others = {*NODES, "state", "cloud", *sim.world.agents} - inside
-    for a in inside:
-        for b in others:
-            sim.network.partition(a, b)
+    isolate_zone_with(sim, "n0", "a")
     await trio.sleep(2)
     for id in CANCELLED:
         sim.nursery.start_soon(sim.cancel, id, 1)
--- a/tests/harness/simulation.py
+++ b/tests/harness/simulation.py
@@ -36,6 +36,15 @@
 
 NODES = ["n0", "n1", "n2"]
 TIMES = AgentTimes(report_s=1.0, lease_s=10.0, gang_wait_s=12.0, gang_peer_s=3.0, cancel_s=25.0)
+DEPLOYMENT_TIMES = {  # the two real deployments
+    "brda": AgentTimes(
+        report_s=2.5, lease_s=15.25, gang_wait_s=40.0, gang_peer_s=6.0, cancel_s=40.25
+    ),
+    "wongsakul": AgentTimes(
+        report_s=3.0, lease_s=20.0, gang_wait_s=40.0, gang_peer_s=6.0, cancel_s=40.0
+    ),
+}
+SESSION_TTL_S = TIMES.lease_s / 4  # of a controller's session lease in the state store
 PROBES = 3  # at each node, after each change that a user sees
 PROBE_PAUSE_S = 0.004
 ATTEMPTS = 120  # of a user, one a second
--- a/tests/harness/workload.py
+++ b/tests/harness/workload.py
@@ -9,7 +9,7 @@
 
 from .simulation import Simulation, job, submission
 
-LONG = {"realS": 900.0, "ripenS": 900.0}
+LONG_RUNNING = {"realS": 900.0, "ripenS": 900.0}
 CANCELLED = ("wk-000007", "wk-000010")
 # The limited team fills its limit with work that lasts; cancelled, there is capacity for more.
 JOBS: list[dict[str, Any]] = [
@@ -19,10 +19,10 @@
     job(4, cut="gang", rows=2, oneZone=True, rank="urgent"),
     job(5, rows=5, spread=True, realS=8.0),
     job(6, rows=30, vcpus=1.0, rank="idle", realS=6.0, gleaning=False),
-    job(7, rows=6, vcpus=1.0, **LONG),
+    job(7, rows=6, vcpus=1.0, **LONG_RUNNING),
     job(8, rows=6, vcpus=1.0, oneZone=True, realS=9.0, ripenS=9.0),
     job(9, rows=3, vcpus=1.0, realBy=[2.0, 18.0, 45.0], ripenS=20.0),
-    job(10, rows=4, crew="tight", vcpus=1.0, **LONG),
+    job(10, rows=4, crew="tight", vcpus=1.0, **LONG_RUNNING),
     job(11, rows=4, vcpus=1.0, parcel="a", realS=12.0, ripenS=12.0),
     job(12, rows=2, vcpus=1.0, realBy=[1.0, 50.0], ripenS=25.0, rank="urgent"),
 ]
--- a/tests/membership/test_freshness.py
+++ b/tests/membership/test_freshness.py
@@ -7,12 +7,18 @@
 import trio.testing
 
 from pitchtally.config import policy
-from pitchtally.membership.freshness import PeerReply
+from pitchtally.config.timing import lease_expired_at, max_freshness_bound
+from pitchtally.membership.freshness import (
+    NEVER_READ,
+    PeerReply,
+    cancellations_verified,
+    leadership_verified,
+)
 from pitchtally.membership.membership import Membership
 from pitchtally.state_store.client import StateStoreClient
 from pitchtally.state_store.replica import Replica
 
-from ..harness.simulation import settings
+from ..harness.simulation import DEPLOYMENT_TIMES, settings
 
 CANCELLATIONS_VERIFIED = [
     # replica verified at, peers' (reply asked for at, age of their replica), known up to
@@ -31,9 +37,9 @@
 ) -> None:
     async def main() -> None:
         config = settings("n0")
-        rules = policy.parse("", config)
+        figures = policy.parse("", config)
         state_store = StateStoreClient(config.endpoints.state, config.deployment.state, 3, 1.0)
-        membership = Membership(config, rules, state_store, Replica(state_store, 1.0, 1.0))
+        membership = Membership(config, figures, state_store, Replica(state_store, 1.0, 1.0))
         membership.replica.verified_at = verified_at
         for peer, reply in zip(membership.peers.values(), peers, strict=True):
             if reply is not None:
@@ -41,3 +47,46 @@
         assert membership.cancellations_verified_at() == expected
 
     trio.run(main, clock=trio.testing.MockClock())
+
+
+A = PeerReply
+VERIFIED_UP_TO: list[tuple[float, list[PeerReply | None], float, float]] = [
+    # replica verified at, replies of the peers, cancellations verified up to, leadership up to
+    (90.0, [None, None], 90.0, 90.0),
+    (10.0, [A(99.0, 1.0, 1.0), None], 98.0, 10.0),  # a peer that reads the store reports them
+    (10.0, [A(99.0, 60.0, 2.0), None], 97.0, 10.0),  # or one that hears all of its own peers
+    # all peers replied, in an outage
+    (10.0, [A(99.0, 60.0, 60.0), A(98.0, 50.0, 50.0)], 98.0, 98.0),
+    # one has read nothing
+    (10.0, [A(99.0, NEVER_READ, NEVER_READ), A(98.0, 50.0, 50.0)], 48.0, 10.0),
+    (10.0, [A(99.0, 60.0, 60.0), A(20.0, 1.0, 1.0)], 39.0, 20.0),  # one has been silent since
+    (95.0, [A(99.0, 60.0, 60.0), A(98.0, 50.0, 50.0)], 98.0, 98.0),
+    (99.5, [A(99.0, 60.0, 60.0), A(98.0, 50.0, 50.0)], 99.5, 99.5),
+    (10.0, [], 10.0, 10.0),  # the only controller
+]
+
+
+@pytest.mark.parametrize(("verified_at", "replies", "cancellations", "leadership"), VERIFIED_UP_TO)
+def test_cancellations_and_leadership_are_verified_up_to_the_peers_replies(
+    verified_at: float, replies: list[PeerReply | None], cancellations: float, leadership: float
+) -> None:
+    assert cancellations_verified(verified_at, replies) == cancellations
+    assert leadership_verified(verified_at, replies) == leadership
+
+
+@pytest.mark.parametrize("deployment", DEPLOYMENT_TIMES)
+def test_freshness_bound_and_lease_expiry_are_within_cancel_s(deployment: str) -> None:
+    """A leader without news renews a lease last at the freshness bound; then it must expire."""
+    times = DEPLOYMENT_TIMES[deployment]
+    figures = policy.parse("", settings("n0", times))
+    assert 0 < figures.max_evidence_age < max_freshness_bound(times)
+    assert lease_expired_at(max_freshness_bound(times), times) <= times.cancel_s
+    assert lease_expired_at(max_freshness_bound(times) * 1.01, times) > times.cancel_s
+    at_most = f"max_evidence_age = {max_freshness_bound(times):.6f} - 0.001"
+    assert policy.parse(at_most, settings("n0", times)).max_evidence_age > figures.max_evidence_age
+    with pytest.raises(policy.PolicyError, match=r"p.conf:1: max_evidence_age: .* beyond cancel_s"):
+        policy.parse(
+            f"max_evidence_age = {max_freshness_bound(times) + 0.01}",
+            settings("n0", times),
+            "p.conf",
+        )
