--- a/tests/cluster/test_failures.py
+++ b/tests/cluster/test_invariants_under_faults.py
@@ -1,4 +1,4 @@
-"""Failures that must leave every rule whole, played against the stand-ins."""
+"""One fault at a time, in a day with every kind of job: all invariants hold."""
 
 from __future__ import annotations
 
@@ -8,28 +8,29 @@
 import trio
 import trio.testing
 
+from ..harness.cluster_faults import isolate_zone_with
 from ..harness.simulation import NODES, TIMES, Simulation, job, run
 
 Fault = Callable[[Simulation], Awaitable[None]]
 
 
-async def nothing(sim: Simulation) -> None:
+async def no_fault(sim: Simulation) -> None:
     await trio.sleep(0)
 
 
-async def kill_one(sim: Simulation) -> None:
+async def one_controller_crashes(sim: Simulation) -> None:
     sim.kill("n0")
     await trio.sleep(5)
     sim.start("n0")
 
 
-async def kill_all(sim: Simulation) -> None:
+async def all_controllers_crash(sim: Simulation) -> None:
     sim.kill()
     await trio.sleep(5)
     sim.start()
 
 
-async def roll(sim: Simulation) -> None:
+async def rolling_restart(sim: Simulation) -> None:
     for name in NODES:
         sim.kill(name)
         await trio.sleep(4)
@@ -38,7 +39,7 @@
 
 
 async def quick_restart(sim: Simulation) -> None:
-    """Ended and started within a fraction of a second, also during an election."""
+    """Restart a controller within a fraction of a second, also during an election."""
     for _ in range(4):
         sim.kill("n1")
         await trio.sleep(0.2)
@@ -46,38 +47,38 @@
         await trio.sleep(1.1)
 
 
-async def cut_from_state(sim: Simulation) -> None:
+async def partition_from_state_store(sim: Simulation) -> None:
     sim.network.partition("n0", "state")
     await trio.sleep(20)
 
 
-async def cut_from_agents(sim: Simulation) -> None:
+async def partition_from_agents(sim: Simulation) -> None:
     for name in list(sim.world.agents):
         sim.network.partition("n0", name)
     await trio.sleep(20)
 
 
-async def cut_from_peers(sim: Simulation) -> None:
+async def partition_from_peers(sim: Simulation) -> None:
     sim.network.partition("n0", "n1")
     sim.network.partition("n0", "n2")
     await trio.sleep(20)
 
 
-async def cut_from_all(sim: Simulation) -> None:
+async def partition_from_all(sim: Simulation) -> None:
     sim.network.partition("n0", "*")
     sim.network.partition("*", "n0")
     await trio.sleep(20)
 
 
-async def lost_answers(sim: Simulation) -> None:
+async def lost_replies(sim: Simulation) -> None:
     for name in NODES:
         for other in ("state", *NODES):
             sim.network.reply_loss[(name, other)] = 0.2
     await trio.sleep(20)
 
 
-async def late_copies(sim: Simulation) -> None:
-    """Commands, reports, transactions and hires are carried out a second time, late."""
+async def late_duplicates(sim: Simulation) -> None:
+    """Commands, heartbeats, transactions and launches are carried out a second time, late."""
     for name in NODES:
         for other in ("state", "cloud", *sim.world.agents):
             sim.network.duplicate_after[(name, other)] = 7.0
@@ -87,15 +88,15 @@
     await trio.sleep(20)
 
 
-async def state_outage(sim: Simulation) -> None:
+async def state_store_outage(sim: Simulation) -> None:
     sim.state_store.stop()
     await trio.sleep(20)
     sim.state_store.resume()
 
 
-async def state_and_cloud_outage(sim: Simulation) -> None:
+async def state_store_and_cloud_outage(sim: Simulation) -> None:
     sim.world.down = True
-    await state_outage(sim)
+    await state_store_outage(sim)
     sim.world.down = False
 
 
@@ -109,21 +110,21 @@
     sim.state_store.resume()
 
 
-async def machine_cut(sim: Simulation) -> None:
+async def machine_isolated(sim: Simulation) -> None:
     name = next(iter(sim.world.agents))
     sim.network.partition("*", name)
     sim.network.partition(name, "*")
     await trio.sleep(15)
 
 
-async def machine_dies(sim: Simulation) -> None:
+async def machine_crashes(sim: Simulation) -> None:
     name = next(iter(sim.world.agents))
     sim.world.agents.pop(name).terminate()
     await trio.sleep(5)
 
 
-async def machine_and_leader(sim: Simulation) -> None:
-    """The leader ends while one of its machines can't be reached."""
+async def machine_isolated_and_leader_crashes(sim: Simulation) -> None:
+    """The leader crashes while one of its machines can't be reached."""
     name = next(iter(sim.world.agents))
     sim.network.partition("*", name)
     sim.network.partition(name, "*")
@@ -138,18 +139,18 @@
     await trio.sleep(5)
 
 
-async def sick_machine(sim: Simulation) -> None:
+async def machine_that_fails_tasks(sim: Simulation) -> None:
     next(iter(sim.world.agents.values())).fails_tasks = True
     await trio.sleep(15)
 
 
-async def deaf_machine(sim: Simulation) -> None:
-    """Its reports arrive, but neither answers nor commands reach it."""
+async def unreachable_agent(sim: Simulation) -> None:
+    """Heartbeats of an agent arrive, but neither responses nor commands reach it."""
     sim.network.partition_inbound(next(iter(sim.world.agents)))
     await trio.sleep(25)
 
 
-async def deaf_machine_and_takeover(sim: Simulation) -> None:
+async def unreachable_agent_and_failover(sim: Simulation) -> None:
     sim.network.partition_inbound(next(iter(sim.world.agents)))
     sim.kill("n0")
     await trio.sleep(5)
@@ -157,20 +158,20 @@
     await trio.sleep(20)
 
 
-def _copies(sim: Simulation, after: float) -> None:
+def _duplicate_heartbeats(sim: Simulation, after: float) -> None:
     for agent in sim.world.agents:
         for name in NODES:
             sim.network.duplicate_after[(agent, name)] = after
 
 
-async def copies_within_a_second(sim: Simulation) -> None:
-    _copies(sim, 0.8)
+async def duplicates_within_a_second(sim: Simulation) -> None:
+    _duplicate_heartbeats(sim, 0.8)
     await trio.sleep(15)
 
 
-async def copies_after_takeovers(sim: Simulation) -> None:
-    """Copies of reports, later than a lease, at leaders that never saw the originals."""
-    _copies(sim, 14.0)
+async def duplicates_after_failovers(sim: Simulation) -> None:
+    """Duplicates of heartbeats, later than a lease, at leaders that never saw the originals."""
+    _duplicate_heartbeats(sim, 14.0)
     await trio.sleep(3)
     sim.kill("n0")
     await trio.sleep(6)
@@ -182,9 +183,9 @@
     await trio.sleep(10)
 
 
-async def copies_of_lost_machines(sim: Simulation) -> None:
-    """Copies from machines that are gone, or whose lease is over, still come in."""
-    _copies(sim, 9.0)
+async def duplicates_of_lost_machines(sim: Simulation) -> None:
+    """Duplicates from machines that are gone, or whose lease has expired, still arrive."""
+    _duplicate_heartbeats(sim, 9.0)
     names = list(sim.world.agents)
     sim.network.partition("*", names[0])
     sim.network.partition(names[0], "*")
@@ -194,15 +195,15 @@
     await trio.sleep(25)
 
 
-async def alone_with_agents(sim: Simulation) -> None:
-    """A controller loses the store and its peers, but not its agents."""
+async def isolated_with_agents(sim: Simulation) -> None:
+    """A controller is partitioned from the state store and its peers, but not from its agents."""
     for other in ("state", "n1", "n2"):
         sim.network.partition("n0", other)
     await trio.sleep(30)
 
 
-async def quick_restarts_in_elections(sim: Simulation) -> None:
-    """Back within a fraction of a second at every step, also twice in a row."""
+async def quick_restarts_during_elections(sim: Simulation) -> None:
+    """Restart within a fraction of a second at every step of an election, also twice in a row."""
     for pause in (0.05, 0.3, 0.6, 1.0, 1.7, 2.6):
         for name in ("n0", "n0", "n2"):
             sim.kill(name)
@@ -219,8 +220,8 @@
         await trio.sleep(pause)
 
 
-async def machines_back_at_once(sim: Simulation) -> None:
-    """Agents that begin a new session within a fraction of a second."""
+async def agents_restart_at_once(sim: Simulation) -> None:
+    """Agents begin a new epoch within a fraction of a second."""
     for agent in list(sim.world.agents.values()):
         agent.restart()
         await trio.sleep(0.3)
@@ -228,7 +229,7 @@
     await trio.sleep(5)
 
 
-async def machines_hang_and_go_on(sim: Simulation) -> None:
+async def machines_hang_and_resume(sim: Simulation) -> None:
     """Nothing gets in or out of half of the machines for longer than a lease, twice."""
     names = list(sim.world.agents)[::2]
     for _ in range(2):
@@ -240,8 +241,8 @@
         await trio.sleep(1.5)
 
 
-async def machines_hang_and_leader_ends(sim: Simulation) -> None:
-    """As before, with a failover in the midst of it, and the old leader back at once."""
+async def machines_hang_and_leader_crashes(sim: Simulation) -> None:
+    """As before, with a failover meanwhile, and the old leader back at once."""
     names = list(sim.world.agents)[::2]
     for name in names:
         sim.network.partition(name, "*")
@@ -258,26 +259,20 @@
     sim.start("n0")
 
 
-async def zone_cut_with_a_controller(sim: Simulation) -> None:
-    """A zone's machines and a controller hear one another, and nobody else."""
-    inside = {"n0"} | {n for n, w in sim.world.agents.items() if w.zone == "a"}
-    outside = {"n1", "n2", "state", "cloud"} | {
-        n for n, w in sim.world.agents.items() if w.zone != "a"
-    }
-    for a in inside:
-        for b in outside:
-            sim.network.partition(a, b)
+async def zone_isolated_with_a_controller(sim: Simulation) -> None:
+    """A zone's machines and a controller are partitioned from all others."""
+    isolate_zone_with(sim, "n0", "a")
     await trio.sleep(TIMES.lease_s * 1.5)
 
 
-async def most_machines_die(sim: Simulation) -> None:
+async def most_machines_crash(sim: Simulation) -> None:
     for name in list(sim.world.agents)[:-1]:
         sim.world.agents.pop(name).terminate()
     await trio.sleep(5)
 
 
-async def all_end_twice(sim: Simulation) -> None:
-    """Again before the first restart has settled, in an outage, with late copies."""
+async def all_controllers_crash_twice(sim: Simulation) -> None:
+    """Crash again before the first restart has settled, in an outage, with late duplicates."""
     sim.network.duplicate_after = {("user", n): 4.0 for n in NODES}
     sim.state_store.stop()
     sim.kill()
@@ -290,8 +285,8 @@
     sim.start()
 
 
-async def cut_off_with_agents_and_ends(sim: Simulation) -> None:
-    """Only its agents are left to a controller; then it ends, and is back at once."""
+async def isolated_with_agents_and_crash(sim: Simulation) -> None:
+    """A controller that hears only its agents crashes, and is back at once."""
     for other in ("state", "n1", "n2"):
         sim.network.partition("n0", other)
     await trio.sleep(6)
@@ -302,45 +297,45 @@
 
 
 FAULTS: list[Fault] = [
-    nothing,
-    kill_one,
-    kill_all,
-    roll,
+    no_fault,
+    one_controller_crashes,
+    all_controllers_crash,
+    rolling_restart,
     quick_restart,
-    cut_from_state,
-    cut_from_agents,
-    cut_from_peers,
-    cut_from_all,
-    lost_answers,
-    late_copies,
-    state_outage,
-    state_and_cloud_outage,
+    partition_from_state_store,
+    partition_from_agents,
+    partition_from_peers,
+    partition_from_all,
+    lost_replies,
+    late_duplicates,
+    state_store_outage,
+    state_store_and_cloud_outage,
     crash_in_outage,
-    machine_cut,
-    machine_dies,
-    machine_and_leader,
+    machine_isolated,
+    machine_crashes,
+    machine_isolated_and_leader_crashes,
     unlisted_machine,
-    sick_machine,
-    deaf_machine,
-    deaf_machine_and_takeover,
-    copies_within_a_second,
-    copies_after_takeovers,
-    copies_of_lost_machines,
-    alone_with_agents,
-    quick_restarts_in_elections,
+    machine_that_fails_tasks,
+    unreachable_agent,
+    unreachable_agent_and_failover,
+    duplicates_within_a_second,
+    duplicates_after_failovers,
+    duplicates_of_lost_machines,
+    isolated_with_agents,
+    quick_restarts_during_elections,
     quick_restarts_of_all,
-    machines_back_at_once,
-    machines_hang_and_go_on,
-    machines_hang_and_leader_ends,
-    zone_cut_with_a_controller,
-    most_machines_die,
-    all_end_twice,
-    cut_off_with_agents_and_ends,
+    agents_restart_at_once,
+    machines_hang_and_resume,
+    machines_hang_and_leader_crashes,
+    zone_isolated_with_a_controller,
+    most_machines_crash,
+    all_controllers_crash_twice,
+    isolated_with_agents_and_crash,
 ]
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda f: f.__name__)
-def test_rules_hold(fault: Fault, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_invariants_hold_under_a_fault(fault: Fault, monkeypatch: pytest.MonkeyPatch) -> None:
     async def day(sim: Simulation) -> None:
         jobs = [
             job(1),
