--- a/tests/cluster/test_rolling_upgrade.py
+++ b/tests/cluster/test_rolling_upgrade.py
@@ -14,9 +14,9 @@
 
 from ..harness.cluster_faults import cluster_leader, restart
 from ..harness.earlier_version import EarlierVersion, as_built
+from ..harness.services import BACK_WITHIN_S, service
 from ..harness.simulation import NODES, TIMES, Simulation, job, run
 from ..harness.workload import CANCELLED, IDS, JOBS, users
-from .test_services import BACK_WITHIN_S, service
 
 Trouble = Callable[[Simulation], Awaitable[None]]
 
--- a/tests/cluster/test_slow_state_store.py
+++ b/tests/cluster/test_slow_state_store.py
@@ -1,4 +1,4 @@
-"""The rules while the state store answers some calls late, among them reads that confirm."""
+"""All invariants hold while some replies of the state store are delayed."""
 
 from __future__ import annotations
 
@@ -11,37 +11,37 @@
 
 from ..harness.simulation import NODES, TIMES, Simulation, job, run
 
-STATE = ("10.2.0.1", 2379)
-LATE_SHARE = 0.5
-LATE_BY = (0.8, 1.3)  # seconds: about as long as a caller waits
+STATE_STORE_ADDRESS = ("10.2.0.1", 2379)
+DELAYED_SHARE = 0.5
+DELAY_S = (0.8, 1.3)  # seconds: about as long as a caller waits
 SEEDS = (1, 2, 3, 4)
 JOBS = 80
 JOBS_PER_S = 4.0
-CURIOUS_USERS = 100  # each asks at some node, again and again, while jobs come
+POLLING_USERS = 100  # each polls jobs at some controller while others are submitted
 
 
-def answer_late(sim: Simulation, seed: int) -> None:
-    """From now on the state store carries each call out at once and answers some late."""
-    name, handle = sim.network.hosts[STATE]
-    luck = random.Random(seed)
+def delay_replies(sim: Simulation, seed: int) -> None:
+    """Let the state store carry each call out at once, but delay some of its replies."""
+    name, handle = sim.network.hosts[STATE_STORE_ADDRESS]
+    rng = random.Random(seed)
 
-    async def late(request: Request) -> Response:
+    async def handle_with_delay(request: Request) -> Response:
         response = await handle(request)
-        if luck.random() < LATE_SHARE:
-            await trio.sleep(luck.uniform(*LATE_BY))
+        if rng.random() < DELAYED_SHARE:
+            await trio.sleep(rng.uniform(*DELAY_S))
         return response
 
-    sim.network.hosts[STATE] = (name, late)
+    sim.network.hosts[STATE_STORE_ADDRESS] = (name, handle_with_delay)
 
 
-async def ask_again_and_again(sim: Simulation, luck: random.Random, ids: list[str]) -> None:
+async def poll_repeatedly(sim: Simulation, rng: random.Random, ids: list[str]) -> None:
     while True:
-        await trio.sleep(luck.uniform(0.05, 0.4))
+        await trio.sleep(rng.uniform(0.05, 0.4))
         if ids:
-            await sim.poll(luck.choice(ids[-20:]), luck.randrange(len(NODES)))
+            await sim.poll(rng.choice(ids[-20:]), rng.randrange(len(NODES)))
 
 
-async def submit_and_look(sim: Simulation, number: int, ids: list[str]) -> None:
+async def submit_and_cancel_some(sim: Simulation, number: int, ids: list[str]) -> None:
     spec = job(number, rows=1, vcpus=0.5, realS=2.0, ripenS=2.0)
     await sim.submit(spec)
     ids.append(spec["ref"])
@@ -50,30 +50,32 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_rules_hold_while_answers_are_late(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Jobs come and end while half of the answers is late and many users ask at all nodes.
+def test_invariants_hold_while_replies_of_the_state_store_are_delayed(
+    seed: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Jobs are submitted and end while half of the replies are delayed and many users poll.
 
-    On 0.5.0 two to four of these days answered "pending" after "done" or denied a job; which
-    ones changed from run to run, as the addresses of objects do.
+    A read barrier that takes a delayed reply for a fresh one answers "pending" after "done",
+    or denies a job.
     """
 
     async def day(sim: Simulation) -> None:
-        answer_late(sim, seed)
+        delay_replies(sim, seed)
         sim.probes_changes = True
-        luck = random.Random(seed)
+        rng = random.Random(seed)
         ids: list[str] = []
         async with trio.open_nursery() as nursery:
-            for _ in range(CURIOUS_USERS):
-                nursery.start_soon(ask_again_and_again, sim, luck, ids)
+            for _ in range(POLLING_USERS):
+                nursery.start_soon(poll_repeatedly, sim, rng, ids)
             for number in range(1, JOBS + 1):
-                sim.nursery.start_soon(submit_and_look, sim, number, ids)
+                sim.nursery.start_soon(submit_and_cancel_some, sim, number, ids)
                 await trio.sleep(1 / JOBS_PER_S)
             await trio.sleep(10)
             nursery.cancel_scope.cancel()
         await sim.finish([f"wk-{number:06d}" for number in range(1, JOBS + 1)])
         await trio.sleep(TIMES.cancel_s + 1)
         sim.check()
-        # And most questions are answered all the same.
+        # Most reads pass the barrier all the same.
         for controller in sim.controllers.values():
             counts = controller.api.read_barrier.counts
             assert counts["confirmed"] > 0.98 * sum(counts.values())
--- a/tests/cluster/test_submission.py
+++ b/tests/cluster/test_submission.py
@@ -14,7 +14,7 @@
 from pitchtally.http import HttpError, Request, Response
 
 from ..harness.cluster_faults import restart
-from ..harness.simulation import Simulation, job, run, submission
+from ..harness.simulation import TIMES, Simulation, job, run, submission
 
 
 def test_repeated_submission_of_a_known_id_is_answered_whatever_its_body(
@@ -147,3 +147,40 @@
         sim.check()
 
     run(monkeypatch, day)
+
+
+STREAM_JOBS_PER_S = 4
+STREAM_FOR_S = 120
+
+
+def test_stream_of_small_jobs_ends_as_asked_beside_a_crash(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Four jobs per second for minutes, a quarter of them cancelled; a controller crashes."""
+
+    async def submit_and_cancel(sim: Simulation, number: int, rng: random.Random) -> None:
+        spec = job(number, rows=1, vcpus=1.0, realS=3.0, ripenS=3.0)
+        await sim.submit(spec)
+        if number % 4 == 0:
+            await trio.sleep(rng.choice([0.0, 0.5, 2.0, 3.0, 4.0]))
+            await sim.cancel(spec["ref"], number)
+
+    async def day(sim: Simulation) -> None:
+        sim.world.capacity = 12
+        rng = random.Random(5)
+        count = STREAM_JOBS_PER_S * STREAM_FOR_S
+        for number in range(1, count + 1):
+            sim.nursery.start_soon(submit_and_cancel, sim, number, rng)
+            await trio.sleep(1 / STREAM_JOBS_PER_S)
+            if number == count // 2:
+                sim.kill("n1")
+            elif number == count // 2 + STREAM_JOBS_PER_S * 6:
+                sim.start("n1")
+        await trio.sleep(5)
+        ids = [f"wk-{number:06d}" for number in range(1, count + 1)]
+        await sim.finish(ids, limit=60)
+        withdrawn = [id for id in ids if sim.final_stages[id] == "withdrawn"]
+        assert set(withdrawn) <= sim.invariants.cancel_requested
+        assert len(withdrawn) >= count // 16
+        await trio.sleep(TIMES.cancel_s + 1)
+        sim.check()
+
+    run(monkeypatch, day)
--- /dev/null
+++ b/tests/harness/services.py
@@ -0,0 +1,36 @@
+"""Jobs that are services, and how many of their replicas are on machines."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+import trio
+
+from .simulation import TIMES, Simulation, job
+
+# Once all faults are over: a lease has to expire, then a failover and a few heartbeats.
+BACK_WITHIN_S = TIMES.lease_s * 2 + TIMES.report_s * 5
+
+
+def service(number: int, **more: Any) -> dict[str, Any]:
+    """Return the submission of a service."""
+    fields = {"cut": "standing", "rank": "production", "rows": 3, "vcpus": 1.0, "ripenS": 0.0}
+    return job(number, **{**fields, **more})
+
+
+def replicas_up(sim: Simulation, id: str) -> int:
+    """Return how many replicas of a service are on machines."""
+    return sum(1 for task in sim.world.rules.placements if task.startswith(f"{id}/"))
+
+
+async def wait_until(check: Callable[[], bool], seconds: float) -> None:
+    """Wait until a check holds; fail after some seconds."""
+    with trio.fail_after(seconds):
+        while not check():
+            await trio.sleep(0.1)
+
+
+async def wait_until_up(sim: Simulation, *specs: dict[str, Any], within: float) -> None:
+    """Wait until every replica of some services is on a machine."""
+    await wait_until(lambda: all(replicas_up(sim, s["ref"]) == s["rows"] for s in specs), within)
--- /dev/null
+++ b/tests/scheduling/test_estimates.py
@@ -0,0 +1,21 @@
+"""Estimated durations of tasks."""
+
+from __future__ import annotations
+
+import json
+
+from pitchtally.api.validation import parse_job
+from pitchtally.config import policy
+from pitchtally.scheduling.estimates import Estimates
+
+from ..harness.services import service
+from ..harness.simulation import settings, submission
+
+
+def test_estimate_for_a_service_is_never_zero() -> None:
+    """With `ripenS` 0 a service would be smaller than any task, in queues and for scale out."""
+    spec = parse_job(json.dumps(submission(service(1))).encode())
+    figures = policy.parse("", settings("n0"))
+    estimates = Estimates(figures.start_within)
+    estimates.learn(spec, 0.5)  # the end of a replica says nothing of its duration
+    assert estimates.task(spec) == figures.start_within
