--- a/tests/state_store/test_rate_limits.py
+++ b/tests/state_store/test_rate_limits.py
@@ -44,3 +44,40 @@
         assert bucket.wait_time(Priority.SUBMISSIONS, 4) == 0
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
+
+
+def test_cost_above_the_burst_is_charged_in_full() -> None:
+    """Batches charged as one burst would exceed the limit of all controllers together."""
+
+    async def main() -> None:
+        bucket = TokenBucket(4.0, 4.0)
+        await bucket.acquire(Priority.SUBMISSIONS, 8)
+        at = trio.current_time()
+        await bucket.acquire(Priority.SUBMISSIONS, 1)
+        assert trio.current_time() - at == pytest.approx(5 / 4, abs=0.02)
+        assert bucket.wait_time(Priority.SUBMISSIONS, 5) == pytest.approx(5 / 4, abs=0.02)
+        bucket.resize(8.0)
+        assert bucket.wait_time(Priority.SUBMISSIONS, 5) == pytest.approx(5 / 8, abs=0.02)
+
+    trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
+
+
+def test_bucket_shrunk_below_a_waiting_cost_still_grants_it() -> None:
+    """A controller's share shrinks when others are back; a larger cost that waits is granted."""
+
+    async def main() -> None:
+        bucket = TokenBucket(12.0, 12.0)
+        await bucket.acquire(Priority.SUBMISSIONS, 12)
+        at = trio.current_time()
+        async with trio.open_nursery() as nursery:
+            nursery.start_soon(bucket.acquire, Priority.COMPLETIONS, 12)
+            await trio.sleep(0.1)
+            bucket.resize(4.0)
+            nursery.start_soon(bucket.acquire, Priority.SUBMISSIONS, 1)
+        assert trio.current_time() - at < 4
+
+    async def limited() -> None:
+        with trio.fail_after(60):
+            await main()
+
+    trio.run(limited, clock=trio.testing.MockClock(autojump_threshold=0))
--- a/tests/state_store/test_size_limits.py
+++ b/tests/state_store/test_size_limits.py
@@ -1,4 +1,4 @@
-"""Values, pages and messages at size: 930 machines, 1,500 open jobs, 100,000 tasks."""
+"""Sizes of stored values, pages and messages: 930 machines, 1,500 open jobs, 100,000 tasks."""
 
 from __future__ import annotations
 
@@ -23,7 +23,6 @@
 from pitchtally.membership.messages import Cancellation, MachineStatus, PeerHeartbeat, ShardStatus
 from pitchtally.protocol import agent_api, cloud_api, state_store_api, user_api
 from pitchtally.state_store.client import Write
-from pitchtally.state_store.rate_limits import Priority, TokenBucket
 
 from ..harness.simulation import job, settings
 
@@ -31,14 +30,14 @@
 LONG = "x" * 60  # no name of a type, zone, image or team is longer
 
 
-def _spec(tasks: int) -> user_api.JobSpec:
+def _job_spec(tasks: int) -> user_api.JobSpec:
     body = job(1, rows=tasks, cask=LONG, vintage=LONG, crew=LONG, presses=[LONG] * 4, parcel=LONG)
     body["ref"] = "wk-" + "9" * 18
     return parse_job(json.dumps(body).encode())
 
 
-def fleet_record(controller: Controller) -> int:
-    """The largest chunk of the record of a shard's machines."""
+def machine_records(controller: Controller) -> int:
+    """Return the size of the largest chunk of the record of a shard's machines."""
     agents = controller.agents
     chunks: dict[int, dict[str, list[object]]] = {}
     for number in range(0, 1400 * 3, 3):
@@ -49,7 +48,7 @@
 
 
 def _open_job(controller: Controller, tasks: int, spec: user_api.JobSpec) -> Job:
-    """A new job as the store then holds it."""
+    """Return a new job as the state store then holds it."""
     first, record = controller.layout.lay_out_new("wk-1", JobRecord(OPEN, tasks, spec, 1.7e9))
     value = encode(record)
     controller.replica.apply_own_commit([*first, Write("pt/jobs/wk-1", value)], 10**6)
@@ -57,11 +56,11 @@
 
 
 def job_record(controller: Controller) -> int:
-    """A wide job in as many ranges as moves make, with its finished set inside."""
+    """Return the size of a wide job's record with many ranges, its task bitmap inside."""
     tasks = controller.layout.inline_tasks
     if not controller.gate.open:
         tasks = controller.gate.legacy_chunk_tasks
-    job_ = _open_job(controller, tasks, _spec(tasks))
+    job_ = _open_job(controller, tasks, _job_spec(tasks))
     assert not job_.chunk_tasks
     job_.finished.add_bytes(b"\xff" * (tasks // 8))
     ranges = [TaskRange(i * 50, i * 50 + 50, i % 3) for i in range(43)]
@@ -69,8 +68,8 @@
 
 
 def finished_chunk(controller: Controller) -> int:
-    """One piece of the finished set of a job with 100,000 tasks."""
-    wide = _open_job(controller, 100_000, _spec(100_000))
+    """Return the size of a chunk of the task bitmap of a job with 100,000 tasks."""
+    wide = _open_job(controller, 100_000, _job_spec(100_000))
     assert wide.chunk_tasks
     wide.local = set(range(100_000 - 1))
     steps = controller.progress._writes_of(wide)
@@ -79,13 +78,13 @@
 
 
 def long_spec(controller: Controller) -> int:
-    """A submission with as many and as long names as are taken."""
+    """Return the size of a submission with as many and as long names as are accepted."""
     types = [f"{number:03d}" + "x" * 97 for number in range(100)]
     body = job(1, rows=100_000, vintage="v" * 200, crew="c" * 200, cask='"' * 200, presses=types)
     spec = parse_job(json.dumps(body).encode())
     first, record = controller.layout.lay_out_new(spec.id, JobRecord(OPEN, spec.tasks, spec))
     if not controller.gate.open:
-        # The old form can't hold it: it is not taken, and not refused for good.
+        # The old layout can't hold it: it is not accepted, but may be retried later.
         assert not controller.layout.record_fits(encode(record))
         return 1
     writes = [*first, Write(f"pt/jobs/{spec.id}", encode(record))]
@@ -95,7 +94,7 @@
     return max(len(change.value or b"") for change in writes)
 
 
-def shares(controller: Controller) -> int:
+def team_shares(controller: Controller) -> int:
     teams = [f"{LONG[:40]}{i}" for i in range(30)]
     changes = []
     for number, team in enumerate(teams):
@@ -116,11 +115,11 @@
 
 
 def submission_batcher(controller: Controller) -> int:
-    """The bytes of a transaction that takes as many submissions as go together."""
+    """Return the size of a transaction with as many submissions as are batched."""
     found = SubmissionBatcher(controller.state_store, controller.replica)
     controller.state_store.write_limit.resize(1000.0)
     for number in range(1000):
-        value = encode(JobRecord(OPEN, 800, _spec(800), 1.7e9, [TaskRange(0, 800, 1)]))
+        value = encode(JobRecord(OPEN, 800, _job_spec(800), 1.7e9, [TaskRange(0, 800, 1)]))
         key = f"pt/jobs/wk-{number:018d}"
         found.queued.append(
             PendingSubmission(key, Write(key, value), {key: 0, "pt/parts/1": 10**12})
@@ -136,40 +135,40 @@
     return len(msgspec.json.encode(state_store_api.Transaction(conditions, puts)))
 
 
-def orders(controller: Controller) -> int:
-    """The answer to a report: it holds no more than 500 orders."""
-    each = agent_api.Command(agent_api.STOP, "wk-" + "9" * 18 + "/99999", 2**63, 10.0)
-    return len(msgspec.json.encode(agent_api.HeartbeatResponse(2**40, [each] * 500)))
+def commands(controller: Controller) -> int:
+    """Return the size of a heartbeat response with 500 commands, the most it may hold."""
+    command = agent_api.Command(agent_api.STOP, "wk-" + "9" * 18 + "/99999", 2**63, 10.0)
+    return len(msgspec.json.encode(agent_api.HeartbeatResponse(2**40, [command] * 500)))
 
 
 USED = Resources(1.1, 1.1, 1.1)
 
 
 def heartbeat(controller: Controller) -> int:
-    """What a node that owns all shards tells a peer."""
+    """Return the size of the peer heartbeat of a controller that leads all shards."""
     machine = MachineStatus("i-000000001", LONG, LONG, False, USED, USED, 64, 1.1, "")
     matrix = [(LONG, [[[100_000] * 8] * 6] * 16)] * 20
-    waiting = {f"wk-{n:06d}": 800 for n in range(1500)}
+    pending = {f"wk-{n:06d}": 800 for n in range(1500)}
     shards = [
-        ShardStatus(k, 10**12, True, 1.0, 1.0, [machine] * 310, matrix, waiting) for k in range(3)
+        ShardStatus(k, 10**12, True, 1.0, 1.0, [machine] * 310, matrix, pending) for k in range(3)
     ]
     names = [f"i-{n:09d}" for n in range(930)]
-    cancelled = [Cancellation(id, 10**12, 100_000, 100_000) for id in waiting]
-    told = PeerHeartbeat("n", "i", 10**9, 10**12, 1.0, 1.0, cancelled, shards, names, names)
-    return len(messages.encode(told))
+    cancelled = [Cancellation(id, 10**12, 100_000, 100_000) for id in pending]
+    heartbeat_ = PeerHeartbeat("n", "i", 10**9, 10**12, 1.0, 1.0, cancelled, shards, names, names)
+    return len(messages.encode(heartbeat_))
 
 
 STORED: list[Callable[[Controller], int]] = [
-    fleet_record,
+    machine_records,
     job_record,
     finished_chunk,
     long_spec,
-    shares,
+    team_shares,
     catalog,
 ]
 SENT: list[tuple[Callable[[Controller], int], int]] = [
     (submission_batcher, 64 * KIB),
-    (orders, 64 * KIB),
+    (commands, 64 * KIB),
     (heartbeat, 4 * KIB * KIB),
 ]
 # Today's limits alone, and with lower ones announced: while a member of an earlier version
@@ -197,7 +196,7 @@
 
 @pytest.mark.parametrize(("state", "gate_open", "value_kb"), PHASES)
 @pytest.mark.parametrize("size", STORED, ids=lambda x: x.__name__)
-def test_stored_size(
+def test_stored_value_is_within_the_limit(
     size: Callable[[Controller], int], state: StateLimits, gate_open: bool, value_kb: int
 ) -> None:
     def body(controller: Controller) -> None:
@@ -208,46 +207,10 @@
 
 @pytest.mark.parametrize("state", [TODAY, ANNOUNCED], ids=["today", "announced"])
 @pytest.mark.parametrize(("size", "limit"), SENT, ids=lambda x: getattr(x, "__name__", ""))
-def test_sent_size(size: Callable[[Controller], int], limit: int, state: StateLimits) -> None:
+def test_sent_message_is_within_the_limit(
+    size: Callable[[Controller], int], limit: int, state: StateLimits
+) -> None:
     def body(controller: Controller) -> None:
         assert 0 < size(controller) <= limit
 
     _with_controller(state, True, body)
-
-
-def test_more_than_a_burst_is_paid_for() -> None:
-    """Batches charged as one burst went over the limit for all nodes."""
-
-    async def main() -> None:
-        bucket = TokenBucket(4.0, 4.0)
-        await bucket.acquire(Priority.SUBMISSIONS, 8)
-        at = trio.current_time()
-        await bucket.acquire(Priority.SUBMISSIONS, 1)
-        assert trio.current_time() - at == pytest.approx(5 / 4, abs=0.02)
-        assert bucket.wait_time(Priority.SUBMISSIONS, 5) == pytest.approx(5 / 4, abs=0.02)
-        bucket.resize(8.0)
-        assert bucket.wait_time(Priority.SUBMISSIONS, 5) == pytest.approx(5 / 8, abs=0.02)
-
-    trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
-
-
-def test_bucket_made_smaller_under_a_waiter_goes_on() -> None:
-    """After two ends the third node had all the tokens; when the others were back, what
-    it waited for was more than its bucket held, and nothing was written any more."""
-
-    async def main() -> None:
-        bucket = TokenBucket(12.0, 12.0)
-        await bucket.acquire(Priority.SUBMISSIONS, 12)
-        at = trio.current_time()
-        async with trio.open_nursery() as nursery:
-            nursery.start_soon(bucket.acquire, Priority.COMPLETIONS, 12)
-            await trio.sleep(0.1)
-            bucket.resize(4.0)
-            nursery.start_soon(bucket.acquire, Priority.SUBMISSIONS, 1)
-        assert trio.current_time() - at < 4
-
-    async def limited() -> None:
-        with trio.fail_after(60):
-            await main()
-
-    trio.run(limited, clock=trio.testing.MockClock(autojump_threshold=0))
