--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -1,4 +1,4 @@
-"""Stored formats and the gate, as tables: old and new forms, read in both directions."""
+"""The feature gate and the stored formats: each version reads what the other writes."""
 
 from __future__ import annotations
 
@@ -40,23 +40,24 @@
 GATE: list[tuple[dict[str, NodeRecord], dict[str, str], bool]] = [
     ({"n0": NEW, "n1": NEW}, {"n0": "a1", "n1": "a1"}, True),
     ({"n0": NEW, "n1": OLD}, {"n0": "a1", "n1": "a1"}, False),
-    ({"n0": NEW}, {"n0": "a1", "n1": "a1"}, False),  # one is not alive just now
+    ({"n0": NEW}, {"n0": "a1", "n1": "a1"}, False),  # a member without a session lease
     ({"n0": NEW, "n1": NEW}, {"n0": "a1"}, False),  # its process may have ended since
     ({"n0": NEW, "n1": NEW}, {"n0": "a1", "n1": "b2"}, False),  # a predecessor's record
-    ({"n0": NEW, "n1": NodeRecord("b2")}, {"n0": "a1", "n1": "b2"}, False),  # back as an old one
+    # restarted with the old version
+    ({"n0": NEW, "n1": NodeRecord("b2")}, {"n0": "a1", "n1": "b2"}, False),
     ({"n0": NEW, "n1": NEW, "n2": OLD}, {"n0": "a1", "n1": "a1"}, True),  # not configured
     ({"n0": NEW, "n1": NodeRecord("a1", reads=FORMAT + 1)}, {"n0": "a1", "n1": "a1"}, True),
 ]
 
 
-@pytest.mark.parametrize(("records", "answering", "found"), GATE)
+@pytest.mark.parametrize(("records", "answering", "opens"), GATE)
 def test_gate_opens_once_every_configured_member_reads_the_format(
-    records: dict[str, NodeRecord], answering: dict[str, str], found: bool
+    records: dict[str, NodeRecord], answering: dict[str, str], opens: bool
 ) -> None:
-    assert all_read(MEMBERS, records, answering) is found
+    assert all_read(MEMBERS, records, answering) is opens
 
 
-# --- records of 0.5.1, and what it makes of ours ----------------------------------------------
+# --- records of 0.5.1, and how it reads the present ones --------------------------------------
 
 # As 0.5.1 stores and sends them: recorded, not made by the code under test.
 SPEC = (
@@ -83,11 +84,11 @@
         controller.replica.learn(f"pt/{key}", data, 10 + number)
 
 
-def _check_what_is_known(controller: Any) -> None:
+def _check_records(controller: Any) -> None:
     job_index = controller.job_index
-    found = job_index.jobs["wk-000001"]
-    assert found.spec.tasks == 6 and found.record.ranges == [(0, 4, 0), (4, 6, 1)]
-    assert [t for t in range(6) if t in found.finished] == [0, 2]
+    job_ = job_index.jobs["wk-000001"]
+    assert job_.spec.tasks == 6 and job_.record.ranges == [(0, 4, 0), (4, 6, 1)]
+    assert [t for t in range(6) if t in job_.finished] == [0, 2]
     assert job_index.jobs["wk-000002"].record.stage == "done"
     assert job_index.cancelled == [(14, "wk-000003")]
     assert controller.membership.alive["n0"].incarnation == "00f1"
@@ -106,17 +107,17 @@
 
 def _controller(state: StateLimits = STATE, *, gate_open: bool = False) -> Controller:
     config = settings("n1", state=state)
-    found = Controller(config, policy.parse("", config))
+    controller = Controller(config, policy.parse("", config))
     if gate_open:
-        found.replica.apply_own_commit([Write(KEY, found.gate.record())], 9)
-    return found
+        controller.replica.apply_own_commit([Write(KEY, controller.gate.record())], 9)
+    return controller
 
 
 def test_records_of_the_version_in_production_are_read() -> None:
     def body() -> None:
         controller = _controller()
         _learn(controller, RECORDS)
-        _check_what_is_known(controller)
+        _check_records(controller)
         assert controller.membership.alive["n0"].reads == FIRST_FORMAT
 
     _run(body)
@@ -125,7 +126,7 @@
 def test_what_is_written_while_the_gate_is_closed_is_read_by_earlier_versions(
     earlier: EarlierVersion,
 ) -> None:
-    """Each record goes through the new version's types, is encoded by it, and read by theirs."""
+    """Each record is decoded and encoded by the new version, and read by the earlier one."""
 
     def body() -> None:
         new = _controller()
@@ -150,7 +151,7 @@
         old = earlier.controller(settings("n2", state=STATE), "")
         _learn(old, {key: written[key] for key in RECORDS})
         _learn(old, {key: written[key] for key in written if key not in RECORDS})
-        _check_what_is_known(with_present_names(old))
+        _check_records(with_present_names(old))
         assert old.job_store.jobs["wk-000004"].record.at == 2.5
         assert old.members.alive["n1"].incarnation == new.membership.incarnation
 
@@ -158,9 +159,9 @@
 
 
 def test_messages_are_read_in_both_directions(earlier: EarlierVersion) -> None:
-    theirs = earlier.module("control.messages")
+    their_messages = earlier.module("control.messages")
     spec = parse_job(json.dumps(submission(job(1))).encode())
-    told = messages.PeerHeartbeat(
+    heartbeat = messages.PeerHeartbeat(
         "n0",
         "i",
         3,
@@ -174,7 +175,7 @@
         [messages.ShardToken(0, 5)],
     )
     for message in (
-        told,
+        heartbeat,
         messages.Cancelled(messages.Cancellation("wk-000001", 7, 6, 2)),
         messages.Forward("GET", "/api/jobs/wk-000001", b""),
         messages.Forwarded(200, b"{}", "1"),
@@ -182,31 +183,31 @@
         messages.ScheduleReply([TaskRange(0, 6, 1)], "a"),
         messages.Ack(),
     ):
-        there = theirs.decode(messages.encode(message))
-        assert type(there).__struct_config__.tag == type(message).__struct_config__.tag
-        assert messages.decode(theirs.encode(there)) == message
+        their_message = their_messages.decode(messages.encode(message))
+        assert type(their_message).__struct_config__.tag == type(message).__struct_config__.tag
+        assert messages.decode(their_messages.encode(their_message)) == message
 
 
-def test_the_version_in_production_moves_machines_before_it_empties_a_chunk(
+def test_version_in_production_writes_its_own_chunks_before_it_empties_others(
     production: EarlierVersion,
 ) -> None:
-    """It reads chunks of any width, and its own come first in the order of its writes."""
+    """It reads chunks of any width, and writes in the order of their numbers."""
 
     def body() -> None:
         old = production.controller(settings("n2", state=STATE), "")
         width = machine_layout.machines_per_chunk(1024)
-        place = 123
-        theirs = old.workers.records.chunk_of(f"i-{place * 3:06d}")
-        ours = machine_layout.chunk_of(place, width)
-        assert sorted([ours, theirs]) == [theirs, ours]
-        _learn(old, {f"fleet/0/{ours}": RECORDS["fleet/0/3"]})
+        row = 123
+        their_chunk = old.workers.records.chunk_of(f"i-{row * 3:06d}")
+        our_chunk = machine_layout.chunk_of(row, width)
+        assert sorted([our_chunk, their_chunk]) == [their_chunk, our_chunk]
+        _learn(old, {f"fleet/0/{our_chunk}": RECORDS["fleet/0/3"]})
         assert "i-000360" in old.workers.records.of(0)
 
     _run(body)
 
 
 def _write_in_present_format(writer: Any, task_ranges: list[Any]) -> dict[str, str | bytes]:
-    """What a controller of either version with an open gate makes of the records above."""
+    """Return the records above as a controller of either version with an open gate writes them."""
     _learn(writer, RECORDS)
     job_ = writer.job_index.jobs["wk-000001"]
     before, record = writer.layout.convert(job_)
@@ -237,11 +238,14 @@
         assert written["jobs/wk-000001"] != RECORDS["jobs/wk-000001"]
         _learn(reader, {key: written[key] for key in RECORDS})
         _learn(reader, {key: written[key] for key in written if key not in RECORDS})
-        _check_what_is_known(reader)
+        _check_records(reader)
         assert reader.gate.open
         assert reader.gate.legacy_chunk_tasks == LEGACY_CHUNK
-        told = reader.membership.alive["n1"]
-        assert (told.incarnation, told.reads) == (writer.membership.incarnation, FORMAT)
+        node_record = reader.membership.alive["n1"]
+        assert (node_record.incarnation, node_record.reads) == (
+            writer.membership.incarnation,
+            FORMAT,
+        )
 
     _run(body)
 
@@ -256,10 +260,10 @@
 
 @pytest.mark.parametrize("bits_first", [True, False])
 @pytest.mark.parametrize("next_value_kb", [2, 1, 0.5])
-def test_chunks_of_the_old_layout_are_read_at_their_places(
+def test_chunks_of_the_old_layout_are_read_at_their_offsets(
     bits_first: bool, next_value_kb: float
 ) -> None:
-    """A reader's own limits told it where a chunk begins: tasks counted as done that weren't."""
+    """The width of old chunks must not be derived from the reader's own limits."""
 
     def body() -> None:
         state = StateLimits(value_kb=2, next=NextStateLimits(value_kb=next_value_kb))
@@ -269,17 +273,17 @@
         chunk = {"fin/wk-000001/2": json.dumps(bits.text())}
         record = {"jobs/wk-000001": _wide(100_000)}
         order = [chunk, record] if bits_first else [record, chunk]
-        for number, each in enumerate(order):
-            for key, value in each.items():
+        for number, writes in enumerate(order):
+            for key, value in writes.items():
                 controller.replica.learn(f"pt/{key}", value.encode(), 20 + number)
-        found = controller.job_index.jobs["wk-000001"]
-        assert [t for t in range(100_000) if t in found.finished] == [2 * LEGACY_CHUNK + 1]
+        job_ = controller.job_index.jobs["wk-000001"]
+        assert [t for t in range(100_000) if t in job_.finished] == [2 * LEGACY_CHUNK + 1]
 
     _run(body)
 
 
-def test_a_settings_file_of_after_the_upgrade_reads_old_chunks_too() -> None:
-    """The gate's record keeps the width: by then `value_kb` itself is the lower limit."""
+def test_old_chunks_are_read_after_the_settings_have_the_lower_limit() -> None:
+    """The gate's record holds the width: by then `value_kb` itself is the lower limit."""
 
     def body() -> None:
         upgraded = _controller()
@@ -299,8 +303,8 @@
 
 @pytest.mark.parametrize("tasks", CONVERTED)
 @pytest.mark.parametrize("steps", [0, 1, 3, 1000], ids=lambda n: f"{n} writes")
-def test_conversion_can_end_at_any_step(tasks: int, steps: int) -> None:
-    """Another node reads the same whichever writes were made, and goes on from there."""
+def test_conversion_may_be_interrupted_after_any_write(tasks: int, steps: int) -> None:
+    """Another controller reads the same after any of the writes, and resumes the conversion."""
 
     def body() -> None:
         first = _controller(gate_open=True)
@@ -317,20 +321,20 @@
         else:
             stored["jobs/wk-000001"] = _wide(tasks, finished=bits.text())
         _learn(first, stored)
-        for most in (steps, 1000):
+        for writes_made in (steps, 1000):
             job_ = first.job_index.jobs["wk-000001"]
             if not first.layout.needs_conversion(job_):
                 break
             before, record = first.layout.convert(job_)
             value = first.layout.encode_record(job_, record)
-            writes = [*before, Write("pt/jobs/wk-000001", value)][:most]
+            writes = [*before, Write("pt/jobs/wk-000001", value)][:writes_made]
             assert all(len(w.value or b"") <= 1024 for w in writes)
             for write in writes:
                 stored[write.key.removeprefix("pt/")] = write.value or b""
             first = _controller(gate_open=True)
             _learn(first, stored)
-            found = first.job_index.jobs["wk-000001"]
-            assert [t for t in range(tasks) if t in found.finished] == sorted(set(done))
+            converted = first.job_index.jobs["wk-000001"]
+            assert [t for t in range(tasks) if t in converted.finished] == sorted(set(done))
         job_ = first.job_index.jobs["wk-000001"]
         assert not first.layout.needs_conversion(job_)
         assert bool(job_.chunk_tasks) == (tasks > finished_tasks.inline_tasks(1024))
@@ -338,7 +342,7 @@
     _run(body)
 
 
-def test_keys_of_jobs_that_are_over_are_removed_a_few_at_a_time() -> None:
+def test_keys_of_finished_jobs_are_removed_a_few_at_a_time() -> None:
     def body() -> None:
         controller = _controller(gate_open=True)
         _learn(controller, {f"done/wk-000001/{n * 3072}": '"AA=="' for n in range(6)})
@@ -350,40 +354,40 @@
         assert controller.cleanup.left_over(4) == ["pt/fin/wk-000002/0"]
         controller.replica.learn("pt/jobs/wk-000001", b'{"stage":"done","tasks":20000}', 90)
         assert len(controller.cleanup.left_over(4)) == 4
-        assert len(controller.cleanup.left_over(100)) == 7  # of wk-000003 nothing is known
+        assert len(controller.cleanup.left_over(100)) == 7  # wk-000003 has no record
 
     _run(body)
 
 
-# --- texts in pieces ----------------------------------------------------------------------------
+# --- texts in chunks ----------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("value_bytes", [64, 512, 2048])
 @pytest.mark.parametrize("text", ["", "a" * 5000, '"\\' * 900, "กข" * 700, "\x00\n" * 300])
-def test_texts_come_back_from_their_pieces(text: str, value_bytes: int) -> None:
+def test_text_is_joined_from_its_chunks(text: str, value_bytes: int) -> None:
     ref, values = text_chunks.cut(text, value_bytes)
     assert all(len(value) <= value_bytes for value in values)
-    found = {
+    chunks = {
         text_chunks.ChunkId(ref.digest, n): msgspec.json.decode(v, type=str)
         for n, v in enumerate(values)
     }
-    assert text_chunks.join(ref, found) == text
+    assert text_chunks.join(ref, chunks) == text
     other, more = text_chunks.cut(text + "b", value_bytes)
-    found |= {
+    chunks |= {
         text_chunks.ChunkId(other.digest, n): msgspec.json.decode(v, type=str)
         for n, v in enumerate(more)
     }
-    assert text_chunks.join(ref, found) == text
+    assert text_chunks.join(ref, chunks) == text
     if values:
-        del found[text_chunks.ChunkId(ref.digest, 0)]
-        assert text_chunks.join(ref, found) is None
+        del chunks[text_chunks.ChunkId(ref.digest, 0)]
+        assert text_chunks.join(ref, chunks) is None
 
 
 # --- team shares --------------------------------------------------------------------------------
 
 
-def test_a_late_write_of_the_old_shares_changes_nothing_for_a_team_with_its_own() -> None:
-    """It would raise a share that nobody lowers any more: more than the team's limit."""
+def test_late_write_of_the_old_shares_does_not_change_a_team_with_its_own() -> None:
+    """It would raise a share that nobody lowers any more, beyond the team's limit."""
 
     def body() -> None:
         controller = _controller(gate_open=True)
@@ -392,8 +396,8 @@
         change = shares.change("tight", [(1.0, 0.0), (3.0, 0.0), (2.0, 0.0)])
         assert set(shares.versions("tight")) == {"pt/shares", change.key}
         controller.replica.apply_own_commit([change], 30)
-        late = b'{"tight":[[0.0,0.0],[2.0,0.0],[4.0,0.0]],"free":[[1,1],[1,1],[1,1]]}'
-        controller.replica.learn("pt/shares", late, 40)
+        late_value = b'{"tight":[[0.0,0.0],[2.0,0.0],[4.0,0.0]],"free":[[1,1],[1,1],[1,1]]}'
+        controller.replica.learn("pt/shares", late_value, 40)
         assert shares.of("tight") == [(1.0, 0.0), (3.0, 0.0), (2.0, 0.0)]
         assert shares.of("free") == [(1.0, 1.0)] * 3
 
@@ -404,7 +408,7 @@
 
 
 @pytest.mark.parametrize(
-    ("announced", "kept"),
+    ("announced", "effective"),
     [
         (None, StateLimits(100, 20, 8, 8)),
         (NextStateLimits(), StateLimits(100, 20, 8, 8)),
@@ -413,15 +417,15 @@
         (NextStateLimits(rps=500, txn_ops=80), StateLimits(100, 20, 8, 8)),  # above today's
     ],
 )
-def test_the_smaller_of_both_limits_is_kept(
-    announced: NextStateLimits | None, kept: StateLimits
+def test_smaller_of_the_present_and_announced_limits_is_in_force(
+    announced: NextStateLimits | None, effective: StateLimits
 ) -> None:
     def body() -> None:
         state = StateLimits(100, 20, 8, 8, announced)
-        assert state.to_keep() == kept
+        assert state.to_keep() == effective
         config = settings("n0", state=state)
         controller = Controller(config, policy.parse("period = state.write_rps", config))
-        assert controller.state_store.limits == kept
-        assert controller.policy.period == kept.write_rps
+        assert controller.state_store.limits == effective
+        assert controller.policy.period == effective.write_rps
 
     _run(body)
