--- a/tests/cluster/test_cancellation.py
+++ b/tests/cluster/test_cancellation.py
@@ -125,12 +125,12 @@
         with trio.fail_after(20):
             while len(sim.world.rules.placements) < 22:
                 await trio.sleep(0.2)
-        waiting = [
+        queued_jobs = [
             job(4, rows=20, vcpus=1.0),
             job(5, rows=12, vcpus=1.0, crew="tight"),
             job(6, cut="gang", rows=4, vcpus=1.0),
         ]
-        for spec in waiting:
+        for spec in queued_jobs:
             await sim.submit(spec)
         busy = sorted({machine for machine, _ in sim.world.rules.placements.values()})
         for name in busy[:2]:
@@ -146,8 +146,8 @@
         await restart(sim, cluster_leader(sim), after=3.0)
         await trio.sleep(TIMES.lease_s)
         sim.network.heal()
-        await sim.finish([spec["ref"] for spec in running + waiting])
-        assert {sim.final_stages[spec["ref"]] for spec in waiting} == {"done"}
+        await sim.finish([spec["ref"] for spec in running + queued_jobs])
+        assert {sim.final_stages[spec["ref"]] for spec in queued_jobs} == {"done"}
         await trio.sleep(TIMES.cancel_s + 1)
         sim.check()
 
--- a/tests/cluster/test_rolling_upgrade.py
+++ b/tests/cluster/test_rolling_upgrade.py
@@ -1,4 +1,4 @@
-"""Earlier versions are replaced node by node while both serve, and back: all rules hold."""
+"""Controllers of two versions serve during a rolling upgrade and its rollback."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from ..harness.simulation import NODES, TIMES, Simulation, job, run
 from ..harness.workload import CANCELLED, IDS, JOBS, users
 
-Trouble = Callable[[Simulation], Awaitable[None]]
+Fault = Callable[[Simulation], Awaitable[None]]
 
 ANNOUNCED = NextStateLimits(write_rps=60, value_kb=0.75, txn_ops=4)
 STATE = StateLimits(rps=300, write_rps=100, value_kb=1, txn_ops=16, next=ANNOUNCED)
-# One of them is kept in its record by 0.5.1, which then is larger than the lower limit, the
-# other in chunks of its own.
+# 0.5.1 stores the task bitmap of one in its record, which then exceeds the lower limit, and
+# that of the other in chunks.
 WIDE = [
     job(21, rows=2400, vcpus=0.25, memGb=0.01, rank="idle", realS=3.0, ripenS=3.0),
     job(22, rows=3200, vcpus=0.25, memGb=0.01, rank="idle", realS=3.0, ripenS=3.0),
@@ -33,7 +33,7 @@
     service(32, rows=3, spread=True),
     service(33, crew="tight", rows=2),
 ]
-PAUSE_S = 6.0  # between two nodes
+PAUSE_S = 6.0  # between two controllers
 
 
 def lower_limits(sim: Simulation) -> None:
@@ -41,8 +41,10 @@
     sim.state_store.limits.changes = ANNOUNCED.txn_ops or 0
 
 
-async def roll(sim: Simulation, during: Trouble | None = None, *, back: bool = False) -> None:
-    """Replace the nodes one by one, or put them back; a trouble begins with the second."""
+async def replace_controllers(
+    sim: Simulation, during: Fault | None = None, *, back: bool = False
+) -> None:
+    """Replace the controllers one by one, or roll them back; a fault begins with the second."""
     async with trio.open_nursery() as nursery:
         for number, name in enumerate(NODES):
             sim.kill(name)
@@ -58,20 +60,20 @@
             await trio.sleep(PAUSE_S)
 
 
-# --- troubles beside it -----------------------------------------------------------------------
+# --- faults during the upgrade --------------------------------------------------------------------
 
 
-async def nothing(sim: Simulation) -> None:
+async def no_fault(sim: Simulation) -> None:
     """Only the upgrade."""
 
 
-async def an_old_one_dies_before_its_turn(sim: Simulation) -> None:
+async def old_controller_crashes_before_its_turn(sim: Simulation) -> None:
     await trio.sleep(2.0)
     await restart(sim, "n2")
     assert "n2" in sim.earlier_nodes or "n2" in sim.network.crashed
 
 
-async def leaders_end(sim: Simulation) -> None:
+async def leaders_crash(sim: Simulation) -> None:
     for _ in range(3):
         await trio.sleep(3.0)
         name = cluster_leader(sim)
@@ -79,14 +81,14 @@
             await restart(sim, name)
 
 
-async def state_service_out(sim: Simulation) -> None:
+async def state_store_outage(sim: Simulation) -> None:
     await trio.sleep(2.0)
     sim.state_store.stop()
     await trio.sleep(TIMES.lease_s)
     sim.state_store.resume()
 
 
-async def state_service_slow(sim: Simulation) -> None:
+async def slow_state_store(sim: Simulation) -> None:
     for name in NODES:
         sim.network.reply_delay[("state", name)] = 0.4
         sim.network.reply_delay[(name, "state")] = 0.4
@@ -94,13 +96,13 @@
     sim.network.reply_delay.clear()
 
 
-async def transactions_carried_out_late(sim: Simulation) -> None:
+async def delayed_transactions(sim: Simulation) -> None:
     sim.network.delayed_commits = 0.25
     await trio.sleep(PAUSE_S * 2.5)
     sim.network.delayed_commits = 0.0
 
 
-async def messages_of_earlier_processes(sim: Simulation) -> None:
+async def messages_of_former_processes(sim: Simulation) -> None:
     sim.network.duplicated_heartbeats, sim.network.delayed_commands = 0.3, 0.3
     for a in NODES:
         for b in NODES:
@@ -111,7 +113,7 @@
     sim.network.duplicated_heartbeats = sim.network.delayed_commands = 0.0
 
 
-async def jobs_cancelled_and_machines_cut(sim: Simulation) -> None:
+async def cancellations_and_isolated_machines(sim: Simulation) -> None:
     for agent in list(sim.world.agents)[::2]:
         sim.network.partition(agent, "*")
         sim.network.partition("*", agent)
@@ -121,7 +123,7 @@
     sim.network.partitions.clear()
 
 
-async def a_zone_cut_off(sim: Simulation) -> None:
+async def zone_partitioned_from_two_controllers(sim: Simulation) -> None:
     for agent in list(sim.world.agents.values()):
         if agent.zone == "a":
             for node in NODES[1:]:
@@ -130,41 +132,41 @@
     sim.network.partitions.clear()
 
 
-async def a_node_that_only_lacks_its_peers(sim: Simulation) -> None:
+async def controller_partitioned_from_peers(sim: Simulation) -> None:
     sim.network.partition("n0", "n1")
     sim.network.partition("n0", "n2")
     await trio.sleep(PAUSE_S * 2.5)
     sim.network.partitions.clear()
 
 
-TROUBLES: list[Trouble] = [
-    nothing,
-    an_old_one_dies_before_its_turn,
-    leaders_end,
-    state_service_out,
-    state_service_slow,
-    transactions_carried_out_late,
-    messages_of_earlier_processes,
-    jobs_cancelled_and_machines_cut,
-    a_zone_cut_off,
-    a_node_that_only_lacks_its_peers,
+FAULTS: list[Fault] = [
+    no_fault,
+    old_controller_crashes_before_its_turn,
+    leaders_crash,
+    state_store_outage,
+    slow_state_store,
+    delayed_transactions,
+    messages_of_former_processes,
+    cancellations_and_isolated_machines,
+    zone_partitioned_from_two_controllers,
+    controller_partitioned_from_peers,
 ]
 
 
-async def play_upgrade(sim: Simulation, trouble: Trouble, lowered_after: float) -> None:
-    """A day begun by the version in production, the upgrade with a trouble, lower limits."""
+async def play_upgrade(sim: Simulation, fault: Fault, lowered_after: float) -> None:
+    """Start with the version in production, upgrade beside a fault, then lower the limits."""
     specs = [*JOBS, *WIDE]
     for spec in specs:
         sim.nursery.start_soon(sim.submit, spec)
     sim.nursery.start_soon(users, sim)
     await trio.sleep(5.0)
     assert KEY not in sim.state_store.items
-    await roll(sim, trouble)
+    await replace_controllers(sim, fault)
     sim.state_store.down = False
     sim.network.heal()
     for name in sorted(sim.network.crashed):
         sim.start(name)
-    calm = trio.current_time()
+    ended_at = trio.current_time()
     await trio.sleep(lowered_after)
     lower_limits(sim)
     for spec in SERVICES:
@@ -173,15 +175,15 @@
         if id not in sim.invariants.cancel_requested:
             sim.nursery.start_soon(sim.cancel, id)
     ids = [*IDS, *(spec["ref"] for spec in WIDE)]
-    asked = trio.current_time() + BACK_WITHIN_S
-    while trio.current_time() - calm < 240:
+    services_due_at = trio.current_time() + BACK_WITHIN_S
+    while trio.current_time() - ended_at < 240:
         await trio.sleep(1.0)
         now = trio.current_time()
-        sim.invariants.check_replicas_return(now, asked, BACK_WITHIN_S)
-        sim.invariants.check_jobs_answer(now, calm)
+        sim.invariants.check_replicas_return(now, services_due_at, BACK_WITHIN_S)
+        sim.invariants.check_jobs_answer(now, ended_at)
         sim.invariants.check_startable_jobs_start(now, sim.world)
         sim.check()
-        if now > asked and all(id in sim.final_stages for id in ids):
+        if now > services_due_at and all(id in sim.final_stages for id in ids):
             break
     assert not [id for id in ids if id not in sim.final_stages]
     assert KEY in sim.state_store.items
@@ -192,52 +194,52 @@
 
 
 @pytest.mark.parametrize("lowered_after", [0.0, 8.0, 40.0])
-@pytest.mark.parametrize("trouble", TROUBLES, ids=lambda t: t.__name__)
-def test_rules_hold_as_nodes_are_replaced(
-    trouble: Trouble,
+@pytest.mark.parametrize("fault", FAULTS, ids=lambda t: t.__name__)
+def test_invariants_hold_during_a_rolling_upgrade(
+    fault: Fault,
     lowered_after: float,
     production: EarlierVersion,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def day(sim: Simulation) -> None:
-        await play_upgrade(sim, trouble, lowered_after)
+        await play_upgrade(sim, fault, lowered_after)
 
     run(monkeypatch, day, earlier=production, state=STATE)
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_rules_hold_on_random_days_of_an_upgrade(
+def test_invariants_hold_under_random_faults_during_an_upgrade(
     seed: int, production: EarlierVersion, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Any two troubles at any distance, limits lowered at any moment after the last node."""
-    luck = random.Random(500 + seed)
-    first, second = luck.sample(TROUBLES, 2)
-    apart, lowered_after = luck.uniform(0.0, PAUSE_S), luck.uniform(0.0, 20.0)
+    """Two faults at a random distance; limits are lowered at a random time after the upgrade."""
+    rng = random.Random(500 + seed)
+    first, second = rng.sample(FAULTS, 2)
+    delay, lowered_after = rng.uniform(0.0, PAUSE_S), rng.uniform(0.0, 20.0)
 
-    async def later(sim: Simulation) -> None:
-        await trio.sleep(apart)
+    async def second_fault(sim: Simulation) -> None:
+        await trio.sleep(delay)
         await second(sim)
 
-    async def both(sim: Simulation) -> None:
+    async def both_faults(sim: Simulation) -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(first, sim)
-            nursery.start_soon(later, sim)
+            nursery.start_soon(second_fault, sim)
 
     async def day(sim: Simulation) -> None:
-        await play_upgrade(sim, both, lowered_after)
+        await play_upgrade(sim, both_faults, lowered_after)
 
     run(monkeypatch, day, 500 + seed, earlier=production, state=STATE)
 
 
-def test_nothing_too_large_is_sent_once_the_gate_is_open(
+def test_no_write_exceeds_the_lower_limits_once_the_gate_is_open(
     production: EarlierVersion, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What the old layout had made larger is brought into the new one before it is written."""
+    """A record that is too large in the old layout is converted before it is written."""
 
     async def day(sim: Simulation) -> None:
         for spec in [*WIDE, *JOBS[:6]]:
             await sim.submit(spec)
-        await roll(sim)
+        await replace_controllers(sim)
         with trio.fail_after(10):
             while KEY not in sim.state_store.items:
                 await trio.sleep(0.1)
@@ -250,10 +252,10 @@
     run(monkeypatch, day, earlier=production, state=STATE)
 
 
-def test_a_member_of_the_old_version_keeps_the_gate_closed(
+def test_member_of_the_old_version_keeps_the_gate_closed(
     production: EarlierVersion, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Dead or alive: only what a living process of each member has told counts."""
+    """Down or up: the gate opens only on what the present process of each member reports."""
 
     async def day(sim: Simulation) -> None:
         for name in ("n0", "n1"):
@@ -267,7 +269,7 @@
         sim.kill("n2")
         await trio.sleep(20)
         assert KEY not in sim.state_store.items
-        sim.start("n2")  # it died before its turn
+        sim.start("n2")  # restarted with the old version
         await trio.sleep(20)
         assert KEY not in sim.state_store.items
         sim.kill("n2")
@@ -283,32 +285,40 @@
     run(monkeypatch, day, earlier=production, state=STATE)
 
 
-# --- from 0.6.0 and back to it -----------------------------------------------------------------
+# --- from 0.6.0, and back to it -----------------------------------------------------------------
 
-THERE_AND_BACK: list[Trouble] = [
-    nothing,
-    leaders_end,
-    messages_of_earlier_processes,
-    jobs_cancelled_and_machines_cut,
+ROLLBACK_FAULTS: list[Fault] = [
+    no_fault,
+    leaders_crash,
+    messages_of_former_processes,
+    cancellations_and_isolated_machines,
 ]
 
 
 async def submit_between_versions(sim: Simulation, specs: list[dict[str, Any]]) -> None:
-    """Jobs reach a cluster in which both versions serve."""
+    """Submit jobs to a cluster in which both versions serve."""
     assert 0 < len(sim.earlier_nodes) < len(NODES)
     for spec in specs:
         sim.nursery.start_soon(sim.submit, spec)
 
 
 def versions_serving(sim: Simulation) -> set[str]:
-    return {type(as_built(found)).__module__.split(".")[0] for found in sim.controllers.values()}
-
-
-async def play_there_and_back(sim: Simulation, trouble: Trouble) -> None:
-    """A day begun by 0.6.0, rolled forwards and back with a trouble each time."""
-    before, forwards, after, backwards = JOBS[:4], [*JOBS[4:8], *WIDE], JOBS[8:10], JOBS[10:]
+    return {
+        type(as_built(controller)).__module__.split(".")[0]
+        for controller in sim.controllers.values()
+    }
+
+
+async def play_upgrade_and_rollback(sim: Simulation, fault: Fault) -> None:
+    """Start with 0.6.0, upgrade and roll back, with a fault each time."""
+    jobs_before, jobs_forwards, jobs_after, jobs_backwards = (
+        JOBS[:4],
+        [*JOBS[4:8], *WIDE],
+        JOBS[8:10],
+        JOBS[10:],
+    )
     first_versions = versions_serving(sim)
-    for spec in before:
+    for spec in jobs_before:
         await sim.submit(spec)
     with trio.fail_after(10):
         while KEY not in sim.state_store.items:
@@ -316,20 +326,23 @@
     gate_record = sim.state_store.items[KEY][0]
     sim.nursery.start_soon(users, sim)
     lower_limits(sim)
-    for back, during, then in ((False, forwards, after), (True, backwards, SERVICES)):
+    for back, during, jobs_then in (
+        (False, jobs_forwards, jobs_after),
+        (True, jobs_backwards, SERVICES),
+    ):
 
-        async def both(sim: Simulation, specs: list[dict[str, Any]] = during) -> None:
+        async def submit_and_fault(sim: Simulation, specs: list[dict[str, Any]] = during) -> None:
             await submit_between_versions(sim, specs)
             assert len(versions_serving(sim)) == 2
-            await trouble(sim)
+            await fault(sim)
 
-        await roll(sim, both, back=back)
+        await replace_controllers(sim, submit_and_fault, back=back)
         sim.network.heal()
         for name in sorted(sim.network.crashed):
             sim.start(name)
         await trio.sleep(1.0)
         assert (versions_serving(sim) == first_versions) is back
-        for spec in then:
+        for spec in jobs_then:
             sim.nursery.start_soon(sim.submit, spec)
         await trio.sleep(PAUSE_S)
         sim.check()
@@ -349,11 +362,11 @@
     assert not [key for key in sim.state_store.items if key.startswith(("pt/done/", "pt/fin/"))]
 
 
-@pytest.mark.parametrize("trouble", THERE_AND_BACK, ids=lambda t: t.__name__)
-def test_rules_hold_as_nodes_are_replaced_and_put_back(
-    trouble: Trouble, version_0_6_0: EarlierVersion, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("fault", ROLLBACK_FAULTS, ids=lambda t: t.__name__)
+def test_invariants_hold_during_an_upgrade_and_its_rollback(
+    fault: Fault, version_0_6_0: EarlierVersion, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def day(sim: Simulation) -> None:
-        await play_there_and_back(sim, trouble)
+        await play_upgrade_and_rollback(sim, fault)
 
     run(monkeypatch, day, earlier=version_0_6_0, state=STATE)
--- a/tests/cluster/test_rolling_upgrade_processes.py
+++ b/tests/cluster/test_rolling_upgrade_processes.py
@@ -1,4 +1,4 @@
-"""The upgrade with real processes on loopback: 0.5.1 from history, replaced one by one."""
+"""A rolling upgrade of real processes on loopback, from 0.5.1 as built from history."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from ..harness.earlier_version import ROOT, EarlierVersion
 from ..harness.simulation import job, submission
 
-PATIENCE_S = 60.0
+TIMEOUT_S = 60.0
 
 
-def ask(port: int, path: str, body: Any = None) -> tuple[int, Any]:
-    """One request: its status and JSON body; 0 without an answer."""
+def send_request(port: int, path: str, body: Any = None) -> tuple[int, Any]:
+    """Send a request; return its status and JSON body, or status 0 without a response."""
     data = None if body is None else json.dumps(body).encode()
     try:
         with urllib.request.urlopen(f"http://127.0.0.1:{port}{path}", data, timeout=5) as answer:
@@ -36,12 +36,12 @@
 
 
 def wait_for(what: str, check: Callable[..., bool], *arguments: Any) -> None:
-    end = time.monotonic() + PATIENCE_S
-    while time.monotonic() < end:
+    deadline = time.monotonic() + TIMEOUT_S
+    while time.monotonic() < deadline:
         if check(*arguments):
             return
         time.sleep(0.2)
-    raise AssertionError(f"no {what} in {PATIENCE_S:g} s")
+    raise AssertionError(f"no {what} in {TIMEOUT_S:g} s")
 
 
 class Cluster:
@@ -73,35 +73,35 @@
         self.world.wait()
 
     def ready(self, node: int) -> bool:
-        return ask(controller_port(node), "/ready")[0] == 200
+        return send_request(controller_port(node), "/ready")[0] == 200
 
 
 @pytest.fixture
 def cluster(production: EarlierVersion, tmp_path: Path) -> Iterator[Cluster]:
-    found = Cluster(tmp_path, production.folder.parent)
+    processes = Cluster(tmp_path, production.folder.parent)
     try:
         wait_for("settings", (tmp_path / f"node-{CONTROLLERS - 1}.toml").exists)
-        yield found
+        yield processes
     finally:
-        found.stop_all()
+        processes.stop_all()
 
 
-def desk(number: int, **more: Any) -> dict[str, Any]:
+def desk_job(number: int, **more: Any) -> dict[str, Any]:
     return submission(job(number, crew="desk", vcpus=1.0, rows=4, ripenS=2.0, **more))
 
 
-def test_processes_are_replaced_while_they_serve(cluster: Cluster) -> None:
-    """Jobs accepted by either version are done; the gate opens with the last node."""
+def test_jobs_of_both_versions_finish_during_a_rolling_upgrade(cluster: Cluster) -> None:
+    """Jobs accepted by either version finish; the gate opens with the last upgraded controller."""
 
     def is_at(number: int, node: int, stage: str) -> bool:
-        answer = ask(controller_port(node), f"/api/jobs/wk-{number:06d}")[1]
+        answer = send_request(controller_port(node), f"/api/jobs/wk-{number:06d}")[1]
         return bool(answer.get("stage") == stage)
 
     def gate_is_open() -> bool:
-        return ask(STATE_PORT, "/store/pt/format")[0] == 200
+        return send_request(STATE_PORT, "/store/pt/format")[0] == 200
 
     def accepted(spec: dict[str, Any], node: int) -> bool:
-        return ask(controller_port(node), "/api/jobs", spec)[0] in (200, 201)
+        return send_request(controller_port(node), "/api/jobs", spec)[0] in (200, 201)
 
     for node in range(CONTROLLERS):
         cluster.start(node, "old")
@@ -109,14 +109,17 @@
         wait_for(f"node {node}", cluster.ready, node)
     for node in range(CONTROLLERS):
         assert not gate_is_open()
-        wait_for("acceptance", accepted, desk(node + 1), (node + 1) % CONTROLLERS)
+        wait_for("acceptance", accepted, desk_job(node + 1), (node + 1) % CONTROLLERS)
         cluster.stop(node)
         cluster.start(node, "new")
         wait_for(f"node {node}", cluster.ready, node)
     wait_for("open gate", gate_is_open)
     for number in (1, 2, 3):
         wait_for(f"end of job {number}", is_at, number, 0, "done")
-    service = desk(9, cut="standing", rank="production")
+    service = desk_job(9, cut="standing", rank="production")
     wait_for("acceptance", accepted, service, 1)
     wait_for("running service", is_at, 9, 2, "running")
-    assert ask(controller_port(0), "/api/jobs/wk-000009/cancel", {})[1].get("stage") == "withdrawn"
+    assert (
+        send_request(controller_port(0), "/api/jobs/wk-000009/cancel", {})[1].get("stage")
+        == "withdrawn"
+    )
