--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -204,7 +204,7 @@
             tasks_within_limit=scheduler.quotas.limit_left,
             slack=scheduler.priorities.slack,
             task_seconds=scheduler.estimates.task,
-            recent_specs=lambda: scheduler.shards.recent.values(),
+            recent_specs=lambda: scheduler.shards.recent_jobs.values(),
         )
         return Autoscaler(
             AutoscalerConfig.of(self.settings, self.policy),
