--- a/pitchtally/scheduling/placement/preemption.py
+++ b/pitchtally/scheduling/placement/preemption.py
@@ -72,12 +72,12 @@
         state = self.shards[shard]
         now = trio.current_time()
         rows = []
-        over_guarantee = [team for team in self.quotas.known if self.quotas.over_guarantee(team)]
+        over_guarantee = [team for team in self.quotas.teams if self.quotas.over_guarantee(team)]
         for id, allocation in state.allocations.items():
             if not self._may_preempt(state, allocation, now):
                 continue
             spec = allocation.spec
-            within_guarantee = self.quotas.under(spec)
+            within_guarantee = self.quotas.within_guarantee(spec)
             if not sum(state.running_by_rank[allocation.rank + 1 :]) and not (
                 within_guarantee and any(team != spec.team for team in over_guarantee)
             ):
@@ -219,7 +219,7 @@
         return (
             not is_gang(placement)
             and within_guarantee
-            and self.quotas.beyond(placement.spec, allocation.spec.team)
+            and self.quotas.other_team_over_guarantee(placement.spec, allocation.spec.team)
         )
 
     def _loss(self, placement: Placement, now: float) -> float:
--- a/pitchtally/scheduling/placement/status_publisher.py
+++ b/pitchtally/scheduling/placement/status_publisher.py
@@ -48,15 +48,15 @@
         if matrices_due:
             self.matrix_at = now
         over_guarantee: set[str] = set()
-        if len(self.quotas.known) > 1:
+        if len(self.quotas.teams) > 1:
             over_guarantee = {
-                team for team in self.quotas.known if self.quotas.over_guarantee(team)
+                team for team in self.quotas.teams if self.quotas.over_guarantee(team)
             }
         for shard, state in self.shards.items():
             if matrices_due:
                 self._log_load(shard, state)
             self._refresh_shard(shard, state, over_guarantee, matrices_due, now)
-        self.quotas.find_waiting_for_limit()
+        self.quotas.find_short_of_quota()
         return trio.current_time() - now
 
     def _refresh_shard(
@@ -101,7 +101,7 @@
             ready_gangs=list(state.ready_gangs),
             usage={
                 team: self.quotas.use(shard, team)
-                for team in self.quotas.known
+                for team in self.quotas.teams
                 if self.quotas.limited(team)
             },
         )
@@ -189,7 +189,7 @@
         quotas = self.quotas
         teams = " ".join(
             f"{t}:{quotas.use(shard, t)[0]:g}/{quotas.share(shard, t)[0]:g}"
-            for t in quotas.known
+            for t in quotas.teams
             if quotas.limited(t)
         )
         log.info("load shard=%d free=[%s] pending=%s quota=[%s]", shard, text, pending, teams)
--- a/pitchtally/scheduling/priorities.py
+++ b/pitchtally/scheduling/priorities.py
@@ -64,6 +64,6 @@
             return (AGED_RANK, False, allocation.release)
         return (
             allocation.rank,
-            not self.quotas.under(allocation.spec),
+            not self.quotas.within_guarantee(allocation.spec),
             self.deadlines.allocation_due(allocation, level),
         )
--- a/tests/scheduling/test_quotas.py
+++ b/tests/scheduling/test_quotas.py
@@ -31,7 +31,7 @@
     async def main() -> None:
         leader = leader_of_shard(0, 50)
         shard = leader.agents.shards[0]
-        leader.scheduler.quotas.known = {"free": Team("free", cpus_max=600.0)}  # 200 for each shard
+        leader.scheduler.quotas.teams = {"free": Team("free", cpus_max=600.0)}  # 200 for each shard
         leader.scheduler.shards.states[0].reconciled = not suspects
         for number in range(suspects):
             name = f"i-{number * 3:06d}"
--- a/tests/scheduling/test_service_migration.py
+++ b/tests/scheduling/test_service_migration.py
@@ -12,7 +12,11 @@
 from pitchtally.api.validation import parse_job
 from pitchtally.jobs.index import Job
 from pitchtally.jobs.job_record import OPEN, JobRecord, TaskRange
-from pitchtally.scheduling.rebalancing.service_migration import Move, moved_caps, zone_limits
+from pitchtally.scheduling.rebalancing.service_migration import (
+    ReplicaMigration,
+    migrated_caps,
+    zone_limits,
+)
 from pitchtally.scheduling.shards.allocations import most_in_zone
 
 from ..harness.services import service
@@ -48,7 +52,7 @@
         in_shard = {zone: replicas[shard][zone] for zone in ("a", "b", "c")}
         limits = zone_limits(job_, in_shard, shard)
         zone = rng.choice([z for z, n in limits.items() if n > 0])
-        record.caps = moved_caps(job_, in_shard, shard, Move(target, {zone: 1}))
+        record.caps = migrated_caps(job_, in_shard, shard, ReplicaMigration(target, {zone: 1}))
         replicas[target][zone] += 1
         for checked_zone in in_shard:
             caps = [n for _, z, n in record.caps if z == checked_zone]
