--- a/pitchtally/agents/heartbeats/status_intake.py
+++ b/pitchtally/agents/heartbeats/status_intake.py
@@ -8,13 +8,13 @@
 
 from ...protocol import agent_api
 from ..commands.task_control import TaskControl
-from ..failover import ShardFailover
 from ..led_shard import LedShard
 from ..listener import LossCause
 from ..machine import Machine
 from ..machine_index import MachineIndex
 from ..machine_records import MachineRecords
-from ..reachability import Reachability
+from ..reachability import AgentReachability
+from ..shard_recovery import ShardRecovery
 from .reconciliation import Reconciler
 
 log = logging.getLogger(__name__)
@@ -28,14 +28,14 @@
         index: MachineIndex,
         control: TaskControl,
         reconciler: Reconciler,
-        failover: ShardFailover,
+        recovery: ShardRecovery,
         records: MachineRecords,
-        reachability: Reachability,
+        reachability: AgentReachability,
     ):
         self._index = index
         self._control = control
         self._reconciler = reconciler
-        self._failover = failover
+        self._failover = recovery
         self._records = records
         self._reachability = reachability
 
--- a/pitchtally/agents/manager.py
+++ b/pitchtally/agents/manager.py
@@ -14,7 +14,6 @@
 from .commands.queue import CommandQueue
 from .commands.sender import CommandSender
 from .commands.task_control import TaskControl
-from .failover import ShardFailover
 from .heartbeats.endpoint import HeartbeatEndpoint
 from .heartbeats.reconciliation import Reconciler
 from .heartbeats.status_intake import StatusIntake
@@ -24,7 +23,8 @@
 from .listener import AgentListener, LossCause, SchedulerConnection, TaskStarter
 from .machine_index import MachineIndex, MachineTypeLookup
 from .machine_records import MachineRecords
-from .reachability import Reachability
+from .reachability import AgentReachability
+from .shard_recovery import ShardRecovery
 
 # The sender looks at suspect and unreachable machines so often per heartbeat interval.
 PROBES_PER_HEARTBEAT = 3
@@ -68,14 +68,14 @@
             deployment.state_to_keep,
             times.report_s,
         )
-        self.failover = ShardFailover(
+        self.recovery = ShardRecovery(
             self.index, self.shards, self.records, commits.replica, self._scheduler
         )
         self.lease_expiry = LeaseExpiry(
             self.index, self.shards, self.control, membership, times, policy.silence
         )
         client = AgentClient(deployment.machine_limits, policy.call_timeout)
-        self.reachability = Reachability(self.index, self.records, client, membership, times)
+        self.reachability = AgentReachability(self.index, self.records, client, membership, times)
         intake = self._compose_intake(job_index)
         builder = CommandBuilder(
             self.shards, job_index.jobs, membership, self._scheduler, times.report_s, on_decision
@@ -104,14 +104,14 @@
             self.index,
             self.control,
             reconciler,
-            self.failover,
+            self.recovery,
             self.records,
             self.reachability,
         )
 
     def _compose_sender(self, call: CommandCall, interval: float, max_calls: int) -> CommandSender:
         return CommandSender(
-            self.index, self.shards, self._queue, call, self.failover.load, interval, max_calls
+            self.index, self.shards, self._queue, call, self.recovery.load, interval, max_calls
         )
 
     def connect(self, listener: AgentListener, starter: TaskStarter) -> None:
@@ -121,12 +121,12 @@
 
     def shard_acquired(self, shard: int, token: int) -> None:
         """This node leads a shard under a new fencing token."""
-        self.failover.acquire(shard, token)
+        self.recovery.acquire(shard, token)
         self._queue.wake()
 
     def shard_lost(self, shard: int) -> None:
         """This node doesn't lead a shard any more."""
-        self.failover.release(shard)
+        self.recovery.release(shard)
 
     def machine_terminated(self, name: str) -> None:
         """The cloud has confirmed that the machine, and all on it, is gone."""
@@ -138,5 +138,5 @@
         self.control.remove_all(machine, LossCause.TERMINATED)
         self.index.remove(name)
         if led_shard is not None:
-            self.failover.clear_suspect(led_shard, machine)
+            self.recovery.clear_suspect(led_shard, machine)
         self.records.request_write()
--- a/pitchtally/agents/reachability.py
+++ b/pitchtally/agents/reachability.py
@@ -31,7 +31,7 @@
         """Tell others whether this node reaches no agent."""
 
 
-class Reachability:
+class AgentReachability:
     """Tells a node that its agents can't reach from agents that are gone."""
 
     def __init__(
--- a/pitchtally/agents/failover.py
+++ b/pitchtally/agents/shard_recovery.py
@@ -16,7 +16,7 @@
 log = logging.getLogger(__name__)
 
 
-class ShardFailover:
+class ShardRecovery:
     """Takes each led shard from acquired over loaded to reconciled."""
 
     def __init__(
--- a/pitchtally/api/cancellation.py
+++ b/pitchtally/api/cancellation.py
@@ -15,7 +15,7 @@
 from ..state_store.errors import CompareFailed, LeaseExpired, StoreUnavailable
 from ..state_store.rate_limits import Priority
 from ..state_store.replica import Replica
-from .reachability import Reachability
+from .reachability import StateStoreReachability
 from .read_barrier import BarrierPassed, ReadBarrier
 from .responses import retry_later, unknown_job_response
 from .status import JobStatuses
@@ -61,7 +61,7 @@
         jobs: Mapping[str, Job],
         writer: CancellationWriter,
         read_barrier: ReadBarrier,
-        reachability: Reachability,
+        reachability: StateStoreReachability,
         statuses: JobStatuses,
     ):
         self._jobs = jobs
--- a/pitchtally/api/reachability.py
+++ b/pitchtally/api/reachability.py
@@ -19,7 +19,7 @@
         """Whether no peer has answered within a session TTL."""
 
 
-class Reachability:
+class StateStoreReachability:
     """Tells a node that alone lost the state store from one that everybody lost."""
 
     def __init__(self, state_store: StateStoreClient, peers: PeerReachability, session_ttl: float):
--- a/pitchtally/api/routes.py
+++ b/pitchtally/api/routes.py
@@ -21,7 +21,7 @@
 from .admission_queue import AdmissionControl, AdmissionQueue
 from .cancellation import Cancellations, CancellationWriter
 from .job_creation import JobCreator, SubmissionPlanner
-from .reachability import PeerReachability, Reachability
+from .reachability import PeerReachability, StateStoreReachability
 from .read_barrier import ReadBarrier
 from .responses import error_response
 from .status import JobStatuses
@@ -101,7 +101,9 @@
         self._peers = peers
         self._machine_types = machine_types
         self._serve_agent = serve_agent
-        self._reachability = reachability = Reachability(state_store, peers, policy.session_ttl)
+        self._reachability = reachability = StateStoreReachability(
+            state_store, peers, policy.session_ttl
+        )
         self.read_barrier = ReadBarrier(
             state_store, replica, min(MAX_BARRIER_WAIT_S, policy.call_timeout * BARRIER_WAIT_CALLS)
         )
--- a/pitchtally/api/status.py
+++ b/pitchtally/api/status.py
@@ -11,7 +11,7 @@
 from ..protocol import agent_api, user_api
 from ..state_store import keys
 from ..state_store.replica import Refresh, Replica
-from .reachability import Reachability
+from .reachability import StateStoreReachability
 from .read_barrier import BarrierPassed, ReadBarrier
 from .responses import (
     STATE_UNCONFIRMED,
@@ -31,7 +31,7 @@
         jobs: Mapping[str, Job],
         replica: Replica,
         read_barrier: ReadBarrier,
-        reachability: Reachability,
+        reachability: StateStoreReachability,
         running_tasks: Callable[[str], int],
         on_decision: DecisionListener,
     ):
--- a/pitchtally/api/submission.py
+++ b/pitchtally/api/submission.py
@@ -13,7 +13,7 @@
 from ..protocol import cloud_api, user_api
 from .admission_queue import AdmissionControl
 from .job_creation import AlreadyExists, Created, JobCreator
-from .reachability import Reachability
+from .reachability import StateStoreReachability
 from .responses import STORE_UNAVAILABLE, error_response, job_response, retry_later
 from .status import JobStatuses
 from .validation import InvalidSubmission, check_runnable, id_of, parse_job
@@ -26,7 +26,7 @@
         self,
         settings: Settings,
         machine_types: Callable[[], Mapping[str, cloud_api.MachineType]],
-        reachability: Reachability,
+        reachability: StateStoreReachability,
         statuses: JobStatuses,
         admission: AdmissionControl,
         creator: JobCreator,
--- a/pitchtally/autoscaling/autoscaler.py
+++ b/pitchtally/autoscaling/autoscaler.py
@@ -200,8 +200,8 @@
 
     def take_heartbeat(self, heartbeat: PeerHeartbeat) -> None:
         """Apply what a peer says of this node's machines."""
-        for name in heartbeat.released:
+        for name in heartbeat.terminated:
             if name not in self._agents.terminated or name in self._agents.machines:
                 self._agents.machine_terminated(name)
         if heartbeat.node == self._membership.leader(CLUSTER_LEADER_SHARD):
-            apply_drains(heartbeat.drain, self._agents.machines.values())
+            apply_drains(heartbeat.draining, self._agents.machines.values())
--- a/pitchtally/autoscaling/machine_health.py
+++ b/pitchtally/autoscaling/machine_health.py
@@ -19,7 +19,7 @@
 from .terminations import TerminationCause, Terminations
 
 # Flags of machines that can't be reached, or don't receive what they are told.
-UNREACHABLE_FLAGS = frozenset({MachineFlag.LOST, MachineFlag.UNHEARD, MachineFlag.UNRESPONSIVE})
+UNREACHABLE_FLAGS = frozenset({MachineFlag.LOST, MachineFlag.SUSPECT, MachineFlag.UNREACHABLE})
 # Seconds that a machine boots whose type isn't known.
 DEFAULT_BOOT_S = 30.0
 # Times its usual boot that a machine may take.
@@ -167,7 +167,7 @@
                 self._terminations.request(name, TerminationCause.HEARTBEAT_TIMEOUT)
         if status.flag == MachineFlag.NOTICE and status.tasks == 0:
             self._terminations.request(name, TerminationCause.PREEMPTED)
-        if status.flag == MachineFlag.UNHEALTHY and status.tasks == 0:
+        if status.flag == MachineFlag.QUARANTINED and status.tasks == 0:
             self._terminations.request(name, TerminationCause.QUARANTINED)
 
     def _max_unreachable(self, status: MachineStatus) -> float:
--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -99,8 +99,8 @@
             Cancellation(*row) for row in self._job_index.cancelled_after(revision)
         ]
         heartbeat.shards = self._scheduler.statuses.own()
-        heartbeat.released = self._autoscaler.terminated_names()
-        heartbeat.drain = self._autoscaler.drain_names()
+        heartbeat.terminated = self._autoscaler.terminated_names()
+        heartbeat.draining = self._autoscaler.drain_names()
 
     def plan_job(self, spec: user_api.JobSpec) -> ScheduleReply:
         """Place a job as the cluster leader."""
--- a/pitchtally/membership/messages.py
+++ b/pitchtally/membership/messages.py
@@ -30,11 +30,11 @@
     USABLE = ""
     NEW = "new"  # not recorded yet, or of a type not known yet
     LOST = "lost"  # its lease has expired
-    UNHEARD = "unheard"  # recorded, no heartbeat since its shard was acquired
-    UNRESPONSIVE = "deaf"  # its heartbeats arrive, but our answers do not
+    SUSPECT = "unheard"  # recorded, no heartbeat since its shard was acquired
+    UNREACHABLE = "deaf"  # its heartbeats arrive, but our answers do not
     NOTICE = "notice"  # a spot instance that the cloud is about to preempt
     DRAINING = "drain"  # to be terminated once it is empty
-    UNHEALTHY = "sick"  # tasks of several good jobs fail on it
+    QUARANTINED = "sick"  # tasks of several good jobs fail on it
 
 
 class MachineStatus(Struct, array_like=True):
@@ -105,8 +105,8 @@
     cancellations_age: float  # seconds since the sender knew all cancellations
     cancellations: list[Cancellation]  # that the receiver's replica cannot show yet
     shards: list[ShardStatus]
-    released: list[str]  # machines that the cloud has confirmed as terminated
-    drain: list[str]  # machines to be drained
+    terminated: list[str]  # machines that the cloud has confirmed as terminated
+    draining: list[str]  # machines to be drained
     tokens: list[ShardToken] = []
     call: int = UNNUMBERED
 
--- a/pitchtally/membership/peers/heartbeats.py
+++ b/pitchtally/membership/peers/heartbeats.py
@@ -40,8 +40,8 @@
             cancellations_age=min(NEVER_READ, now - self._freshness.cancellations_verified_at()),
             cancellations=[],
             shards=[],
-            released=[],
-            drain=[],
+            terminated=[],
+            draining=[],
             tokens=[ShardToken(shard, lease.token) for shard, lease in leaders.items()],
         )
         self.updates.add_updates(heartbeat, revision)
--- a/pitchtally/scheduling/assignment/admission.py
+++ b/pitchtally/scheduling/assignment/local_assignment.py
@@ -24,7 +24,7 @@
     proportional_split: ProportionalSplit
 
 
-class Admission:
+class LocalAssignment:
     """The paper's test on acceptance: keep a job covered at up to B times the lowest stretch."""
 
     def __init__(
--- a/pitchtally/scheduling/gangs/single_shard_planner.py
+++ b/pitchtally/scheduling/gangs/single_shard_planner.py
@@ -17,7 +17,7 @@
 from .free_capacity import FreeCapacity, ZoneCapacities
 
 # Machines that are expected to take work again, whether their agents are heard now or not.
-_UP_FLAGS = frozenset({MachineFlag.USABLE, MachineFlag.LOST, MachineFlag.UNHEARD})
+_UP_FLAGS = frozenset({MachineFlag.USABLE, MachineFlag.LOST, MachineFlag.SUSPECT})
 # Those, and machines that haven't sent their first heartbeat.
 _COMING_FLAGS = _UP_FLAGS | {MachineFlag.NEW}
 
--- a/pitchtally/scheduling/placement/status_publisher.py
+++ b/pitchtally/scheduling/placement/status_publisher.py
@@ -197,15 +197,15 @@
     def _flag(self, machine: Machine, now: float) -> MachineFlag:
         """Why tasks may not start on a machine, the most lasting reason first."""
         if machine.lost:
-            return MachineFlag.LOST if machine.confirmed else MachineFlag.UNHEARD
+            return MachineFlag.LOST if machine.confirmed else MachineFlag.SUSPECT
         if machine.preemption_at is not None:
             return MachineFlag.NOTICE
         if machine.unreachable:
-            return MachineFlag.UNRESPONSIVE
+            return MachineFlag.UNREACHABLE
         if machine.draining:
             return MachineFlag.DRAINING
         if machine.quarantined_until >= now:
-            return MachineFlag.UNHEALTHY
+            return MachineFlag.QUARANTINED
         return MachineFlag.USABLE if machine.schedulable else MachineFlag.NEW
 
 
--- a/pitchtally/scheduling/scheduler.py
+++ b/pitchtally/scheduling/scheduler.py
@@ -26,9 +26,9 @@
 from ..protocol import cloud_api, user_api
 from ..state_store.errors import StoreUnavailable
 from ..state_store.replica import Replica
-from .assignment.admission import Admission, JobPlanners
 from .assignment.constrained_assignment import ConstrainedAssignment
 from .assignment.job_assignment import JobAssignment
+from .assignment.local_assignment import JobPlanners, LocalAssignment
 from .assignment.proportional_split import ProportionalSplit
 from .capacity import Plan
 from .context import AvailabilitySamples, SchedulingContext
@@ -142,7 +142,7 @@
         single_shard = SingleShardPlanner(context, self.statuses, free_capacity)
         gangs = GangPlanner(context, self.statuses, self.quotas, self.deadlines, free_capacity)
         split = ProportionalSplit(context, self.statuses, self.deadlines, single_shard)
-        self.admission = Admission(
+        self.local_assignment = LocalAssignment(
             context,
             self.membership,
             states,
@@ -167,12 +167,12 @@
         )
 
     def decide(self, spec: user_api.JobSpec) -> Plan:
-        """Where a job goes on acceptance, see `Admission.decide`."""
-        return self.admission.decide(spec)
+        """Where a job goes on acceptance, see `LocalAssignment.decide`."""
+        return self.local_assignment.decide(spec)
 
     def decide_as_leader(self, spec: user_api.JobSpec) -> Plan:
         """Where a job goes that its accepting controller doesn't keep."""
-        return self.admission.decide_as_leader(spec)
+        return self.local_assignment.decide_as_leader(spec)
 
     async def run(self) -> None:
         """Plan within each of our shards and refresh their statuses, over and over."""
--- a/tests/agents/test_machine_records.py
+++ b/tests/agents/test_machine_records.py
@@ -60,7 +60,7 @@
         )
         controller.membership.leadership.announce(SHARD)
         self.agents = controller.agents
-        self.agents.failover.load(self.led_shard)
+        self.agents.recovery.load(self.led_shard)
         span = controller.agents.records.span * controller.agents.index.shard_count
         self.first = self._add(0)
         self.second = self._add(span)
@@ -141,7 +141,8 @@
     async def body(leader: RecordsUnderTest, state_store: StoreStub) -> None:
         assert not leader.first.recorded
         await leader.write()
-        assert leader.first.recorded and leader.second.recorded
+        assert leader.first.recorded
+        assert leader.second.recorded
         leader.first.recorded = False
         await leader.write()  # the row stands already
         assert leader.first.recorded
--- a/tests/api/test_service_validation.py
+++ b/tests/api/test_service_validation.py
@@ -34,12 +34,12 @@
 ) -> None:
     config = settings("n0", teams=[Team("tight", cpus_max=6.0, gpus_max=3.0), Team("free")])
     spec = parse_job(json.dumps(submission(service(1, **{"crew": "tight", **more}))).encode())
+    refused: int | None = None
     try:
         check_runnable(spec, config, TYPES)
     except InvalidSubmission as error:
-        assert error.status == status
-    else:
-        assert status is None
+        refused = error.status
+    assert refused == status
 
 
 @pytest.mark.parametrize("missing", ["ripenS", "rows", "spread", "crew"])
--- a/tests/autoscaling/test_scaling.py
+++ b/tests/autoscaling/test_scaling.py
@@ -214,11 +214,13 @@
         with trio.move_on_after(10):
             await timeouts.run()
         before = timeouts.unreachable_for("i-0", trio.current_time())
-        assert before is not None and before > 5
+        assert before is not None
+        assert before > 5
         resumed_at = trio.current_time() + 0.001
         with trio.move_on_after(config().heartbeat_interval * 1.5):
             await timeouts.run()
         after = timeouts.unreachable_for("i-0", trio.current_time())
-        assert after is not None and after < 5
+        assert after is not None
+        assert after < 5
 
     on_mock_clock(body)
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -87,7 +87,8 @@
 def _check_records(controller: Any) -> None:
     job_index = controller.job_index
     job_ = job_index.jobs["wk-000001"]
-    assert job_.spec.tasks == 6 and job_.record.ranges == [(0, 4, 0), (4, 6, 1)]
+    assert job_.spec.tasks == 6
+    assert job_.record.ranges == [(0, 4, 0), (4, 6, 1)]
     assert [t for t in range(6) if t in job_.finished] == [0, 2]
     assert job_index.jobs["wk-000002"].record.stage == "done"
     assert job_index.cancelled == [(14, "wk-000003")]
@@ -233,7 +234,8 @@
         writer: Any = new if new_writes else old
         reader: Any = old if new_writes else new
         _learn(writer, {"format": writer.gate.record()})
-        assert writer.gate.open and not reader.gate.open
+        assert writer.gate.open
+        assert not reader.gate.open
         written = _write_in_present_format(writer, [(0, 4, 0), (4, 6, 1)])
         assert written["jobs/wk-000001"] != RECORDS["jobs/wk-000001"]
         _learn(reader, {key: written[key] for key in RECORDS})
--- a/tests/harness/earlier_version.py
+++ b/tests/harness/earlier_version.py
@@ -91,7 +91,8 @@
         spec = importlib.util.spec_from_file_location(
             self.package, init, submodule_search_locations=[str(self.folder)]
         )
-        assert spec is not None and spec.loader is not None
+        assert spec is not None
+        assert spec.loader is not None
         package = importlib.util.module_from_spec(spec)
         sys.modules[self.package] = package
         spec.loader.exec_module(package)
--- a/tests/harness/single_controller.py
+++ b/tests/harness/single_controller.py
@@ -32,7 +32,7 @@
     leader = ShardLeader("n0", controller.membership.incarnation)
     controller.membership.leadership.leaders[shard] = ShardLease(leader, token)
     controller.membership.leadership.announce(shard)
-    controller.agents.failover.load(controller.agents.shards[shard])
+    controller.agents.recovery.load(controller.agents.shards[shard])
     return controller
 
 
