--- a/pitchtally/api/cancellation.py
+++ b/pitchtally/api/cancellation.py
@@ -43,14 +43,18 @@
 
     async def commit(self, job: Job) -> None:
         """Write that a job is cancelled; raises what `StateStoreClient.commit` does."""
-        final = JobRecord(job_record.CANCELLED, job.record.tasks, count=job.finished.count)
+        final = JobRecord(
+            job_record.CANCELLED, job.record.tasks, finished_when_cancelled=job.finished.count
+        )
         change = Write(keys.job(job.id), job_record.encode(final))
         revision = await self._state_store.commit(
             {change.key: job.version}, [change], priority=Priority.COMPLETIONS
         )
         self._replica.apply_own_commit([change], revision)
         self._on_decision(Decision.CANCELLED, job.id, DecisionReason(version=revision))
-        self._notify_peers(Cancellation(job.id, revision, final.tasks, final.count))
+        self._notify_peers(
+            Cancellation(job.id, revision, final.tasks, final.finished_when_cancelled)
+        )
 
 
 class Cancellations:
--- a/pitchtally/api/job_creation.py
+++ b/pitchtally/api/job_creation.py
@@ -135,7 +135,7 @@
             plan.ranges,
             zone=plan.zone,
             attempt=plan.attempt,
-            caps=plan.caps,
+            zone_caps=plan.zone_caps,
         )
 
     async def _commit(self, id: str, submission: PendingSubmission) -> CreationOutcome:
--- a/pitchtally/api/status.py
+++ b/pitchtally/api/status.py
@@ -91,7 +91,7 @@
         if record.stage == job_record.DONE:
             return user_api.JobView(job.id, job_record.DONE, record.tasks, 0)
         if record.stage == job_record.CANCELLED:
-            return user_api.JobView(job.id, user_api.WITHDRAWN, record.count, 0)
+            return user_api.JobView(job.id, user_api.WITHDRAWN, record.finished_when_cancelled, 0)
         done = 0 if job.service else job.finished.count + len(job.local)
         running = self._running_tasks(job.id)
         state = agent_api.RUNNING if running else user_api.PENDING
--- a/pitchtally/jobs/index.py
+++ b/pitchtally/jobs/index.py
@@ -278,7 +278,7 @@
         """
         first = bisect.bisect_right(self.cancelled, CancelledVersion(revision + 1, ""))
         return [
-            CommittedCancellation(id, version, record.tasks, record.count)
+            CommittedCancellation(id, version, record.tasks, record.finished_when_cancelled)
             for version, id in self.cancelled[first:]
             if (record := self.jobs[id].record).stage == CANCELLED
         ]
@@ -289,7 +289,7 @@
         It goes into the replica as the watch would put it there, so that whatever asks about
         the job from now on finds it over, also a shard that is loaded or reconciled later.
         """
-        final = JobRecord(CANCELLED, tasks, count=done)
+        final = JobRecord(CANCELLED, tasks, finished_when_cancelled=done)
         self.replica.learn(keys.job(id), encode(final), version)
 
     def task_done(self, job: Job, task: int, urgent: bool) -> None:
--- a/pitchtally/jobs/job_record.py
+++ b/pitchtally/jobs/job_record.py
@@ -38,19 +38,20 @@
 
 
 class JobRecord(Struct, omit_defaults=True):
-    """A job as the state store keeps it."""
+    """A job as the state store keeps it; `name=` gives a field's stored name if it differs."""
 
     stage: str
     tasks: int
     spec: user_api.JobSpec | None = None  # dropped once the job is over
-    at: float = 0.0  # time of day of acceptance
+    accepted_at: float = msgspec.field(default=0.0, name="at")  # seconds since the epoch
     ranges: list[TaskRange] = msgspec.field(default_factory=list)
     finished: str = ""
     zone: str | None = None  # for one-zone jobs, fixed before the first start
     attempt: int = 0  # for gangs over several shards: the attempt all of them start
     # For jobs that spread over zones.
-    caps: list[ZoneCap] = msgspec.field(default_factory=list)
-    count: int = 0  # tasks done when a job was cancelled
+    zone_caps: list[ZoneCap] = msgspec.field(default_factory=list, name="caps")
+    # Tasks done when the job was cancelled.
+    finished_when_cancelled: int = msgspec.field(default=0, name="count")
     # Since format 2; an earlier version would drop both when it rewrites the record.
     chunk_tasks: int = 0  # finished tasks are in keys of that many, see `formats.finished_tasks`
     spec_text: TextRef | None = None  # where the spec is, if it is too long for the record
--- a/pitchtally/scheduling/assignment/constrained_assignment.py
+++ b/pitchtally/scheduling/assignment/constrained_assignment.py
@@ -49,7 +49,7 @@
                 plan.ranges,
                 zone=plan.zone,
                 attempt=plan.attempt,
-                caps=plan.caps,
+                zone_caps=plan.zone_caps,
             )
 
     def _plan(self, job: Job, token: int) -> Plan | None:
@@ -97,7 +97,7 @@
             merge([*job.record.ranges, *((first, end, best) for first, end, _ in unassigned)]),
             zone=zone,
             attempt=0,
-            caps=[],
+            zone_caps=[],
         )
 
 
--- a/pitchtally/scheduling/capacity.py
+++ b/pitchtally/scheduling/capacity.py
@@ -65,7 +65,7 @@
     ranges: list[TaskRange]
     zone: str | None = None  # for one-zone jobs
     attempt: int = 0  # of gangs over several shards, see `JobRecord.attempt`
-    caps: list[ZoneCap] = []
+    zone_caps: list[ZoneCap] = []
 
 
 # The plan of a job that no shard gets yet.
--- a/pitchtally/scheduling/gangs/planner.py
+++ b/pitchtally/scheduling/gangs/planner.py
@@ -105,10 +105,10 @@
             source.name,
         )
         zone = next(place.zone for place in found) if spec.one_zone else None
-        caps = []
+        zone_caps = []
         if spec.spread and len(ranges) > 1:
-            caps = [ZoneCap(place.shard, place.zone, tasks) for place, tasks in found.items()]
-        return Plan(ranges, zone, attempt, caps)
+            zone_caps = [ZoneCap(place.shard, place.zone, tasks) for place, tasks in found.items()]
+        return Plan(ranges, zone, attempt, zone_caps)
 
     def _next_shared_attempt(self, token: int) -> int:
         self._shared_attempts += 1
--- a/pitchtally/scheduling/gangs/starter.py
+++ b/pitchtally/scheduling/gangs/starter.py
@@ -140,12 +140,12 @@
                 job.spec.image not in candidate.machine.cached_images,
             )
         )
-        caps = {zone: cap for p, zone, cap in job.record.caps if p == shard}
+        zone_caps = {zone: cap for p, zone, cap in job.record.zone_caps if p == shard}
         limit = most_in_zone(job.spec) if job.spec.spread and job.spec.tasks > 1 else wanted
         chosen: list[Machine] = []
         zones: dict[str, int] = {}
         for machine, tasks in candidates:
-            most = caps.get(machine.zone, 0) if job.record.caps else limit
+            most = zone_caps.get(machine.zone, 0) if job.record.zone_caps else limit
             for _ in range(tasks):
                 if len(chosen) == wanted or zones.get(machine.zone, 0) >= most:
                     break
--- a/pitchtally/scheduling/placement/preemption.py
+++ b/pitchtally/scheduling/placement/preemption.py
@@ -115,24 +115,24 @@
         wanted = allocation.pending.count
         chosen: list[Step] = []
         zones: dict[str, int] = {}
-        caps = {
+        zone_caps = {
             cap.zone: cap.tasks
-            for cap in allocation.job.record.caps
+            for cap in allocation.job.record.zone_caps
             if cap.shard == allocation.shard
         }
         if allocation.spec.spread and not allocation.gang and allocation.spec.tasks > 1:
             # A zone that has its half of the tasks already can't take more.
             for zone in {step.machine.zone for step in steps}:
-                caps[zone] = allocation.most_in_zone(zone) - allocation.placed_in(zone)
+                zone_caps[zone] = allocation.most_in_zone(zone) - allocation.placed_in(zone)
         if not allocation.gang:
             # Where capacity is available, the next agent heartbeat starts tasks anyway.
             available = Counter(step.machine.zone for step in steps if not step.victims)
             for zone, free in available.items():
-                zones[zone] = max(0, min(free, caps.get(zone, free)))
+                zones[zone] = max(0, min(free, zone_caps.get(zone, free)))
             wanted -= sum(zones.values())
         for step in steps:
             zone = step.machine.zone
-            if len(chosen) >= wanted or zones.get(zone, 0) >= caps.get(zone, math.inf):
+            if len(chosen) >= wanted or zones.get(zone, 0) >= zone_caps.get(zone, math.inf):
                 continue
             if not allocation.gang and not step.victims:
                 continue
--- a/pitchtally/scheduling/range_writer.py
+++ b/pitchtally/scheduling/range_writer.py
@@ -32,12 +32,12 @@
 def _same_assignment(job: Job, before: JobRecord) -> bool:
     """Whether a job's record says the same as before of which shard has which tasks."""
     now = job.record
-    return (now.stage, now.ranges, now.zone, now.attempt, now.caps) == (
+    return (now.stage, now.ranges, now.zone, now.attempt, now.zone_caps) == (
         before.stage,
         before.ranges,
         before.zone,
         before.attempt,
-        before.caps,
+        before.zone_caps,
     )
 
 
@@ -65,16 +65,16 @@
         *,
         zone: str | UnsetType | None = UNSET,
         attempt: int | UnsetType = UNSET,
-        caps: list[ZoneCap] | UnsetType = UNSET,
+        zone_caps: list[ZoneCap] | UnsetType = UNSET,
     ) -> bool:
         """Write which shard has which tasks of a job; False if a precondition failed.
 
-        `zone`, `attempt` and `caps` bind jobs whose tasks constrain one another; those left
+        `zone`, `attempt` and `zone_caps` bind jobs whose tasks constrain one another; those left
         out stay as they are. Raises StoreUnavailable, OutcomeUnknown included.
         """
         bindings: dict[str, object] = {
             name: value
-            for name, value in (("zone", zone), ("attempt", attempt), ("caps", caps))
+            for name, value in (("zone", zone), ("attempt", attempt), ("zone_caps", zone_caps))
             if value is not UNSET
         }
         preconditions = {**preconditions, **self._tokens_of_led_shards(ranges)}
--- a/pitchtally/scheduling/rebalancing/service_migration.py
+++ b/pitchtally/scheduling/rebalancing/service_migration.py
@@ -141,9 +141,11 @@
         return zone_limits(allocation.job, placed, allocation.shard)
 
     async def _migrate(self, allocation: ShardAllocation, found: ReplicaMigration) -> None:
-        caps = None
+        zone_caps = None
         if allocation.spec.spread:
-            caps = migrated_caps(allocation.job, self._placed(allocation), allocation.shard, found)
+            zone_caps = migrated_caps(
+                allocation.job, self._placed(allocation), allocation.shard, found
+            )
         log.info(
             "replicas migrate job=%s from=%d to=%d count=%d",
             allocation.job.id,
@@ -152,7 +154,9 @@
             allocation.pending.count,
         )
         try:
-            await self.migration.migrate(allocation, found.shard, allocation.pending.count, caps)
+            await self.migration.migrate(
+                allocation, found.shard, allocation.pending.count, zone_caps
+            )
         except StoreUnavailable as error:
             log.debug("replicas not migrated: %s", error)
 
@@ -171,7 +175,7 @@
 def zone_limits(job: Job, placed: ZoneCounts, shard: int) -> ZoneCounts:
     """How many more replicas may be in each zone, other shards' caps and our placements counted."""
     taken: Counter[str] = Counter(placed)
-    for other, zone, cap in job.record.caps:
+    for other, zone, cap in job.record.zone_caps:
         if other != shard:
             taken[zone] += cap
     most = most_in_zone(job.spec)
@@ -186,12 +190,12 @@
     Ours fall by the replicas that migrate, and the target's rise by no more than the zones'
     limits leave, so a zone's caps never add up to more than its limit.
     """
-    caps: Counter[tuple[int, str]] = Counter()
-    for other, zone, cap in job.record.caps:
+    zone_caps: Counter[tuple[int, str]] = Counter()
+    for other, zone, cap in job.record.zone_caps:
         if other != shard:
-            caps[(other, zone)] += cap
+            zone_caps[(other, zone)] += cap
     for zone, count in placed.items():
-        caps[(shard, zone)] = count
+        zone_caps[(shard, zone)] = count
     for zone, count in migration.zones.items():
-        caps[(migration.shard, zone)] += count
-    return [ZoneCap(other, zone, cap) for (other, zone), cap in sorted(caps.items()) if cap]
+        zone_caps[(migration.shard, zone)] += count
+    return [ZoneCap(other, zone, cap) for (other, zone), cap in sorted(zone_caps.items()) if cap]
--- a/pitchtally/scheduling/rebalancing/task_migration.py
+++ b/pitchtally/scheduling/rebalancing/task_migration.py
@@ -37,11 +37,11 @@
         allocation: ShardAllocation,
         target: int,
         count: int,
-        caps: list[ZoneCap] | None = None,
+        zone_caps: list[ZoneCap] | None = None,
     ) -> None:
         """Move `count` pending tasks to the shard `target`, in one conditional write.
 
-        `caps`, if given, are the job's new ones (see `JobRecord.caps`).
+        `zone_caps`, if given, are the job's new ones (see `JobRecord.zone_caps`).
         """
         job, shard = allocation.job, allocation.shard
         token = self.membership.token(shard)
@@ -53,7 +53,10 @@
         try:
             ranges = _migrated(job.record.ranges, shard, target, carved)
             if await self.range_writer.write_ranges(
-                job, {keys.shard(shard): token}, ranges, caps=UNSET if caps is None else caps
+                job,
+                {keys.shard(shard): token},
+                ranges,
+                zone_caps=UNSET if zone_caps is None else zone_caps,
             ):
                 self.statuses.record_allocation(target, job.spec, count)
                 log.debug("migrated job=%s tasks=%d from=%d to=%d", job.id, count, shard, target)
--- a/pitchtally/scheduling/shards/allocations.py
+++ b/pitchtally/scheduling/shards/allocations.py
@@ -99,10 +99,10 @@
 
     def most_in_zone(self, zone: str) -> int:
         """The most tasks of a spread job that this shard may have in a zone."""
-        if self.service and self.job.record.caps:
+        if self.service and self.job.record.zone_caps:
             return sum(
                 cap.tasks
-                for cap in self.job.record.caps
+                for cap in self.job.record.zone_caps
                 if cap.shard == self.shard and cap.zone == zone
             )
         return most_in_zone(self.spec)
--- a/pitchtally/scheduling/shards/deadlines.py
+++ b/pitchtally/scheduling/shards/deadlines.py
@@ -53,7 +53,7 @@
         """When the job was accepted, on the monotonic clock: r of the paper."""
         found = self._released.get(job.id)
         if found is None:
-            found = trio.current_time() - max(0.0, time.time() - job.record.at)
+            found = trio.current_time() - max(0.0, time.time() - job.record.accepted_at)
             self._released[job.id] = found
         return found
 
--- a/tests/http/test_connections.py
+++ b/tests/http/test_connections.py
@@ -132,7 +132,7 @@
                 server = Server(_echo, max_connections=5, idle_timeout=30, request_timeout=2)
                 ports.append(await _start(nursery, server))
                 await client.call(("127.0.0.1", ports[-1]), "GET", "/", timeout=1)
-            assert sum(len(pending) for pending in client.pool.idle.values()) <= 4
+            assert sum(len(connections) for connections in client.pool.idle.values()) <= 4
             assert len(client.pool.idle) <= 4
             assert ("127.0.0.1", ports[-1]) in client.pool.idle
             nursery.cancel_scope.cancel()
--- a/tests/scheduling/test_preemption.py
+++ b/tests/scheduling/test_preemption.py
@@ -28,7 +28,7 @@
         pending=SimpleNamespace(count=pending),
         gang=gang,
         shard=0,
-        job=SimpleNamespace(record=SimpleNamespace(caps=[])),
+        job=SimpleNamespace(record=SimpleNamespace(zone_caps=[])),
         spec=SimpleNamespace(spread=zones is not None, tasks=8),
         most_in_zone=lambda zone: (zones or {})[zone],
         placed_in=lambda zone: 0,
--- a/tests/scheduling/test_service_migration.py
+++ b/tests/scheduling/test_service_migration.py
@@ -52,11 +52,11 @@
         in_shard = {zone: replicas[shard][zone] for zone in ("a", "b", "c")}
         limits = zone_limits(job_, in_shard, shard)
         zone = rng.choice([z for z, n in limits.items() if n > 0])
-        record.caps = migrated_caps(job_, in_shard, shard, ReplicaMigration(target, {zone: 1}))
+        record.zone_caps = migrated_caps(job_, in_shard, shard, ReplicaMigration(target, {zone: 1}))
         replicas[target][zone] += 1
         for checked_zone in in_shard:
-            caps = [n for _, z, n in record.caps if z == checked_zone]
-            assert sum(caps) <= max_in_zone
+            zone_caps = [n for _, z, n in record.zone_caps if z == checked_zone]
+            assert sum(zone_caps) <= max_in_zone
             assert all(
                 n <= cap_of(record, p, checked_zone)
                 for p in replicas
@@ -65,4 +65,4 @@
 
 
 def cap_of(record: JobRecord, shard: int, zone: str) -> int:
-    return sum(n for p, z, n in record.caps if (p, z) == (shard, zone))
+    return sum(n for p, z, n in record.zone_caps if (p, z) == (shard, zone))
