--- a/pitchtally/agents/machine.py
+++ b/pitchtally/agents/machine.py
@@ -10,14 +10,13 @@
 
 import trio
 
+from ..config.clock import LONG_AGO
 from ..jobs.index import Job
 from ..jobs.resources import NO_RESOURCES, Resources, resource_request
 from ..protocol import agent_api, cloud_api, user_api
 
 # Responses in a row without any effect, after which a machine counts as unreachable.
 MAX_INEFFECTIVE_RESPONSES = 2
-# A time before any other: "never" where a time is expected.
-NEVER = -1e9
 
 
 class MachineGroupKey(NamedTuple):
@@ -161,14 +160,14 @@
         self.lost = False  # its lease has expired, or it hasn't been heard for long
         self.draining = False
         self.preemption_at: float | None = None  # when the provider takes it back
-        self.quarantined_until = NEVER
+        self.quarantined_until = LONG_AGO
         self.idle_since = now
         self.placements: dict[str, Placement] = {}  # by task key
         self.used = [0.0, 0.0, 0.0]  # by its placements: CPUs, GPUs, GiB
         self.used_by_rank = [[0.0, 0.0, 0.0] for _ in user_api.RANKS]  # the same, by rank
         self.reservation: Reservation | None = None
         self.exits: dict[str, TaskExit] = {}  # by task key; the agent still lists them
-        self.exits_acknowledged_at = NEVER
+        self.exits_acknowledged_at = LONG_AGO
         # Attempts by task key of jobs that were over before this node acquired the shard:
         # all that is known of them is that they must stop.
         self.orphans: dict[str, int] = {}
--- a/pitchtally/membership/pause_detector.py
+++ b/pitchtally/membership/pause_detector.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from ..state_store.client import LONG_AGO
+from ..config.clock import LONG_AGO
 
 log = logging.getLogger(__name__)
 
--- a/pitchtally/membership/peers/freshness_tracker.py
+++ b/pitchtally/membership/peers/freshness_tracker.py
@@ -6,8 +6,8 @@
 
 import trio
 
+from ...config.clock import LONG_AGO
 from ...config.policy import Policy
-from ...state_store.client import LONG_AGO
 from ...state_store.replica import Replica
 from ..freshness import PeerReply, cancellations_verified, leadership_verified
 from .peer import Peer
--- a/pitchtally/membership/peers/peer.py
+++ b/pitchtally/membership/peers/peer.py
@@ -6,8 +6,8 @@
 
 import trio
 
+from ...config.clock import LONG_AGO
 from ...config.settings import Member, host_port
-from ...state_store.client import LONG_AGO
 from ..freshness import PeerReply
 from ..messages import PeerHeartbeat
 
--- a/pitchtally/scheduling/gangs/starter.py
+++ b/pitchtally/scheduling/gangs/starter.py
@@ -7,6 +7,7 @@
 import trio
 
 from ...agents.machine import Machine, Reservation
+from ...config.clock import LONG_AGO
 from ...jobs.resources import Resources, count_fitting, fits
 from ..capacity import is_fully_assigned
 from ..context import SchedulingContext
@@ -117,7 +118,7 @@
         if ours is not None:
             return job_id in ours.ready_gangs
         oldest = now - self.policy.heartbeat_interval * _STATUS_INTERVALS
-        if self.statuses.received_at.get(shard, -1e9) < oldest:
+        if self.statuses.received_at.get(shard, LONG_AGO) < oldest:
             return True
         status = self.statuses.newest.get(shard)
         return status is None or job_id in status.ready_gangs
--- a/pitchtally/scheduling/placement/status_publisher.py
+++ b/pitchtally/scheduling/placement/status_publisher.py
@@ -6,7 +6,8 @@
 
 import trio
 
-from ...agents.machine import NEVER, Machine
+from ...agents.machine import Machine
+from ...config.clock import LONG_AGO
 from ...jobs.resources import NO_RESOURCES, Resources
 from ...membership.messages import GroupMatrix, MachineFlag, MachineStatus, ShardStatus
 from ...protocol import user_api
@@ -38,7 +39,7 @@
         self.shards = shards
         self.statuses = statuses
         self.quotas = quotas
-        self.matrix_at = NEVER
+        self.matrix_at = LONG_AGO
 
     def refresh(self) -> float:
         """Refresh the statuses of our shards; the seconds that it took."""
--- a/pitchtally/scheduling/rebalancing/queue_balancing.py
+++ b/pitchtally/scheduling/rebalancing/queue_balancing.py
@@ -7,6 +7,7 @@
 
 import trio
 
+from ...config.clock import LONG_AGO
 from ...membership.messages import MachineFlag, ShardStatus
 from ...protocol import user_api
 from ..capacity import RANK, allows_machine_type, stays_in_one_shard
@@ -63,7 +64,7 @@
         self.shards = shards
         self.statuses = statuses
         self.migration = migration
-        self._last_round_at = -1e9
+        self._last_round_at = LONG_AGO
 
     async def balance(self) -> None:
         """Migrate tasks of one job of each of our shards whose queue is too long."""
--- a/pitchtally/scheduling/rebalancing/rebalancing.py
+++ b/pitchtally/scheduling/rebalancing/rebalancing.py
@@ -4,6 +4,7 @@
 
 import trio
 
+from ...config.clock import LONG_AGO
 from ...membership.messages import ShardStatus
 from ...protocol import user_api
 from ..capacity import share_ratio, stays_in_one_shard
@@ -38,7 +39,7 @@
         self.statuses = statuses
         self.quotas = quotas
         self.migration = migration
-        self._last_round_at = -1e9
+        self._last_round_at = LONG_AGO
 
     async def rebalance(self) -> None:
         """Migrate pending tasks to a shard that could start them now and has none queued."""
--- a/pitchtally/scheduling/shards/allocations.py
+++ b/pitchtally/scheduling/shards/allocations.py
@@ -9,7 +9,8 @@
 
 import trio
 
-from ...agents.machine import NEVER, Machine, MachineGroupKey, Placement
+from ...agents.machine import Machine, MachineGroupKey, Placement
+from ...config.clock import LONG_AGO
 from ...jobs.index import Job
 from ...jobs.resources import Resources, resource_request
 from ...protocol import cloud_api, user_api
@@ -89,8 +90,8 @@
         self.ranges: list[tuple[int, int]] = []
         self.pending_since = trio.current_time()  # the last start, or when tasks became pending
         self.moving = False  # a write that gives tasks to another shard is unresolved
-        self.allotted_at = NEVER  # when tasks were last added to machine queues
-        self.not_before = NEVER  # back-off after failures: no start earlier
+        self.allotted_at = LONG_AGO  # when tasks were last added to machine queues
+        self.not_before = LONG_AGO  # back-off after failures: no start earlier
         self.failed_on: dict[str, float] = {}  # machine -> when a task of the job last failed there
         self.failed_after = 0.0  # seconds: the longest run that ended in a failure
         self.probe_count = 0  # failed retries since the job was classified as faulty
--- a/pitchtally/scheduling/shards/eligibility.py
+++ b/pitchtally/scheduling/shards/eligibility.py
@@ -4,7 +4,8 @@
 
 import trio
 
-from ...agents.machine import NEVER, Machine
+from ...agents.machine import Machine
+from ...config.clock import LONG_AGO
 from ..capacity import allows_machine_type
 from .allocations import ShardAllocation, ShardState
 
@@ -39,8 +40,8 @@
     # or a failover. They expire, since a machine may recover and there may be no other.
     if allocation.failed_on or machine.last_failure_at:
         failed_at = max(
-            allocation.failed_on.get(machine.name, NEVER),
-            machine.last_failure_at.get(allocation.job.id, NEVER),
+            allocation.failed_on.get(machine.name, LONG_AGO),
+            machine.last_failure_at.get(allocation.job.id, LONG_AGO),
         )
         if trio.current_time() - failed_at < quarantine_s:
             return False
--- a/pitchtally/scheduling/shards/failure_tracker.py
+++ b/pitchtally/scheduling/shards/failure_tracker.py
@@ -6,7 +6,8 @@
 
 import trio
 
-from ...agents.machine import NEVER, Machine, Placement
+from ...agents.machine import Machine, Placement
+from ...config.clock import LONG_AGO
 from ...jobs.job_record import DONE
 from ...protocol import agent_api
 from ..context import SchedulingContext
@@ -81,7 +82,7 @@
             if other is not None and other.failures_by_job.pop(allocation.job.id, None) is not None:
                 other.last_failure_at.pop(allocation.job.id, None)
                 if other.quarantined_until > now and not self._is_unhealthy(state, other):
-                    other.quarantined_until = NEVER
+                    other.quarantined_until = LONG_AGO
 
     def reclassify(self, allocation: ShardAllocation) -> None:
         """Update whether the job counts as faulty; it can't be while it has never failed."""
--- a/pitchtally/state_store/client.py
+++ b/pitchtally/state_store/client.py
@@ -16,6 +16,7 @@
 import msgspec
 import trio
 
+from ..config.clock import LONG_AGO
 from ..config.settings import StateLimits, host_port
 from ..http import Client, HttpError, Response
 from ..protocol import state_store_api
@@ -33,9 +34,6 @@
 
 T = TypeVar("T")
 
-# Stands for the time of something that has not happened yet; steady clock, seconds.
-LONG_AGO = -1e9
-
 # Of the limits, for all nodes together: their clocks and our own bursts never quite agree.
 _USED_SHARE = 0.9
 _CONNECTIONS = 8
--- a/pitchtally/state_store/replica.py
+++ b/pitchtally/state_store/replica.py
@@ -13,9 +13,10 @@
 
 import trio
 
+from ..config.clock import LONG_AGO
 from ..protocol import state_store_api
 from . import keys
-from .client import LONG_AGO, StateStoreClient, Write
+from .client import StateStoreClient, Write
 from .errors import StoreUnavailable
 from .rate_limits import Priority
 
