--- a/pitchtally/agents/machine_records.py
+++ b/pitchtally/agents/machine_records.py
@@ -87,7 +87,7 @@
             return machine_layout.chunk_of(place, self.span)
         return place // format_1.machines_per_chunk(self.gate.value_kb)
 
-    def of(self, shard: int) -> MachineRows:
+    def recorded_machines(self, shard: int) -> MachineRows:
         """Every recorded machine of a shard."""
         rows: MachineRows = {}
         for chunk, chunk_rows in self.chunks.items():
--- a/pitchtally/agents/shard_recovery.py
+++ b/pitchtally/agents/shard_recovery.py
@@ -50,7 +50,7 @@
         if led_shard.loaded or self._replica.revision < led_shard.token:
             return
         led_shard.loaded = True
-        for name, row in self._records.of(led_shard.shard).items():
+        for name, row in self._records.recorded_machines(led_shard.shard).items():
             if name in self._index.terminated:
                 continue  # gone for certain; the record is about to say so too
             machine = self._index.machines.get(name)
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -94,7 +94,7 @@
     assert job_index.cancelled == [(14, "wk-000003")]
     assert controller.membership.alive["n0"].incarnation == "00f1"
     assert controller.membership.leader(0) == "n0"
-    assert "i-000360" in controller.agents.records.of(0)
+    assert "i-000360" in controller.agents.records.recorded_machines(0)
     assert controller.scheduler.quotas.share(1, "tight") == (2.0, float("inf"))
     assert controller.autoscaler.types["big"].spot_price == 0.3
 
--- a/tests/harness/earlier_version.py
+++ b/tests/harness/earlier_version.py
@@ -53,7 +53,10 @@
             cluster_leader_token="leading",
             session=Renamed(controller.members, own_record="_own_node"),
         ),
-        agents="workers",
+        agents=Renamed(
+            controller.workers,
+            records=Renamed(controller.workers.records, recorded_machines="of"),
+        ),
         scheduler=Renamed(controller.split, quotas="teams"),
         autoscaler=Renamed(controller.fleet, catalog="machine_types"),
     )
