--- a/pitchtally/agents/machine_records.py
+++ b/pitchtally/agents/machine_records.py
@@ -62,7 +62,7 @@
         """`interval`: seconds between two passes over the led shards, unless one is requested."""
         self.gate = gate
         self.chunks: dict[keys.MachineChunk, MachineRows] = {}
-        self.span = machine_layout.machines_per_chunk(int(limits.value_kb * 1024))
+        self.machines_per_chunk = machine_layout.machines_per_chunk(int(limits.value_kb * 1024))
         self._index = index
         self._shards = shards
         self._commits = commits
@@ -84,7 +84,7 @@
         number = int(digits) if digits.isdigit() and len(digits) <= MAX_NUMBER_DIGITS else 0
         place = number // self._index.shard_count
         if self.gate.open or self._legacy_refused:
-            return machine_layout.chunk_of(place, self.span)
+            return machine_layout.chunk_of(place, self.machines_per_chunk)
         return place // format_1.machines_per_chunk(self.gate.value_kb)
 
     def recorded_machines(self, shard: int) -> MachineRows:
