--- a/pitchtally/agents/machine_records.py
+++ b/pitchtally/agents/machine_records.py
@@ -35,7 +35,7 @@
 MAX_NUMBER_DIGITS = 18
 
 
-class MachineRow(NamedTuple):
+class RecordedMachine(NamedTuple):
     """What the record holds of a machine; stored as an array."""
 
     type: str
@@ -44,7 +44,7 @@
     address: str
 
 
-MachineRows = dict[str, MachineRow]  # by machine name
+RecordedMachines = dict[str, RecordedMachine]  # by machine name
 
 
 class MachineRecords:
@@ -61,7 +61,7 @@
     ):
         """`interval`: seconds between two passes over the led shards, unless one is requested."""
         self.gate = gate
-        self.chunks: dict[keys.MachineChunk, MachineRows] = {}
+        self.chunks: dict[keys.MachineChunk, RecordedMachines] = {}
         self.machines_per_chunk = machine_layout.machines_per_chunk(int(limits.value_kb * 1024))
         self._index = index
         self._shards = shards
@@ -76,7 +76,7 @@
         if value is None:
             self.chunks.pop(chunk, None)
         else:
-            self.chunks[chunk] = msgspec.json.decode(value, type=MachineRows)
+            self.chunks[chunk] = msgspec.json.decode(value, type=RecordedMachines)
 
     def chunk_of(self, machine: str) -> int:
         """The number of the chunk that names a machine, in the layout to write."""
@@ -87,9 +87,9 @@
             return machine_layout.chunk_of(place, self.machines_per_chunk)
         return place // format_1.machines_per_chunk(self.gate.value_kb)
 
-    def recorded_machines(self, shard: int) -> MachineRows:
+    def recorded_machines(self, shard: int) -> RecordedMachines:
         """Every recorded machine of a shard."""
-        rows: MachineRows = {}
+        rows: RecordedMachines = {}
         for chunk, chunk_rows in self.chunks.items():
             if chunk.shard == shard:
                 rows.update(chunk_rows)
@@ -174,10 +174,10 @@
             self._mark_recorded(rows)
         return done
 
-    def _rows(self, names: Iterable[str]) -> MachineRows:
+    def _rows(self, names: Iterable[str]) -> RecordedMachines:
         """The rows of these machines; one that has gone since is left out."""
         return {
-            name: MachineRow(machine.type, machine.zone, machine.spot, machine.address)
+            name: RecordedMachine(machine.type, machine.zone, machine.spot, machine.address)
             for name in names
             if (machine := self._index.machines.get(name)) is not None
         }
