--- a/pitchtally/agents/machine.py
+++ b/pitchtally/agents/machine.py
@@ -194,7 +194,7 @@
             cpus, gpus, memory = cpus + used[0], gpus + used[1], memory + used[2]
         return Resources(cpus, gpus, memory)
 
-    def count(self, placement: Placement, sign: float) -> None:
+    def adjust_usage(self, placement: Placement, sign: float) -> None:
         """Add a placement to the sums (`sign` 1.0), or subtract it (-1.0)."""
         by_rank = self.used_by_rank[placement.rank]
         for i, amount in enumerate(placement.resources):
--- a/pitchtally/agents/placements.py
+++ b/pitchtally/agents/placements.py
@@ -99,7 +99,7 @@
         if earlier is not None:
             self.drop(earlier)
         machine.placements[placement.key] = placement
-        machine.count(placement, 1.0)
+        machine.adjust_usage(placement, 1.0)
         self._by_job.setdefault(placement.job.id, {})[placement] = None
         use = self._team_use.get((machine.shard, placement.team))
         if use is None:
@@ -120,7 +120,7 @@
         if machine.placements.get(placement.key) is not placement:
             return False
         del machine.placements[placement.key]
-        machine.count(placement, -1.0)
+        machine.adjust_usage(placement, -1.0)
         of_job = self._by_job.get(placement.job.id)
         if of_job is not None:
             of_job.pop(placement, None)
