--- a/pitchtally/agents/placements.py
+++ b/pitchtally/agents/placements.py
@@ -14,7 +14,7 @@
 from .machine import MachineGroupKey, Placement
 
 # What a running task is taken to need at least, in seconds.
-LEAST_REMAINING_S = 0.1
+MIN_REMAINING_S = 0.1
 
 
 class ResourceUse(NamedTuple):
@@ -46,7 +46,7 @@
         """Machine-seconds that the tasks still need, if each takes `seconds`."""
         # A task that has outrun the estimate counts with a little, as it doesn't end at once.
         of_running = max(
-            LEAST_REMAINING_S * self.running,
+            MIN_REMAINING_S * self.running,
             self.running * (seconds - now) + self.running_since_sum,
         )
         return (self.count - self.running) * seconds + of_running
