--- a/pitchtally/agents/reachability.py
+++ b/pitchtally/agents/reachability.py
@@ -16,7 +16,7 @@
 SUSPICIOUS_LEASE_SHARE = 1 / 4
 # How many machines are asked: ours, and those of others, from each chunk of their record.
 MAX_OWN_PROBES = 3
-PROBED_OTHERS = 4
+MAX_OTHER_PROBES = 4
 PROBED_PER_CHUNK = 2
 
 
@@ -63,7 +63,7 @@
                 continue
             # Machines of other shards count too: where ours are gone but others answer,
             # handing our shards on would help nobody.
-            addresses = own[:MAX_OWN_PROBES] + self._other_addresses()[:PROBED_OTHERS]
+            addresses = own[:MAX_OWN_PROBES] + self._other_addresses()[:MAX_OTHER_PROBES]
             answering = await self._any_answers(addresses)
             if answering:
                 self.last_contact_at = trio.current_time()
