--- a/pitchtally/agents/reachability.py
+++ b/pitchtally/agents/reachability.py
@@ -17,7 +17,7 @@
 # How many machines are asked: ours, and those of others, from each chunk of their record.
 MAX_OWN_PROBES = 3
 MAX_OTHER_PROBES = 4
-PROBED_PER_CHUNK = 2
+MAX_PROBES_PER_CHUNK = 2
 
 
 class ReachabilityStatus(Protocol):
@@ -80,7 +80,7 @@
         return [
             row.address
             for chunk in list(self._records.chunks.values())
-            for name, row in islice(chunk.items(), PROBED_PER_CHUNK)
+            for name, row in islice(chunk.items(), MAX_PROBES_PER_CHUNK)
             if name not in self._index.terminated and name not in self._index.machines
         ]
 
