--- a/pitchtally/agents/commands/call.py
+++ b/pitchtally/agents/commands/call.py
@@ -19,7 +19,7 @@
 log = logging.getLogger(__name__)
 
 # The first call may name an epoch that is over; the answer gives the one for the second.
-ATTEMPTS = 2
+MAX_CALL_ATTEMPTS = 2
 # Answers that carry a status; 409 is that to another epoch.
 STATUS_ANSWERS = (200, 409)
 
@@ -57,7 +57,7 @@
 
         A machine that has not shown our fencing token yet gets that alone.
         """
-        for _ in range(ATTEMPTS):
+        for _ in range(MAX_CALL_ATTEMPTS):
             if self._leadership.token(led_shard.shard) != led_shard.token:
                 return
             commands = self._builder.stops(machine)[:MAX_COMMANDS] if machine.confirmed else []
