--- a/pitchtally/agents/commands/call.py
+++ b/pitchtally/agents/commands/call.py
@@ -21,7 +21,7 @@
 # The first call may name an epoch that is over; the answer gives the one for the second.
 MAX_CALL_ATTEMPTS = 2
 # Answers that carry a status; 409 is that to another epoch.
-STATUS_ANSWERS = (200, 409)
+HTTP_CODES_WITH_AGENT_STATUS = (200, 409)
 
 _decode_status = msgspec.json.Decoder(agent_api.AgentHeartbeat).decode
 
@@ -64,7 +64,7 @@
             request = agent_api.CommandRequest(led_shard.token, max(1, machine.epoch), commands)
             try:
                 response = await self._client.post_commands(machine.address, request)
-                if response.status not in STATUS_ANSWERS:
+                if response.status not in HTTP_CODES_WITH_AGENT_STATUS:
                     return
                 status = _decode_status(response.body)
             except (HttpError, msgspec.MsgspecError, ValueError) as error:
