--- a/pitchtally/agents/commands/builder.py
+++ b/pitchtally/agents/commands/builder.py
@@ -15,7 +15,7 @@
 from ..task_keys import belongs_to_closed_job
 
 # An agent reads no line over 64 KiB: what goes beyond so many commands waits for the next.
-MAX_COMMANDS = 500
+MAX_COMMANDS_PER_MESSAGE = 500
 # A task that was given this many times its grace, and some seconds, is stopped without any.
 OVERDUE_GRACES = 2
 OVERDUE_MARGIN_S = 5
@@ -56,10 +56,10 @@
                 machine.exits_acknowledged_at = now
                 commands += acknowledgements
         commands += starts
-        if len(commands) <= MAX_COMMANDS:
+        if len(commands) <= MAX_COMMANDS_PER_MESSAGE:
             return commands
-        self._postpone_starts(machine, commands[MAX_COMMANDS:])
-        return commands[:MAX_COMMANDS]
+        self._postpone_starts(machine, commands[MAX_COMMANDS_PER_MESSAGE:])
+        return commands[:MAX_COMMANDS_PER_MESSAGE]
 
     def stops(self, machine: Machine) -> list[agent_api.Command]:
         """Stop commands for all that must end on a machine."""
@@ -93,7 +93,7 @@
             agent_api.Command(agent_api.STOP, task.task, task.attempt, 0.0)
             for task in heartbeat.tasks
             if task.state != agent_api.EXITED and belongs_to_closed_job(self._jobs, task.task)
-        ][:MAX_COMMANDS]
+        ][:MAX_COMMANDS_PER_MESSAGE]
 
     def _starts(
         self, machine: Machine, heartbeat: agent_api.AgentHeartbeat, now: float
--- a/pitchtally/agents/commands/call.py
+++ b/pitchtally/agents/commands/call.py
@@ -14,7 +14,7 @@
 from ..listener import Leadership
 from ..machine import Machine
 from .agent_client import AgentClient
-from .builder import MAX_COMMANDS, CommandBuilder
+from .builder import MAX_COMMANDS_PER_MESSAGE, CommandBuilder
 
 log = logging.getLogger(__name__)
 
@@ -60,7 +60,9 @@
         for _ in range(MAX_CALL_ATTEMPTS):
             if self._leadership.token(led_shard.shard) != led_shard.token:
                 return
-            commands = self._builder.stops(machine)[:MAX_COMMANDS] if machine.confirmed else []
+            commands = (
+                self._builder.stops(machine)[:MAX_COMMANDS_PER_MESSAGE] if machine.confirmed else []
+            )
             request = agent_api.CommandRequest(led_shard.token, max(1, machine.epoch), commands)
             try:
                 response = await self._client.post_commands(machine.address, request)
