--- a/pitchtally/agents/commands/builder.py
+++ b/pitchtally/agents/commands/builder.py
@@ -17,7 +17,7 @@
 # An agent reads no line over 64 KiB: what goes beyond so many commands waits for the next.
 MAX_COMMANDS_PER_MESSAGE = 500
 # A task that was given this many times its grace, and some seconds, is stopped without any.
-OVERDUE_GRACES = 2
+OVERDUE_GRACE_PERIODS = 2
 OVERDUE_MARGIN_S = 5
 
 
@@ -74,7 +74,7 @@
             overdue = (
                 placement.stop_commanded_at
                 and now - placement.stop_commanded_at
-                > placement.stop_grace * OVERDUE_GRACES + OVERDUE_MARGIN_S
+                > placement.stop_grace * OVERDUE_GRACE_PERIODS + OVERDUE_MARGIN_S
             )
             grace = 0.0 if overdue else placement.stop_grace
             if not placement.stop_commanded_at:
