--- a/pitchtally/agents/commands/agent_client.py
+++ b/pitchtally/agents/commands/agent_client.py
@@ -11,7 +11,7 @@
 # Of all sockets, one in so many for calls under way, twice (stops, and probes apart), and as
 # many kept open: a shard may hold more machines than there are sockets.
 SOCKETS_PER_CALL = 30
-MIN_CALLS = 8
+MIN_CONCURRENT_CALLS = 8
 KEEP_ALIVE_S = 8.0
 
 _encode = msgspec.json.encode
@@ -21,7 +21,7 @@
     """An HTTP client for agents, with a bound on calls under way."""
 
     def __init__(self, limits: MachineLimits, call_timeout: float):
-        self.max_calls = max(MIN_CALLS, limits.max_connections // SOCKETS_PER_CALL)
+        self.max_calls = max(MIN_CONCURRENT_CALLS, limits.max_connections // SOCKETS_PER_CALL)
         self._call_timeout = call_timeout
         self._client = Client(
             max_idle_per_address=1, max_idle=self.max_calls, idle_timeout=KEEP_ALIVE_S
