--- a/pitchtally/agents/commands/agent_client.py
+++ b/pitchtally/agents/commands/agent_client.py
@@ -12,7 +12,7 @@
 # many kept open: a shard may hold more machines than there are sockets.
 SOCKETS_PER_CALL = 30
 MIN_CONCURRENT_CALLS = 8
-KEEP_ALIVE_S = 8.0
+IDLE_CONNECTION_TIMEOUT_S = 8.0
 
 _encode = msgspec.json.encode
 
@@ -24,7 +24,7 @@
         self.max_calls = max(MIN_CONCURRENT_CALLS, limits.max_connections // SOCKETS_PER_CALL)
         self._call_timeout = call_timeout
         self._client = Client(
-            max_idle_per_address=1, max_idle=self.max_calls, idle_timeout=KEEP_ALIVE_S
+            max_idle_per_address=1, max_idle=self.max_calls, idle_timeout=IDLE_CONNECTION_TIMEOUT_S
         )
 
     async def post_commands(self, address: str, request: agent_api.CommandRequest) -> Response:
