--- a/pitchtally/agents/lease_expiry.py
+++ b/pitchtally/agents/lease_expiry.py
@@ -22,7 +22,7 @@
 # After a preemption notice has run out, so many intervals without a heartbeat mean it is gone.
 PREEMPTED_MISSED_HEARTBEATS = 2
 # An unrecorded machine is forgotten after so many times the heartbeat timeout.
-UNREGISTER_TIMEOUTS = 4
+UNREGISTER_HEARTBEAT_TIMEOUTS = 4
 
 
 class LeaseExpiry:
@@ -66,7 +66,7 @@
             machine, now, since_last_heartbeat
         ):
             machine.lost = True
-        forgotten_after = self._heartbeat_timeout * UNREGISTER_TIMEOUTS
+        forgotten_after = self._heartbeat_timeout * UNREGISTER_HEARTBEAT_TIMEOUTS
         if machine.lost and not machine.recorded and since_last_heartbeat > forgotten_after:
             self._index.remove(machine.name)
 
