--- a/pitchtally/agents/commands/queue.py
+++ b/pitchtally/agents/commands/queue.py
@@ -21,7 +21,7 @@
         """Have the sender look at shards and machines at once."""
         self._wake.set()
 
-    def take(self) -> list[str]:
+    def pop_all(self) -> list[str]:
         """Empty the queue."""
         names = list(self._names)
         self._names.clear()
--- a/pitchtally/agents/commands/sender.py
+++ b/pitchtally/agents/commands/sender.py
@@ -73,7 +73,7 @@
                 nursery.start_soon(self._send, machine, led_shard, self._probes)
 
     def _send_stops(self, nursery: trio.Nursery) -> None:
-        for name in self._queue.take():
+        for name in self._queue.pop_all():
             machine = self._index.machines.get(name)
             led_shard = self._shards.get(machine.shard) if machine else None
             if machine is not None and led_shard is not None and machine.confirmed:
