--- a/pitchtally/agents/heartbeats/task_exits.py
+++ b/pitchtally/agents/heartbeats/task_exits.py
@@ -14,7 +14,7 @@
 log = logging.getLogger(__name__)
 
 
-def note_success(machine: Machine) -> None:
+def record_success(machine: Machine) -> None:
     """A task has succeeded on the machine: what failed on it before isn't its fault."""
     machine.failures_by_job.clear()
     machine.last_failure_at.clear()
@@ -43,7 +43,7 @@
             # It should have gone on: nothing is finished, nor does it speak for the machine.
             log.info("replica exited task=%s machine=%s", placement.key, machine.name)
         elif cause == agent_api.DONE:
-            note_success(machine)
+            record_success(machine)
             self._notify_completed(placement, now)
         elif cause == agent_api.ERROR:
             note_error(machine, job.id, now)
