--- a/pitchtally/agents/heartbeats/task_exits.py
+++ b/pitchtally/agents/heartbeats/task_exits.py
@@ -21,7 +21,7 @@
     machine.consecutive_errors = 0
 
 
-def note_error(machine: Machine, job_id: str, now: float) -> None:
+def record_failure(machine: Machine, job_id: str, now: float) -> None:
     """A task of a job has failed on the machine."""
     machine.consecutive_errors += 1
     machine.failures_by_job[job_id] = machine.failures_by_job.get(job_id, 0) + 1
@@ -46,7 +46,7 @@
             record_success(machine)
             self._notify_completed(placement, now)
         elif cause == agent_api.ERROR:
-            note_error(machine, job.id, now)
+            record_failure(machine, job.id, now)
             log.info("task failed task=%s machine=%s", placement.key, machine.name)
         elif cause != agent_api.STOPPED:
             log.info("task exited task=%s machine=%s cause=%s", placement.key, machine.name, cause)
