--- a/pitchtally/agents/heartbeats/status_intake.py
+++ b/pitchtally/agents/heartbeats/status_intake.py
@@ -35,7 +35,7 @@
         self._index = index
         self._control = control
         self._reconciler = reconciler
-        self._failover = recovery
+        self._recovery = recovery
         self._records = records
         self._reachability = reachability
 
@@ -66,7 +66,7 @@
             machine.confirmed = True
             # Until it saw our fencing token, an earlier leader may have renewed its lease.
             machine.idle_since = machine.lease_renewed_at = now
-        self._failover.clear_suspect(led_shard, machine)
+        self._recovery.clear_suspect(led_shard, machine)
         if not machine.recorded:
             self._records.request_write()
         if machine.placements:
