--- a/pitchtally/agents/heartbeats/endpoint.py
+++ b/pitchtally/agents/heartbeats/endpoint.py
@@ -52,7 +52,7 @@
         self._leadership = leadership
         self._freshness = freshness
         self._intake = intake
-        self._commands = commands
+        self._command_builder = commands
         self._lease_s = lease_s
         self._shard_count = index.shard_count
         self.responses: Counter[str] = Counter()  # by status, for the log
@@ -101,7 +101,7 @@
         if machine is None:
             return self._respond_to_old(heartbeat, token, registered)
         machine.last_heartbeat = number
-        commands = self._commands.for_heartbeat(machine, heartbeat)
+        commands = self._command_builder.for_heartbeat(machine, heartbeat)
         machine.awaited_commands = [c for c in commands if c.op != agent_api.STOP]
         machine.lease_renewed_at = trio.current_time()
         return Response(200, _encode(agent_api.HeartbeatResponse(token, commands)))
@@ -119,5 +119,5 @@
         """
         if machine is not None:
             machine.lease_renewed_at = max(machine.lease_renewed_at, machine.last_heartbeat_at)
-        stops = self._commands.stops_of_closed_jobs(heartbeat)
+        stops = self._command_builder.stops_of_closed_jobs(heartbeat)
         return Response(200, _encode(agent_api.HeartbeatResponse(token, stops)))
