--- a/pitchtally/agents/machine_records.py
+++ b/pitchtally/agents/machine_records.py
@@ -68,7 +68,7 @@
         self._commits = commits
         self._interval = interval
         self._write_requested = trio.Event()
-        self._legacy_refused = False  # the store takes chunks of the old layout no more
+        self._legacy_layout_refused = False  # the store takes chunks of the old layout no more
         commits.replica.listen(keys.MACHINES_PREFIX, self._on_record)
 
     def _on_record(self, key: str, value: bytes | None, version: int) -> None:
@@ -83,7 +83,7 @@
         digits = machine.rpartition("-")[2]
         number = int(digits) if digits.isdigit() and len(digits) <= MAX_NUMBER_DIGITS else 0
         place = number // self._index.shard_count
-        if self.gate.open or self._legacy_refused:
+        if self.gate.open or self._legacy_layout_refused:
             return machine_layout.chunk_of(place, self.machines_per_chunk)
         return place // format_1.machines_per_chunk(self.gate.value_kb)
 
@@ -168,7 +168,7 @@
                 number,
                 error,
             )
-            self._legacy_refused = True
+            self._legacy_layout_refused = True
             return False
         if done and self._is_led(led_shard):
             self._mark_recorded(rows)
