--- a/pitchtally/agents/machine_records.py
+++ b/pitchtally/agents/machine_records.py
@@ -144,7 +144,7 @@
 
     async def _write_chunk(self, led_shard: LedShard, number: int, names: list[str]) -> bool:
         """Write a chunk as it should be; False if it doesn't stand so afterwards."""
-        rows = self._rows(names)
+        rows = self._recorded_form(names)
         if rows == self.chunks.get(keys.MachineChunk(led_shard.shard, number), {}):
             self._mark_recorded(rows)
             return True
@@ -174,7 +174,7 @@
             self._mark_recorded(rows)
         return done
 
-    def _rows(self, names: Iterable[str]) -> RecordedMachines:
+    def _recorded_form(self, names: Iterable[str]) -> RecordedMachines:
         """The rows of these machines; one that has gone since is left out."""
         return {
             name: RecordedMachine(machine.type, machine.zone, machine.spot, machine.address)
