--- a/pitchtally/agents/heartbeats/reconciliation.py
+++ b/pitchtally/agents/heartbeats/reconciliation.py
@@ -100,14 +100,14 @@
             if placed is not None and placed.attempt != task.attempt:
                 placed = None
             if task.state == agent_api.EXITED:
-                self._take_exit(machine, placed, key, task)
+                self._process_exit(machine, placed, key, task)
             else:
-                self._take_active(machine, placed, key, task)
+                self._process_active_task(machine, placed, key, task)
         self._index.update_orphans(machine)
         if machine.orphans:
             self._queue.add(machine.name)
 
-    def _take_exit(
+    def _process_exit(
         self, machine: Machine, placement: Placement | None, key: str, task: agent_api.TaskStatus
     ) -> None:
         if job_id_of(key) not in self._jobs:
@@ -121,7 +121,7 @@
         if placement is not None:
             self._exits.handle(placement, cause)
 
-    def _take_active(
+    def _process_active_task(
         self, machine: Machine, placement: Placement | None, key: str, task: agent_api.TaskStatus
     ) -> None:
         if placement is None:
