--- a/pitchtally/agents/heartbeats/response_effect.py
+++ b/pitchtally/agents/heartbeats/response_effect.py
@@ -28,7 +28,7 @@
         ineffective = machine.confirmed and since_response < lease_s
         machine.ineffective_responses += int(ineffective) * (MAX_INEFFECTIVE_RESPONSES - 1)
     elif machine.awaited_commands:
-        ineffective = not _shows_any(heartbeat, machine.awaited_commands)
+        ineffective = not _shows_effect_of_any(heartbeat, machine.awaited_commands)
     else:
         return
     machine.awaited_commands = []
@@ -37,7 +37,9 @@
         log.info("agent unreachable machine=%s tasks=%d", machine.name, len(machine.placements))
 
 
-def _shows_any(heartbeat: agent_api.AgentHeartbeat, commands: list[agent_api.Command]) -> bool:
+def _shows_effect_of_any(
+    heartbeat: agent_api.AgentHeartbeat, commands: list[agent_api.Command]
+) -> bool:
     """Whether any started task is listed, or any acknowledged one isn't any more."""
     listed = {task.task: task.attempt for task in heartbeat.tasks}
     return any(
