--- a/pitchtally/agents/heartbeats/endpoint.py
+++ b/pitchtally/agents/heartbeats/endpoint.py
@@ -99,14 +99,14 @@
             check_last_response(registered, heartbeat, self._lease_s)
         machine = self._intake.observe(heartbeat, led_shard, direct=False)
         if machine is None:
-            return self._respond_to_old(heartbeat, token, registered)
+            return self._respond_to_stale(heartbeat, token, registered)
         machine.last_heartbeat = number
         commands = self._command_builder.for_heartbeat(machine, heartbeat)
         machine.awaited_commands = [c for c in commands if c.op != agent_api.STOP]
         machine.lease_renewed_at = trio.current_time()
         return Response(200, _encode(agent_api.HeartbeatResponse(token, commands)))
 
-    def _respond_to_old(
+    def _respond_to_stale(
         self, heartbeat: agent_api.AgentHeartbeat, token: int, machine: Machine | None
     ) -> Response:
         """Respond to a heartbeat that may be older than what is known.
