--- a/pitchtally/agents/commands/call.py
+++ b/pitchtally/agents/commands/call.py
@@ -72,13 +72,13 @@
             except (HttpError, msgspec.MsgspecError, ValueError) as error:
                 log.debug("command call failed machine=%s: %s", machine.name, error)
                 return
-            if not self._take_status(status, machine, led_shard):
+            if not self._process_status(status, machine, led_shard):
                 return
             if response.status == 200:
                 machine.ineffective_responses = 0  # commands reach it after all
                 return
 
-    def _take_status(
+    def _process_status(
         self, status: agent_api.AgentHeartbeat, machine: Machine, led_shard: LedShard
     ) -> bool:
         """Take in the status of an answer; False if the machine isn't ours to command."""
