--- a/pitchtally/agents/led_shard.py
+++ b/pitchtally/agents/led_shard.py
@@ -27,7 +27,7 @@
         self.reconciled = False
         self.suspects: set[str] = set()  # recorded machines not heard since the failover
         self.suspect_groups: Counter[MachineGroupKey] = Counter()
-        self._attempts = 0
+        self._attempts_issued = 0
 
     def add_suspect(self, machine: Machine) -> None:
         """Note a recorded machine that may hold tasks of an earlier leader."""
@@ -46,5 +46,5 @@
 
     def next_attempt(self) -> int:
         """A number that no earlier attempt has: tokens rise, and are unique over all shards."""
-        self._attempts += 1
-        return (self.token << ATTEMPT_COUNTER_BITS) + self._attempts
+        self._attempts_issued += 1
+        return (self.token << ATTEMPT_COUNTER_BITS) + self._attempts_issued
