--- a/pitchtally/agents/commands/call.py
+++ b/pitchtally/agents/commands/call.py
@@ -30,7 +30,7 @@
     """Takes in the status that an agent reports."""
 
     def observe(
-        self, status: agent_api.AgentHeartbeat, led_shard: LedShard, *, direct: bool
+        self, status: agent_api.AgentHeartbeat, led_shard: LedShard, *, in_command_response: bool
     ) -> Machine | None:
         """The machine if the status is news; `direct`: in an answer, not in a heartbeat."""
 
@@ -89,5 +89,5 @@
         if status.token > led_shard.token:
             self._leadership.fenced(led_shard.shard, status.token)
             return False
-        self._observer.observe(status, led_shard, direct=True)
+        self._observer.observe(status, led_shard, in_command_response=True)
         return True
--- a/pitchtally/agents/heartbeats/endpoint.py
+++ b/pitchtally/agents/heartbeats/endpoint.py
@@ -97,7 +97,7 @@
             return _unavailable()
         if registered is not None:
             check_last_response(registered, heartbeat, self._lease_s)
-        machine = self._intake.observe(heartbeat, led_shard, direct=False)
+        machine = self._intake.observe(heartbeat, led_shard, in_command_response=False)
         if machine is None:
             return self._respond_to_stale(heartbeat, token, registered)
         machine.last_heartbeat = number
--- a/pitchtally/agents/heartbeats/reconciliation.py
+++ b/pitchtally/agents/heartbeats/reconciliation.py
@@ -24,7 +24,11 @@
 
 
 def missing_placements(
-    machine: Machine, heartbeat: agent_api.AgentHeartbeat, listed: ListedTasks, *, direct: bool
+    machine: Machine,
+    heartbeat: agent_api.AgentHeartbeat,
+    listed: ListedTasks,
+    *,
+    in_command_response: bool,
 ) -> list[Placement]:
     """Placements whose tasks the agent would list if it had them."""
     missing = []
@@ -34,7 +38,9 @@
             continue
         if not placement.start_heartbeat_seq and not placement.observed:
             continue  # decided, not commanded yet
-        if not placement.observed and (direct or heartbeat.seq <= placement.start_heartbeat_seq):
+        if not placement.observed and (
+            in_command_response or heartbeat.seq <= placement.start_heartbeat_seq
+        ):
             # Only the next heartbeat settles whether a start arrived: a direct answer may
             # have been made while our response was on its way.
             continue
@@ -86,11 +92,13 @@
         self._scheduler = scheduler
 
     def reconcile(
-        self, machine: Machine, heartbeat: agent_api.AgentHeartbeat, *, direct: bool
+        self, machine: Machine, heartbeat: agent_api.AgentHeartbeat, *, in_command_response: bool
     ) -> None:
         """Make what is known of a machine's tasks agree with a status newer than it."""
         listed = {task.task: task for task in heartbeat.tasks}
-        for placement in missing_placements(machine, heartbeat, listed, direct=direct):
+        for placement in missing_placements(
+            machine, heartbeat, listed, in_command_response=in_command_response
+        ):
             self._control.remove(placement, LossCause.MISSING)
         if machine.exits:
             machine.exits = retained_exits(machine, listed)
--- a/pitchtally/agents/heartbeats/status_intake.py
+++ b/pitchtally/agents/heartbeats/status_intake.py
@@ -40,7 +40,7 @@
         self._reachability = reachability
 
     def observe(
-        self, status: agent_api.AgentHeartbeat, led_shard: LedShard, *, direct: bool
+        self, status: agent_api.AgentHeartbeat, led_shard: LedShard, *, in_command_response: bool
     ) -> Machine | None:
         """Take in a status; None if it is older than what is known, or may be.
 
@@ -49,7 +49,7 @@
         """
         machine = self._index.machines.get(status.machine)
         if status.token != led_shard.token:
-            if machine is not None and direct and status.epoch > machine.epoch:
+            if machine is not None and in_command_response and status.epoch > machine.epoch:
                 machine.epoch = status.epoch  # what the next command must name
                 machine.seq = -1
             return None
@@ -61,7 +61,7 @@
             return None
         now = trio.current_time()
         self._update_machine(machine, status, now)
-        self._reconciler.reconcile(machine, status, direct=direct)
+        self._reconciler.reconcile(machine, status, in_command_response=in_command_response)
         if not machine.confirmed:
             machine.confirmed = True
             # Until it saw our fencing token, an earlier leader may have renewed its lease.
--- a/tests/agents/test_reconciliation.py
+++ b/tests/agents/test_reconciliation.py
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize(
-    ("observed", "start_seq", "direct", "listed", "missing"),
+    ("observed", "start_seq", "in_command_response", "listed", "missing"),
     [
         (True, 3, False, [], True),  # it was there, and isn't listed any more
         (True, 3, True, [], True),
@@ -68,7 +68,11 @@
     ],
 )
 def test_missing_placements(
-    observed: bool, start_seq: int, direct: bool, listed: list[tuple[str, int]], missing: bool
+    observed: bool,
+    start_seq: int,
+    in_command_response: bool,
+    listed: list[tuple[str, int]],
+    missing: bool,
 ) -> None:
     machine = _machine()
     placement = Placement(_job(), 0, 7, machine)
@@ -76,7 +80,7 @@
     machine.placements[KEY] = placement
     heartbeat = _heartbeat(1, 4, *listed)
     by_key = {task.task: task for task in heartbeat.tasks}
-    found = missing_placements(machine, heartbeat, by_key, direct=direct)
+    found = missing_placements(machine, heartbeat, by_key, in_command_response=in_command_response)
     assert found == ([placement] if missing else [])
 
 
