--- a/pitchtally/agents/placements.py
+++ b/pitchtally/agents/placements.py
@@ -45,11 +45,11 @@
     def remaining_seconds(self, seconds: float, now: float) -> float:
         """Machine-seconds that the tasks still need, if each takes `seconds`."""
         # A task that has outrun the estimate counts with a little, as it doesn't end at once.
-        of_running = max(
+        running_seconds = max(
             MIN_REMAINING_S * self.running,
             self.running * (seconds - now) + self.running_since_sum,
         )
-        return (self.count - self.running) * seconds + of_running
+        return (self.count - self.running) * seconds + running_seconds
 
 
 class _TeamUse:
@@ -105,10 +105,10 @@
         if use is None:
             use = self._team_use[(machine.shard, placement.team)] = _TeamUse()
         use.add(placement)
-        jobs = self.loads.setdefault(machine.shard, {}).setdefault(machine.group, {})
-        load = jobs.get(placement.job.id)
+        loads_by_job = self.loads.setdefault(machine.shard, {}).setdefault(machine.group, {})
+        load = loads_by_job.get(placement.job.id)
         if load is None:
-            load = jobs[placement.job.id] = GroupLoad(placement.resources, placement.rank)
+            load = loads_by_job[placement.job.id] = GroupLoad(placement.resources, placement.rank)
         load.count += 1
         if placement.running_since is not None:
             load.running += 1
@@ -121,20 +121,20 @@
             return False
         del machine.placements[placement.key]
         machine.adjust_usage(placement, -1.0)
-        of_job = self._by_job.get(placement.job.id)
-        if of_job is not None:
-            of_job.pop(placement, None)
-            if not of_job:
+        job_placements = self._by_job.get(placement.job.id)
+        if job_placements is not None:
+            job_placements.pop(placement, None)
+            if not job_placements:
                 del self._by_job[placement.job.id]
         self._team_use[(machine.shard, placement.team)].subtract(placement)
-        jobs = self.loads[machine.shard][machine.group]
-        load = jobs[placement.job.id]
+        loads_by_job = self.loads[machine.shard][machine.group]
+        load = loads_by_job[placement.job.id]
         load.count -= 1
         if placement.running_since is not None:
             load.running -= 1
             load.running_since_sum -= placement.running_since
         if not load.count:
-            del jobs[placement.job.id]
+            del loads_by_job[placement.job.id]
         return True
 
     def mark_running(self, placement: Placement) -> None:
@@ -147,8 +147,8 @@
     def running(self, shard: int) -> dict[str, int]:
         """By job, how many tasks have been seen running on the shard's machines."""
         running: dict[str, int] = {}
-        for jobs in self.loads.get(shard, {}).values():
-            for id, load in jobs.items():
+        for loads_by_job in self.loads.get(shard, {}).values():
+            for id, load in loads_by_job.items():
                 if load.running:
                     running[id] = running.get(id, 0) + load.running
         return running
