--- a/pitchtally/agents/lease_expiry.py
+++ b/pitchtally/agents/lease_expiry.py
@@ -50,15 +50,17 @@
         while True:
             await trio.sleep(self._times.report_s / CHECKS_PER_HEARTBEAT)
             now = trio.current_time()
-            leading_until = self._freshness.leadership_verified_at()
+            leadership_verified_at = self._freshness.leadership_verified_at()
             resumed_at = self._freshness.resumed_at()
             for machine in list(self._index.machines.values()):
                 if machine.shard in self._shards:
-                    self._check(machine, now, leading_until, resumed_at)
+                    self._check(machine, now, leadership_verified_at, resumed_at)
 
-    def _check(self, machine: Machine, now: float, leading_until: float, resumed_at: float) -> None:
+    def _check(
+        self, machine: Machine, now: float, leadership_verified_at: float, resumed_at: float
+    ) -> None:
         since_last_heartbeat = now - max(machine.last_heartbeat_at, resumed_at)
-        if self._lease_has_expired(machine, leading_until):
+        if self._lease_has_expired(machine, leadership_verified_at):
             log.info("lease expired machine=%s tasks=%d", machine.name, len(machine.placements))
             machine.lost = True
             self._control.remove_all(machine, LossCause.LEASE_EXPIRED)
@@ -66,20 +68,20 @@
             machine, now, since_last_heartbeat
         ):
             machine.lost = True
-        forgotten_after = self._heartbeat_timeout * UNREGISTER_HEARTBEAT_TIMEOUTS
-        if machine.lost and not machine.recorded and since_last_heartbeat > forgotten_after:
+        unregister_after = self._heartbeat_timeout * UNREGISTER_HEARTBEAT_TIMEOUTS
+        if machine.lost and not machine.recorded and since_last_heartbeat > unregister_after:
             self._index.remove(machine.name)
 
-    def _lease_has_expired(self, machine: Machine, leading_until: float) -> bool:
+    def _lease_has_expired(self, machine: Machine, leadership_verified_at: float) -> bool:
         """Whether a machine's lease is over, and nobody but us can have renewed it.
 
         Only our responses renew it, and none has for a whole lease. Cut off from all who could
         tell, we wait: a new leader may be renewing it.
         """
-        held = not machine.lost or machine.placements
-        if not machine.confirmed or not held:
+        has_unexpired_state = not machine.lost or machine.placements
+        if not machine.confirmed or not has_unexpired_state:
             return False
-        return leading_until > lease_expired_at(machine.lease_renewed_at, self._times)
+        return leadership_verified_at > lease_expired_at(machine.lease_renewed_at, self._times)
 
     def _is_preempted(self, machine: Machine, now: float, since_last_heartbeat: float) -> bool:
         """Announced by the provider, and silent since: that comes before the lease's end."""
