--- a/pitchtally/agents/machine_records.py
+++ b/pitchtally/agents/machine_records.py
@@ -82,18 +82,18 @@
         """The number of the chunk that names a machine, in the layout to write."""
         digits = machine.rpartition("-")[2]
         number = int(digits) if digits.isdigit() and len(digits) <= MAX_NUMBER_DIGITS else 0
-        place = number // self._index.shard_count
+        position = number // self._index.shard_count
         if self.gate.open or self._legacy_layout_refused:
-            return machine_layout.chunk_of(place, self.machines_per_chunk)
-        return place // format_1.machines_per_chunk(self.gate.value_kb)
+            return machine_layout.chunk_of(position, self.machines_per_chunk)
+        return position // format_1.machines_per_chunk(self.gate.value_kb)
 
     def recorded_machines(self, shard: int) -> RecordedMachines:
         """Every recorded machine of a shard."""
-        rows: RecordedMachines = {}
-        for chunk, chunk_rows in self.chunks.items():
+        machines: RecordedMachines = {}
+        for chunk, chunk_machines in self.chunks.items():
             if chunk.shard == shard:
-                rows.update(chunk_rows)
-        return rows
+                machines.update(chunk_machines)
+        return machines
 
     def request_write(self) -> None:
         """Have the records of led shards brought up to date at once."""
@@ -122,8 +122,8 @@
         if not led_shard.loaded:
             return
         names = self._names_by_chunk(led_shard.shard)
-        emptied = {chunk.chunk for chunk in self.chunks if chunk.shard == led_shard.shard}
-        for number in [*sorted(names), *sorted(emptied - set(names))]:
+        existing_chunks = {chunk.chunk for chunk in self.chunks if chunk.shard == led_shard.shard}
+        for number in [*sorted(names), *sorted(existing_chunks - set(names))]:
             # At thousands of machines a pass has dozens of chunks, and waits for permits and
             # answers between them. So the shard is looked at anew before each.
             if not self._is_led(led_shard):
@@ -144,9 +144,9 @@
 
     async def _write_chunk(self, led_shard: LedShard, number: int, names: list[str]) -> bool:
         """Write a chunk as it should be; False if it doesn't stand so afterwards."""
-        rows = self._recorded_form(names)
-        if rows == self.chunks.get(keys.MachineChunk(led_shard.shard, number), {}):
-            self._mark_recorded(rows)
+        machines = self._recorded_form(names)
+        if machines == self.chunks.get(keys.MachineChunk(led_shard.shard, number), {}):
+            self._mark_recorded(machines)
             return True
         key = keys.machines(led_shard.shard, number)
         conditions = {
@@ -154,9 +154,9 @@
             key: self._commits.replica.version(key),
         }
         # Until the format gate opens an emptied chunk stays, as the old format has it.
-        value = msgspec.json.encode(rows) if rows or not self.gate.open else None
+        value = msgspec.json.encode(machines) if machines or not self.gate.open else None
         try:
-            done = await self._commits.commit(
+            committed = await self._commits.commit(
                 conditions, [Write(key, value)], priority=Priority.COMPLETIONS
             )
         except InvalidTransaction as error:
@@ -170,12 +170,12 @@
             )
             self._legacy_layout_refused = True
             return False
-        if done and self._is_led(led_shard):
-            self._mark_recorded(rows)
-        return done
+        if committed and self._is_led(led_shard):
+            self._mark_recorded(machines)
+        return committed
 
     def _recorded_form(self, names: Iterable[str]) -> RecordedMachines:
-        """The rows of these machines; one that has gone since is left out."""
+        """The machines of these machines; one that has gone since is left out."""
         return {
             name: RecordedMachine(machine.type, machine.zone, machine.spot, machine.address)
             for name in names
--- a/pitchtally/agents/reachability.py
+++ b/pitchtally/agents/reachability.py
@@ -78,9 +78,9 @@
 
     def _other_addresses(self) -> list[str]:
         return [
-            row.address
+            record.address
             for chunk in list(self._records.chunks.values())
-            for name, row in islice(chunk.items(), MAX_PROBES_PER_CHUNK)
+            for name, record in islice(chunk.items(), MAX_PROBES_PER_CHUNK)
             if name not in self._index.terminated and name not in self._index.machines
         ]
 
--- a/pitchtally/agents/shard_recovery.py
+++ b/pitchtally/agents/shard_recovery.py
@@ -50,12 +50,14 @@
         if led_shard.loaded or self._replica.revision < led_shard.token:
             return
         led_shard.loaded = True
-        for name, row in self._records.recorded_machines(led_shard.shard).items():
+        for name, record in self._records.recorded_machines(led_shard.shard).items():
             if name in self._index.terminated:
                 continue  # gone for certain; the record is about to say so too
             machine = self._index.machines.get(name)
             if machine is None:
-                machine = self._index.add(name, row.type, row.zone, row.spot, row.address)
+                machine = self._index.add(
+                    name, record.type, record.zone, record.spot, record.address
+                )
                 machine.lost = True  # until it is heard
                 machine.last_heartbeat_at = machine.lease_renewed_at = led_shard.acquired_at
             machine.recorded = True
