--- a/pitchtally/agents/heartbeats/reconciliation.py
+++ b/pitchtally/agents/heartbeats/reconciliation.py
@@ -104,13 +104,13 @@
             machine.exits = retained_exits(machine, listed)
         machine.orphans.clear()
         for key, task in listed.items():
-            placed = machine.placements.get(key)
-            if placed is not None and placed.attempt != task.attempt:
-                placed = None
+            known_placement = machine.placements.get(key)
+            if known_placement is not None and known_placement.attempt != task.attempt:
+                known_placement = None
             if task.state == agent_api.EXITED:
-                self._process_exit(machine, placed, key, task)
+                self._process_exit(machine, known_placement, key, task)
             else:
-                self._process_active_task(machine, placed, key, task)
+                self._process_active_task(machine, known_placement, key, task)
         self._index.update_orphans(machine)
         if machine.orphans:
             self._queue.add(machine.name)
--- a/pitchtally/agents/heartbeats/task_exits.py
+++ b/pitchtally/agents/heartbeats/task_exits.py
@@ -53,7 +53,7 @@
         self._control.remove(placement, cause)
 
     def _notify_completed(self, placement: Placement, now: float) -> None:
-        since = placement.running_since
-        ran = now - since if since is not None else -1.0
+        running_since = placement.running_since
+        run_seconds = now - running_since if running_since is not None else -1.0
         if placement.job.open:
-            self._scheduler.listener.task_completed(placement, ran)
+            self._scheduler.listener.task_completed(placement, run_seconds)
