--- a/tests/agents/test_machine_records.py
+++ b/tests/agents/test_machine_records.py
@@ -46,7 +46,7 @@
         return Response(200, b'{"ledger":60}')
 
 
-class RecordsUnderTest:
+class LeaderWithTwoChunks:
     """The leader of shard 0 whose machines' names fall into two chunks of its record."""
 
     def __init__(self) -> None:
@@ -81,9 +81,9 @@
         return self.agents.records.chunk_of(machine.name)
 
 
-def _play(monkeypatch: pytest.MonkeyPatch, body: Any) -> None:
+def _run(monkeypatch: pytest.MonkeyPatch, scenario: Any) -> None:
     async def main() -> None:
-        await body(RecordsUnderTest(), StoreStub(monkeypatch))
+        await scenario(LeaderWithTwoChunks(), StoreStub(monkeypatch))
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
@@ -93,7 +93,7 @@
 ) -> None:
     """KeyError: rows were gathered once, and machines went while chunks before were written."""
 
-    async def body(leader: RecordsUnderTest, state_store: StoreStub) -> None:
+    async def scenario(leader: LeaderWithTwoChunks, state_store: StoreStub) -> None:
         await leader.write()
         assert leader.chunk(leader.first) != leader.chunk(leader.second)
         leader.first.address = "10.1.0.1:9001"  # its chunk is written anew
@@ -102,26 +102,26 @@
         await leader.write()
         assert state_store.written[f"pt/fleet/0/{leader.chunk(leader.second)}"] == {}
 
-    _play(monkeypatch, body)
+    _run(monkeypatch, scenario)
 
 
 def test_row_of_a_released_machine_is_not_written(monkeypatch: pytest.MonkeyPatch) -> None:
     """A chunk that changes was written with what had been there before the wait."""
 
-    async def body(leader: RecordsUnderTest, state_store: StoreStub) -> None:
+    async def scenario(leader: LeaderWithTwoChunks, state_store: StoreStub) -> None:
         state_store.during_commit = lambda: leader.agents.machine_terminated(leader.second.name)
         await leader.write()
         assert leader.second.name not in state_store.written.get(
             f"pt/fleet/0/{leader.chunk(leader.second)}", {}
         )
 
-    _play(monkeypatch, body)
+    _run(monkeypatch, scenario)
 
 
 def test_shard_lost_while_its_record_is_written(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its machines are forgotten with it; the rest of the record is the next leader's affair."""
 
-    async def body(leader: RecordsUnderTest, state_store: StoreStub) -> None:
+    async def scenario(leader: LeaderWithTwoChunks, state_store: StoreStub) -> None:
         await leader.write()
         leader.first.address = "10.1.0.1:9001"
         second = f"pt/fleet/0/{leader.chunk(leader.second)}"
@@ -130,7 +130,7 @@
         await leader.write()
         assert second not in state_store.written
 
-    _play(monkeypatch, body)
+    _run(monkeypatch, scenario)
 
 
 def test_machine_is_recorded_only_once_its_row_is_written(
@@ -138,7 +138,7 @@
 ) -> None:
     """A task may start only where a later leader finds the machine."""
 
-    async def body(leader: RecordsUnderTest, state_store: StoreStub) -> None:
+    async def scenario(leader: LeaderWithTwoChunks, state_store: StoreStub) -> None:
         assert not leader.first.recorded
         await leader.write()
         assert leader.first.recorded
@@ -147,7 +147,7 @@
         await leader.write()  # the row stands already
         assert leader.first.recorded
 
-    _play(monkeypatch, body)
+    _run(monkeypatch, scenario)
 
 
 def test_record_of_a_shard_takes_few_writes() -> None:
@@ -158,7 +158,7 @@
 
         async def commit(conditions: Any, changes: Any, *, priority: int) -> bool:
             assert priority < Priority.SUBMISSIONS
-            assert all(len(c.value) <= 8192 for c in changes)
+            assert all(len(write.value) <= 8192 for write in changes)
             written.extend(changes)
             return True
 
@@ -167,6 +167,6 @@
             await leader.agents.serve(heartbeat_request(number, 1, 50, []))
         await leader.agents.records.write(leader.agents.shards[0])
         assert len(written) <= 8
-        assert all(m.recorded for m in leader.agents.machines.values())
+        assert all(machine.recorded for machine in leader.agents.machines.values())
 
     trio.run(main, clock=trio.testing.MockClock())
--- a/tests/agents/test_placement_totals.py
+++ b/tests/agents/test_placement_totals.py
@@ -45,17 +45,17 @@
             if rng.random() < 0.7:
                 leader.agents.placements.mark_running(placement)
         now, seconds = trio.current_time(), 1000.0
-        for each in jobs:
-            placements_of_job = [p for p in placed if p.job is each]
+        for job in jobs:
+            placements_of_job = [p for p in placed if p.job is job]
             expected_seconds = sum(
                 seconds - (now - p.running_since if p.running_since is not None else 0)
                 for p in placements_of_job
             )
-            load = leader.agents.placements.loads[0][MachineGroupKey("big", "a", False)][each.id]
+            load = leader.agents.placements.loads[0][MachineGroupKey("big", "a", False)][job.id]
             assert load.remaining_seconds(seconds, now) == pytest.approx(expected_seconds)
             assert load.count == len(placements_of_job)
-            assert dominant_share(load.resources, MACHINE_TYPE) == each.spec.cpus / 64
-            assert leader.agents.placements.running(0)[each.id] == sum(
+            assert dominant_share(load.resources, MACHINE_TYPE) == job.spec.cpus / 64
+            assert leader.agents.placements.running(0)[job.id] == sum(
                 p.running_since is not None for p in placements_of_job
             )
         for placement in placed:
--- a/tests/agents/test_reconciliation.py
+++ b/tests/agents/test_reconciliation.py
@@ -79,9 +79,11 @@
     placement.observed, placement.start_heartbeat_seq = observed, start_seq
     machine.placements[KEY] = placement
     heartbeat = _heartbeat(1, 4, *listed)
-    by_key = {task.task: task for task in heartbeat.tasks}
-    found = missing_placements(machine, heartbeat, by_key, in_command_response=in_command_response)
-    assert found == ([placement] if missing else [])
+    listed_tasks = {task.task: task for task in heartbeat.tasks}
+    result = missing_placements(
+        machine, heartbeat, listed_tasks, in_command_response=in_command_response
+    )
+    assert result == ([placement] if missing else [])
 
 
 @pytest.mark.parametrize(
@@ -90,8 +92,8 @@
 def test_exits_are_retained_while_listed(listed: list[tuple[str, int]], retained: bool) -> None:
     machine = _machine()
     machine.exits[KEY] = TaskExit(7, "done")
-    by_key = {task.task: task for task in _heartbeat(1, 4, *listed).tasks}
-    assert retained_exits(machine, by_key) == (machine.exits if retained else {})
+    listed_tasks = {task.task: task for task in _heartbeat(1, 4, *listed).tasks}
+    assert retained_exits(machine, listed_tasks) == (machine.exits if retained else {})
 
 
 @pytest.mark.parametrize(
@@ -112,7 +114,7 @@
 
 
 @pytest.mark.parametrize(
-    ("awaited", "heartbeat", "renewed_at", "before", "after"),
+    ("awaited", "heartbeat", "renewed_at", "count_before", "count_after"),
     [
         ([Command(START, KEY, 7)], _heartbeat(1, 5, (KEY, 7)), 99.0, 1, 0),
         ([Command(START, KEY, 7)], _heartbeat(1, 5), 99.0, 1, 2),
@@ -128,12 +130,12 @@
     awaited: list[Command],
     heartbeat: AgentHeartbeat,
     renewed_at: float,
-    before: int,
-    after: int,
+    count_before: int,
+    count_after: int,
 ) -> None:
     machine = _machine()
     machine.epoch, machine.seq, machine.confirmed = 1, 4, True
     machine.awaited_commands, machine.lease_renewed_at = list(awaited), renewed_at
-    machine.ineffective_responses = before
+    machine.ineffective_responses = count_before
     check_last_response(machine, heartbeat, LEASE_S)
-    assert machine.ineffective_responses == after
+    assert machine.ineffective_responses == count_after
