--- a/pitchtally/agents/machine.py
+++ b/pitchtally/agents/machine.py
@@ -1,7 +1,7 @@
-"""A machine, and the placements of tasks on it: plain state, without I/O.
+"""State of a machine and of the placements of tasks on it; no I/O.
 
-`Machine` and `Placement` refer to each other, so they share a module. Times are trio's clock,
-in seconds, unless a name says otherwise.
+`Machine` and `Placement` refer to each other, so they share a module. Times are seconds on
+trio's clock, except where a comment says otherwise.
 """
 
 from __future__ import annotations
@@ -15,51 +15,51 @@
 from ..jobs.resources import NO_RESOURCES, Resources, resource_request
 from ..protocol import agent_api, cloud_api, user_api
 
-# Responses in a row without any effect, after which a machine counts as unreachable.
+# After this many consecutive responses without an effect, a machine counts as unreachable.
 MAX_INEFFECTIVE_RESPONSES = 2
 
 
 class MachineGroupKey(NamedTuple):
-    """What the machines of one group have in common: they differ in their state alone."""
+    """The attributes that all machines of a group share; scheduling treats them as equivalent."""
 
     type: str
     zone: str
     spot: bool
 
     def text(self) -> str:
-        """The key as peer heartbeats carry it."""
+        """Return the encoded key, as peer heartbeats carry it."""
         return f"{self.type}|{self.zone}|{int(self.spot)}"
 
     @classmethod
     def parse(cls, text: str) -> MachineGroupKey:
-        """Read what `text` gave."""
+        """Return the key that `text` has encoded."""
         type_, zone, spot = text.split("|")
         return cls(type_, zone, spot == "1")
 
 
 class Reservation(NamedTuple):
-    """Capacity of a machine kept for one job until a time, for want of an earlier start."""
+    """A machine reserved until a given time for a job that cannot start yet."""
 
     job_id: str
     until: float
 
 
 class HeartbeatNumber(NamedTuple):
-    """The number of an agent heartbeat: of two, the greater was sent later."""
+    """The number of an agent heartbeat: the greater of two numbers was sent later."""
 
     epoch: int
     seq: int
 
 
 class TaskExit(NamedTuple):
-    """A task that an agent reports as exited, until it is told to forget it."""
+    """The exit of a task, which the agent lists until a command acknowledges it."""
 
     attempt: int
     cause: str
 
 
 class Placement:
-    """A task on a machine, from the decision to start it until it certainly isn't there."""
+    """A task on a machine, from the decision to start it until its end there is confirmed."""
 
     __slots__ = (
         "attempt",
@@ -85,23 +85,23 @@
         self.task = task
         self.attempt = attempt
         self.machine = machine
-        self.spec = job.spec  # kept here: the record drops it once the job is over
+        self.spec = job.spec  # the record drops its spec once the job has ended
         self.resources = resource_request(job.spec)
-        self.state = ""  # as the agent last reported it; "" until it does
-        self.observed = False  # the agent has listed it
-        # `seq` of the heartbeat whose response carried the start command; 0: not sent yet.
+        self.state = ""  # last state that the agent reported; "" before the first report
+        self.observed = False  # whether the agent has listed the task
+        # `seq` of the heartbeat whose response carried the start command; 0 before it is sent.
         self.start_heartbeat_seq = 0
-        self.placed_at = trio.current_time()  # of the decision, then of the start command
+        self.placed_at = trio.current_time()  # time of the decision, later of the start command
         self.running_since: float | None = None
-        self.stop_grace: float | None = None  # seconds; not None: to be stopped
-        self.stop_commanded_at = 0.0  # 0: not since the grace was last shortened
+        self.stop_grace: float | None = None  # in seconds; None unless the task must be stopped
+        self.stop_commanded_at = 0.0  # 0 if no stop was sent since the grace was last shortened
         self.team = job.spec.team
         self.rank = user_api.RANKS.index(job.spec.rank)
         self.key = f"{job.id}/{task}"
 
 
 class Machine:
-    """A machine as the leader of its shard knows it."""
+    """The state of a machine, as tracked by the leader of its shard."""
 
     __slots__ = (
         "address",
@@ -148,38 +148,39 @@
         self.spot = spot
         self.group = MachineGroupKey(type, zone, spot)
         self.address = address
-        self.machine_type: cloud_api.MachineType | None = None  # None: not in the catalog
-        # Of the newest status, whether a heartbeat or an answer to a direct command.
+        self.machine_type: cloud_api.MachineType | None = None  # None if the catalog lacks it
+        # Epoch and sequence number of the newest status: a heartbeat or a response to a command.
         self.epoch = 0
         self.seq = -1
-        self.last_heartbeat = HeartbeatNumber(0, -1)  # answers to direct commands apart
+        self.last_heartbeat = HeartbeatNumber(0, -1)  # excludes command responses
         self.last_heartbeat_at = now
-        self.lease_renewed_at = now  # the last response that may have renewed its lease
-        self.confirmed = False  # a status has carried our fencing token
-        self.recorded = False  # named in the state store: a later leader will look for it
-        self.lost = False  # its lease has expired, or it hasn't been heard for long
+        self.lease_renewed_at = now  # time of the last response that may have renewed it
+        self.confirmed = False  # whether a status has carried this shard's current token
+        self.recorded = False  # whether it is in the state store, for a later leader
+        self.lost = False  # whether its lease has expired, or its heartbeats have timed out
         self.draining = False
-        self.preemption_at: float | None = None  # when the provider takes it back
+        self.preemption_at: float | None = None  # as announced by the provider
         self.quarantined_until = LONG_AGO
         self.idle_since = now
-        self.placements: dict[str, Placement] = {}  # by task key
-        self.used = [0.0, 0.0, 0.0]  # by its placements: CPUs, GPUs, GiB
-        self.used_by_rank = [[0.0, 0.0, 0.0] for _ in user_api.RANKS]  # the same, by rank
+        self.placements: dict[str, Placement] = {}  # keyed by task key
+        self.used = [0.0, 0.0, 0.0]  # CPUs, GPUs and GiB of memory that placements take
+        self.used_by_rank = [[0.0, 0.0, 0.0] for _ in user_api.RANKS]  # `used`, for each rank
         self.reservation: Reservation | None = None
-        self.exits: dict[str, TaskExit] = {}  # by task key; the agent still lists them
+        self.exits: dict[str, TaskExit] = {}  # those that the agent lists, keyed by task key
         self.exits_acknowledged_at = LONG_AGO
-        # Attempts by task key of jobs that were over before this node acquired the shard:
-        # all that is known of them is that they must stop.
+        # Attempts of listed tasks without a placement, keyed by task key. Their jobs ended before
+        # this node acquired the shard; nothing else is known of them, and they must be stopped.
         self.orphans: dict[str, int] = {}
-        self.cached_images: dict[str, float] = {}  # image -> when it was last in use
-        self.failures_by_job: dict[str, int] = {}  # since a task last succeeded here
-        self.last_failure_at: dict[str, float] = {}  # by job
+        self.cached_images: dict[str, float] = {}  # time of last use, keyed by image
+        self.failures_by_job: dict[str, int] = {}  # since the last success of any task
+        self.last_failure_at: dict[str, float] = {}  # keyed by job ID
         self.consecutive_errors = 0
-        self.awaited_commands: list[agent_api.Command] = []  # the next heartbeat must show them
-        self.ineffective_responses = 0  # in a row
+        # Starts and acknowledgements of the last response: the next heartbeat shows their effect.
+        self.awaited_commands: list[agent_api.Command] = []
+        self.ineffective_responses = 0  # consecutive
 
     def available(self) -> Resources:
-        """What no placement takes; nothing while the machine's type is unknown."""
+        """Return the resources that no placement takes; none while the machine type is unknown."""
         if self.machine_type is None:
             return NO_RESOURCES
         used, machine_type = self.used, self.machine_type
@@ -188,26 +189,26 @@
         )
 
     def preemptible(self, rank: int) -> Resources:
-        """What tasks of lower rank than this one take."""
+        """Return the resources that tasks of a rank lower than `rank` take."""
         cpus = gpus = memory = 0.0
         for used in self.used_by_rank[rank + 1 :]:
             cpus, gpus, memory = cpus + used[0], gpus + used[1], memory + used[2]
         return Resources(cpus, gpus, memory)
 
     def adjust_usage(self, placement: Placement, sign: float) -> None:
-        """Add a placement to the sums (`sign` 1.0), or subtract it (-1.0)."""
+        """Add a placement's resources to the totals (`sign` 1.0), or subtract them (-1.0)."""
         by_rank = self.used_by_rank[placement.rank]
         for i, amount in enumerate(placement.resources):
             self.used[i] += sign * amount
             by_rank[i] += sign * amount
         if not self.placements:
-            # Sums of many floats drift: an empty machine is exactly empty.
+            # Float sums accumulate rounding errors, so an empty machine resets its totals to zero.
             self.used = [0.0, 0.0, 0.0]
             self.used_by_rank = [[0.0, 0.0, 0.0] for _ in user_api.RANKS]
 
     @property
     def schedulable(self) -> bool:
-        """Whether tasks may start on it."""
+        """Whether tasks may start on the machine."""
         return (
             self.confirmed
             and self.recorded
@@ -220,5 +221,5 @@
 
     @property
     def unreachable(self) -> bool:
-        """Its heartbeats arrive, but responses don't reach it: a one-way partition."""
+        """Whether heartbeats arrive but responses have no effect: a one-way network partition."""
         return self.ineffective_responses >= MAX_INEFFECTIVE_RESPONSES
--- a/pitchtally/agents/manager.py
+++ b/pitchtally/agents/manager.py
@@ -1,4 +1,4 @@
-"""The agents' side of a controller: its components put together, and what others use of them."""
+"""Composition of a controller's agent components, and their interface to other packages."""
 
 from __future__ import annotations
 
@@ -26,16 +26,17 @@
 from .reachability import AgentReachability
 from .shard_recovery import ShardRecovery
 
-# The sender looks at suspect and unreachable machines so often per heartbeat interval.
+# Passes of the command sender over suspect and unreachable machines per heartbeat interval.
 PROBES_PER_HEARTBEAT = 3
 
 
 class AgentManager:
-    """Composes the components for agents.
+    """Composes the components that manage agents.
 
-    Others read `machines`, `placements`, `shards`, `terminated` and `machines_with_orphans`;
-    only the components change them (the scheduler puts new placements). Methods that are one
-    component's duty are its own, bound once: heartbeats call some, so they cost no further call.
+    Other packages read `machines`, `placements`, `shards`, `terminated` and
+    `machines_with_orphans`; only the components change them, except that the scheduler adds new
+    placements. Methods implemented by a single component are bound here as attributes, which
+    saves a call for those on the heartbeat path.
     """
 
     def __init__(
@@ -48,7 +49,7 @@
         machine_types: MachineTypeLookup,
         on_decision: DecisionListener,
     ):
-        """Eight parameters: all that the components rest on meets here, and only here."""
+        """Takes eight parameters: the dependencies of all components are passed only here."""
         deployment = settings.deployment
         times = deployment.workers
         self._scheduler = SchedulerConnection()
@@ -115,21 +116,21 @@
         )
 
     def connect(self, listener: AgentListener, starter: TaskStarter) -> None:
-        """Have the scheduler told of shards and placements, and asked for what may start."""
+        """Connect the scheduler as the listener for changes and as the source of task starts."""
         self._scheduler.listener = listener
         self._scheduler.starter = starter
 
     def shard_acquired(self, shard: int, token: int) -> None:
-        """This node leads a shard under a new fencing token."""
+        """Start leading a shard under a new fencing token."""
         self.recovery.acquire(shard, token)
         self._queue.wake()
 
     def shard_lost(self, shard: int) -> None:
-        """This node doesn't lead a shard any more."""
+        """Stop leading a shard."""
         self.recovery.release(shard)
 
     def machine_terminated(self, name: str) -> None:
-        """The cloud has confirmed that the machine, and all on it, is gone."""
+        """Remove a machine, with its tasks, that the cloud has confirmed as terminated."""
         self.terminated.add(name)
         machine = self.machines.get(name)
         if machine is None:
--- a/pitchtally/agents/placements.py
+++ b/pitchtally/agents/placements.py
@@ -1,7 +1,7 @@
-"""Which tasks are on which machines, with the sums that scheduling and quotas rest on.
+"""The tasks placed on each machine, with the totals that scheduling and quotas use.
 
-The sums are kept up with every change: nothing that a heartbeat asks for may cost more with
-more machines, jobs or tasks in a shard.
+The totals are updated with every change, so that the cost of handling a heartbeat does not
+grow with the number of machines, jobs or tasks in a shard.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from ..jobs.resources import Resources
 from .machine import MachineGroupKey, Placement
 
-# What a running task is taken to need at least, in seconds.
+# Lower bound on the estimated remaining run time of a running task.
 MIN_REMAINING_S = 0.1
 
 
 class ResourceUse(NamedTuple):
-    """What tasks take of the resources that quotas limit."""
+    """The use of the resources that quotas limit."""
 
     cpus: float
     gpus: float
@@ -28,9 +28,9 @@
 
 
 class GroupLoad:
-    """A job's tasks on the machines of one group in a shard.
+    """Totals of a job's tasks on the machines of one group in a shard.
 
-    Scheduling asks for the sums of thousands of tasks several times a second.
+    Scheduling reads the totals of thousands of tasks several times a second.
     """
 
     __slots__ = ("count", "rank", "resources", "running", "running_since_sum")
@@ -39,12 +39,12 @@
         self.resources = resources
         self.rank = rank
         self.count = 0
-        self.running = 0  # those that have been seen running
-        self.running_since_sum = 0.0  # over these, the times since when
+        self.running = 0  # tasks whose agent has reported them as running
+        self.running_since_sum = 0.0  # sum of the start times of running tasks
 
     def remaining_seconds(self, seconds: float, now: float) -> float:
-        """Machine-seconds that the tasks still need, if each takes `seconds`."""
-        # A task that has outrun the estimate counts with a little, as it doesn't end at once.
+        """Return the machine-seconds that the tasks still need if each takes `seconds` in all."""
+        # Tasks that exceed the estimate still count with the minimum: they do not end at once.
         running_seconds = max(
             MIN_REMAINING_S * self.running,
             self.running * (seconds - now) + self.running_since_sum,
@@ -53,7 +53,7 @@
 
 
 class _TeamUse:
-    """What a team's tasks take in a shard."""
+    """Running totals of a team's tasks in a shard."""
 
     __slots__ = ("cpus", "gpus", "tasks")
 
@@ -72,28 +72,28 @@
         self.gpus -= placement.resources[1]
         self.tasks -= 1
         if not self.tasks:
-            # Sums of many floats drift: without tasks the use is exactly zero.
+            # Float sums accumulate rounding errors, so a team without tasks resets to zero.
             self.cpus = self.gpus = 0.0
 
 
-GroupLoads = dict[MachineGroupKey, dict[str, GroupLoad]]  # by group, then by job
+GroupLoads = dict[MachineGroupKey, dict[str, GroupLoad]]  # keyed by group, then by job ID
 
 
 class Placements:
     """The tasks on the machines of the shards that this node leads."""
 
     def __init__(self) -> None:
-        self.loads: dict[int, GroupLoads] = {}  # by shard
-        # Inner dicts serve as ordered sets: runs with the same seed must repeat.
+        self.loads: dict[int, GroupLoads] = {}  # keyed by shard
+        # Keyed by job ID. The inner dicts are ordered sets, which keeps seeded runs repeatable.
         self._by_job: dict[str, dict[Placement, None]] = {}
-        self._team_use: dict[tuple[int, str], _TeamUse] = {}  # by shard and team
+        self._team_use: dict[tuple[int, str], _TeamUse] = {}  # keyed by shard and team
 
     def of_job(self, id: str) -> list[Placement]:
-        """Every placement of a job's tasks, earliest first."""
+        """Return all placements of a job's tasks, in the order in which they were added."""
         return list(self._by_job.get(id, ()))
 
     def put(self, placement: Placement) -> None:
-        """Add a placement; another attempt of the same task on the machine makes way."""
+        """Add a placement, replacing any other attempt of the same task on the machine."""
         machine = placement.machine
         earlier = machine.placements.get(placement.key)
         if earlier is not None:
@@ -115,7 +115,7 @@
             load.running_since_sum += placement.running_since
 
     def drop(self, placement: Placement) -> bool:
-        """Remove a placement; False if it isn't there any more."""
+        """Remove a placement, and return False if it had already been removed."""
         machine = placement.machine
         if machine.placements.get(placement.key) is not placement:
             return False
@@ -138,14 +138,14 @@
         return True
 
     def mark_running(self, placement: Placement) -> None:
-        """Note that the task is seen running for the first time."""
+        """Record that the agent has reported the task as running for the first time."""
         placement.running_since = trio.current_time()
         load = self.loads[placement.machine.shard][placement.machine.group][placement.job.id]
         load.running += 1
         load.running_since_sum += placement.running_since
 
     def running(self, shard: int) -> dict[str, int]:
-        """By job, how many tasks have been seen running on the shard's machines."""
+        """Return the number of running tasks on a shard's machines, keyed by job ID."""
         running: dict[str, int] = {}
         for loads_by_job in self.loads.get(shard, {}).values():
             for id, load in loads_by_job.items():
@@ -154,6 +154,6 @@
         return running
 
     def team_use(self, shard: int, team: str) -> ResourceUse:
-        """What a team's tasks take in a shard."""
+        """Return the resources that a team's tasks use in a shard."""
         use = self._team_use.get((shard, team))
         return ResourceUse(use.cpus, use.gpus) if use is not None else NO_USE
