--- a/pitchtally/agents/commands/__init__.py
+++ b/pitchtally/agents/commands/__init__.py
@@ -1,6 +1,6 @@
-"""Commands to agents: which ones, and the calls that carry stops at once.
+"""Commands to agents: choosing them, and calling agents to send stops without delay.
 
-Starts travel in responses to heartbeats alone: an agent drops a late response, whereas a
-command held up on its way could run minutes later. Stops and acknowledgements name an attempt,
-so a late one is harmless; stops also go in calls of our own (`sender`).
+Starts are sent only in heartbeat responses: an agent drops a late response, whereas a delayed
+command call could start a task minutes later. Stops and acknowledgements name an attempt, so a
+late one is harmless; stops are also sent in calls to the agent (`sender`).
 """
--- a/pitchtally/agents/commands/agent_client.py
+++ b/pitchtally/agents/commands/agent_client.py
@@ -1,4 +1,4 @@
-"""Calls of the agents' own HTTP interface."""
+"""HTTP client for the agents' own interface."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from ...http import Client, HttpError, Response
 from ...protocol import agent_api
 
-# Of all sockets, one in so many for calls under way, twice (stops, and probes apart), and as
-# many kept open: a shard may hold more machines than there are sockets.
+# One concurrent call per this many sockets, separately for stops and for probes, and as many
+# idle connections: a shard may have more machines than there are sockets.
 SOCKETS_PER_CALL = 30
 MIN_CONCURRENT_CALLS = 8
 IDLE_CONNECTION_TIMEOUT_S = 8.0
@@ -18,7 +18,7 @@
 
 
 class AgentClient:
-    """An HTTP client for agents, with a bound on calls under way."""
+    """An HTTP client for agents, with a limit on concurrent calls."""
 
     def __init__(self, limits: MachineLimits, call_timeout: float):
         self.max_calls = max(MIN_CONCURRENT_CALLS, limits.max_connections // SOCKETS_PER_CALL)
@@ -28,13 +28,13 @@
         )
 
     async def post_commands(self, address: str, request: agent_api.CommandRequest) -> Response:
-        """Send commands; raises HttpError, and ValueError for an address that isn't one."""
+        """Send commands to an agent. Raises HttpError, or ValueError if the address is invalid."""
         return await self._client.call(
             host_port(address), "POST", "/commands", _encode(request), timeout=self._call_timeout
         )
 
     async def is_answering(self, address: str) -> bool:
-        """Whether an agent answers at all, within half the usual time."""
+        """Return whether an agent answers within half the usual timeout."""
         try:
             response = await self._client.call(
                 host_port(address), "GET", "/status", timeout=self._call_timeout / 2
--- a/pitchtally/agents/commands/builder.py
+++ b/pitchtally/agents/commands/builder.py
@@ -1,4 +1,4 @@
-"""The commands that an agent gets, from the state of its machine."""
+"""Builds the commands for an agent from the state of its machine."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from ..machine import Machine, Placement
 from ..task_keys import belongs_to_closed_job
 
-# An agent reads no line over 64 KiB: what goes beyond so many commands waits for the next.
+# Agents read lines of at most 64 KiB; commands beyond this number wait for the next message.
 MAX_COMMANDS_PER_MESSAGE = 500
-# A task that was given this many times its grace, and some seconds, is stopped without any.
+# A task still present after this many grace periods plus the margin is stopped without grace.
 OVERDUE_GRACE_PERIODS = 2
 OVERDUE_MARGIN_S = 5
 
 
 class CommandBuilder:
-    """Makes the commands of responses and of direct calls, and notes what has been sent."""
+    """Builds the commands for heartbeat responses and calls, and records what was sent."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         acknowledge_interval: float,
         on_decision: DecisionListener,
     ):
-        """`acknowledge_interval`: seconds between two acknowledgements that go alone."""
+        """`acknowledge_interval`: minimum seconds between acknowledgements sent without starts."""
         self._shards = shards
         self._jobs = jobs
         self._freshness = freshness
@@ -44,12 +44,12 @@
     def for_heartbeat(
         self, machine: Machine, heartbeat: agent_api.AgentHeartbeat
     ) -> list[agent_api.Command]:
-        """What the response to a heartbeat commands: stops, acknowledgements, then starts."""
+        """Return the commands for a heartbeat response: stops, acknowledgements, then starts."""
         now = trio.current_time()
         commands = self.stops(machine)
         starts = self._starts(machine, heartbeat, now)
-        # An agent reports each acknowledged exit as a change: beside a start that costs
-        # nothing more, alone once a heartbeat interval will do.
+        # Each acknowledged exit makes the agent report a change. With a start this costs nothing
+        # extra; without one, acknowledging once per heartbeat interval is enough.
         if starts or now - machine.exits_acknowledged_at >= self._acknowledge_interval:
             acknowledgements = self._acknowledgements(machine)
             if acknowledgements:
@@ -62,7 +62,7 @@
         return commands[:MAX_COMMANDS_PER_MESSAGE]
 
     def stops(self, machine: Machine) -> list[agent_api.Command]:
-        """Stop commands for all that must end on a machine."""
+        """Return stop commands for all tasks that must end on a machine."""
         now = trio.current_time()
         commands = []
         for key, placement in machine.placements.items():
@@ -70,7 +70,7 @@
                 placement.stop_grace = 0.0
             if placement.stop_grace is None:
                 continue
-            # One that should have saved its work by now is ended: its capacity is needed.
+            # The task has had time to save its work, and its capacity is needed.
             overdue = (
                 placement.stop_commanded_at
                 and now - placement.stop_commanded_at
@@ -88,7 +88,7 @@
         return commands
 
     def stops_of_closed_jobs(self, heartbeat: agent_api.AgentHeartbeat) -> list[agent_api.Command]:
-        """Stop commands for listed tasks of jobs that are over, whichever attempt they are."""
+        """Return stop commands for listed tasks of ended jobs, whichever attempt they are."""
         return [
             agent_api.Command(agent_api.STOP, task.task, task.attempt, 0.0)
             for task in heartbeat.tasks
@@ -116,7 +116,7 @@
         ]
 
     def _is_durable(self, key: str) -> bool:
-        """Whether a task's success is in the store; until then the agent must go on listing it."""
+        """Return whether a task's success is stored; until then the agent must keep listing it."""
         id, _, number = key.rpartition("/")
         job = self._jobs.get(id)
         if job is None or not job.open or job.service:
--- a/pitchtally/agents/commands/call.py
+++ b/pitchtally/agents/commands/call.py
@@ -1,4 +1,4 @@
-"""One call to an agent: the stops for its machine, and the status in its answer."""
+"""One call to an agent, which sends stops and returns the agent's status."""
 
 from __future__ import annotations
 
@@ -18,25 +18,28 @@
 
 log = logging.getLogger(__name__)
 
-# The first call may name an epoch that is over; the answer gives the one for the second.
+# The first call may name an ended epoch; its response gives the epoch for the second.
 MAX_CALL_ATTEMPTS = 2
-# Answers that carry a status; 409 is that to another epoch.
+# HTTP statuses of responses that carry an agent status; 409 means that the epoch differs.
 HTTP_CODES_WITH_AGENT_STATUS = (200, 409)
 
 _decode_status = msgspec.json.Decoder(agent_api.AgentHeartbeat).decode
 
 
 class StatusObserver(Protocol):
-    """Takes in the status that an agent reports."""
+    """Processes the status that an agent reports."""
 
     def observe(
         self, status: agent_api.AgentHeartbeat, led_shard: LedShard, *, in_command_response: bool
     ) -> Machine | None:
-        """The machine if the status is news; `direct`: in an answer, not in a heartbeat."""
+        """Process a status, and return its machine if the status is newer than the last one.
+
+        `in_command_response` is false for the status of a heartbeat.
+        """
 
 
 class CommandCall:
-    """Calls an agent until it has answered under its present epoch."""
+    """Calls an agent, and repeats the call under its present epoch if that differs."""
 
     def __init__(
         self,
@@ -53,9 +56,9 @@
         self._client = client
 
     async def send(self, machine: Machine, led_shard: LedShard) -> None:
-        """Send a machine's stop commands, if any, and take in its status.
+        """Send a machine's stop commands, if any, and process the status in the response.
 
-        A machine that has not shown our fencing token yet gets that alone.
+        A machine that has not confirmed this node's fencing token yet is sent only the token.
         """
         for _ in range(MAX_CALL_ATTEMPTS):
             if self._leadership.token(led_shard.shard) != led_shard.token:
@@ -75,13 +78,13 @@
             if not self._process_status(status, machine, led_shard):
                 return
             if response.status == 200:
-                machine.ineffective_responses = 0  # commands reach it after all
+                machine.ineffective_responses = 0  # commands reach the agent
                 return
 
     def _process_status(
         self, status: agent_api.AgentHeartbeat, machine: Machine, led_shard: LedShard
     ) -> bool:
-        """Take in the status of an answer; False if the machine isn't ours to command."""
+        """Process the status of a response; return False if the machine must not be called again."""
         if status.machine != machine.name:
             return False
         if self._shards.get(led_shard.shard) is not led_shard:
--- a/pitchtally/agents/commands/sender.py
+++ b/pitchtally/agents/commands/sender.py
@@ -1,7 +1,7 @@
-"""The loop that calls agents: stops at once, and after a failover our fencing token.
+"""The loop that calls agents to send stops without delay, and the token after a failover.
 
-Never a start: a command held up on its way could run minutes later, while a late response to a
-heartbeat is dropped.
+It never sends starts: a delayed command call could start a task minutes later, while agents drop
+a late heartbeat response.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from .call import CommandCall
 from .queue import CommandQueue
 
-# Several stops often come together: a moment's wait batches them.
+# Stops often come in groups, and a short delay batches them.
 BATCHING_S = 0.01
 
 
@@ -33,10 +33,11 @@
         interval: float,
         max_calls: int,
     ):
-        """Eight parameters: the state to look at, what to do about it, and two limits.
+        """Takes eight parameters: the state to check, the actions on it, and two limits.
 
-        `load_shard` loads a shard once the replica allows it. `interval`: seconds between two
-        looks at suspect and unreachable machines. `max_calls`: calls of a kind at a time.
+        `load_shard` loads a shard once the replica has caught up. `interval` is the time in
+        seconds between checks of suspect and unreachable machines. `max_calls` limits the
+        concurrent calls, separately for stops and for probes.
         """
         self._index = index
         self._shards = shards
@@ -45,11 +46,11 @@
         self._load_shard = load_shard
         self._interval = interval
         self._stops = trio.CapacityLimiter(max_calls)
-        # Apart: machines that can't be reached must not hold up stops for those that can.
+        # Separate, so that probes of unreachable machines do not delay stops for the others.
         self._probes = trio.CapacityLimiter(max_calls)
 
     async def run(self) -> None:
-        """Call agents for as long as this node runs."""
+        """Call agents until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 await self._queue.wait(self._interval)
--- a/pitchtally/agents/commands/task_control.py
+++ b/pitchtally/agents/commands/task_control.py
@@ -1,4 +1,4 @@
-"""Tasks to be stopped, and placements removed once their tasks are certainly gone."""
+"""Stopping tasks, and removing placements once their tasks are confirmed as gone."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class TaskControl:
-    """Changes what is to run on machines; only `CommandBuilder` makes commands of it."""
+    """Marks tasks to stop and removes placements; `CommandBuilder` builds the stop commands."""
 
     def __init__(self, index: MachineIndex, queue: CommandQueue, scheduler: SchedulerConnection):
         self._index = index
@@ -19,9 +19,9 @@
         self._scheduler = scheduler
 
     def stop(self, placement: Placement, grace: float) -> None:
-        """Have a task stopped within `grace` seconds; a shorter grace overrides a longer one."""
+        """Request a stop within `grace` seconds; a shorter grace replaces a longer one."""
         if not placement.start_heartbeat_seq and not placement.observed:
-            # Its start was never sent, so it is nowhere.
+            # The start was never sent, so no machine runs the task.
             self.remove(placement, LossCause.NOT_COMMANDED)
             return
         if placement.stop_grace is None or grace < placement.stop_grace:
@@ -30,12 +30,12 @@
             self._queue.add(placement.machine.name)
 
     def stop_job(self, id: str) -> None:
-        """Have all tasks of a cancelled job stopped without grace."""
+        """Request that all tasks of a cancelled job stop without grace."""
         for placement in self._index.placements.of_job(id):
             self.stop(placement, 0.0)
 
     def remove(self, placement: Placement, cause: str) -> None:
-        """Remove the placement of a task that is certainly not on its machine."""
+        """Remove the placement of a task that is confirmed as gone from its machine."""
         machine = placement.machine
         self._index.placements.drop(placement)
         if not machine.placements:
@@ -43,7 +43,7 @@
         self._scheduler.listener.placement_lost(placement, cause)
 
     def remove_all(self, machine: Machine, cause: str) -> None:
-        """Remove all that was on a machine: it is certain that nothing of it is left."""
+        """Remove the placements, exits and orphans of a machine whose tasks are all gone."""
         for placement in list(machine.placements.values()):
             self.remove(placement, cause)
         self._index.clear_exits(machine)
--- a/pitchtally/agents/heartbeats/endpoint.py
+++ b/pitchtally/agents/heartbeats/endpoint.py
@@ -1,4 +1,4 @@
-"""The endpoint that agents send their heartbeats to."""
+"""HTTP endpoint for agent heartbeats."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 
 def _redirect(node: str | None) -> Response:
-    """421: not the leader of the machine's shard; `node` is, if that is known."""
+    """Return 421: this node is not the shard's leader. `node` is the leader, if known."""
     return Response(421, _encode(agent_api.Redirect(node)))
 
 
 def _unavailable() -> Response:
-    """503: no lease is renewed, and nothing is commanded."""
+    """Return 503, which renews no lease and carries no commands."""
     return Response(503, b"{}")
 
 
@@ -46,7 +46,7 @@
         commands: CommandBuilder,
         lease_s: float,
     ):
-        """Eight parameters: a heartbeat passes through each of these components."""
+        """Takes eight parameters: handling a heartbeat involves each of these components."""
         self._index = index
         self._shards = shards
         self._leadership = leadership
@@ -55,7 +55,7 @@
         self._command_builder = commands
         self._lease_s = lease_s
         self._shard_count = index.shard_count
-        self.responses: Counter[str] = Counter()  # by status, for the log
+        self.responses: Counter[str] = Counter()  # number of responses per HTTP status, for the log
 
     async def serve(self, request: Request) -> Response:
         """Respond to a heartbeat."""
@@ -64,7 +64,7 @@
         return response
 
     def _respond(self, request: Request) -> Response:
-        """Let a heartbeat pass only if this node leads its shard, and may renew leases."""
+        """Check that this node leads the machine's shard and may renew leases, then respond."""
         try:
             heartbeat = _decode_heartbeat(request.body)
         except msgspec.MsgspecError as error:
@@ -79,8 +79,8 @@
             self._leadership.fenced(shard, heartbeat.token)
             return _redirect(None)
         if self._freshness.cancellations_stale():
-            # A cancellation may have been confirmed to a user that we can't hear of: letting
-            # the lease expire keeps the promise about its tasks.
+            # Another node may have confirmed a cancellation that has not reached this one.
+            # Without a renewal the lease expires, which ends the job's tasks in time.
             return _unavailable()
         if heartbeat.machine in self._index.terminated:
             return _unavailable()
@@ -93,7 +93,7 @@
         registered = self._index.machines.get(heartbeat.machine)
         number = HeartbeatNumber(heartbeat.epoch, heartbeat.seq)
         if registered is not None and number <= registered.last_heartbeat:
-            # Every heartbeat has its own number: this is a copy, and no agent waits for it.
+            # Heartbeat numbers are unique, so this is a duplicate; no agent waits for a response.
             return _unavailable()
         if registered is not None:
             check_last_response(registered, heartbeat, self._lease_s)
@@ -109,13 +109,14 @@
     def _respond_to_stale(
         self, heartbeat: agent_api.AgentHeartbeat, token: int, machine: Machine | None
     ) -> Response:
-        """Respond to a heartbeat that may be older than what is known.
-
-        Without our fencing token it may be a copy of any age: it earns the token, no more.
-        With it, the answer to a call overtook it: the agent counts its lease from this
-        heartbeat, which it sent before that answer. The response renews the lease, so it
-        carries the stops for jobs that are over: of those nothing is wanted, whichever attempt
-        it is and however old the heartbeat.
+        """Respond to a heartbeat that may be older than the last processed status.
+
+        A heartbeat without this node's fencing token may be a duplicate of any age, so it
+        does not update the machine; the response passes on the token. A heartbeat with
+        the token was overtaken by a command response; the agent counts its lease from this
+        heartbeat, which it sent before that response. The response renews the lease, so it
+        also carries stops for the tasks of ended jobs: these must stop whichever attempt they
+        are and however old the heartbeat is.
         """
         if machine is not None:
             machine.lease_renewed_at = max(machine.lease_renewed_at, machine.last_heartbeat_at)
--- a/pitchtally/agents/heartbeats/reconciliation.py
+++ b/pitchtally/agents/heartbeats/reconciliation.py
@@ -1,7 +1,7 @@
-"""Reconciliation: what we know of a machine's tasks made to agree with what its agent lists.
+"""Reconciliation of a machine's placements with the tasks that its agent lists.
 
-The functions decide without side effects; `Reconciler` applies what they say, task by task in
-the agent's order, since the scheduler's reactions may change placements in between.
+The functions are free of side effects. `Reconciler` applies their results task by task, in the
+agent's order, since the scheduler may change placements in response to each of them.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from ..task_keys import belongs_to_closed_job, job_id_of
 from .task_exits import ExitHandler
 
-ListedTasks = dict[str, agent_api.TaskStatus]  # by task key
+ListedTasks = dict[str, agent_api.TaskStatus]  # keyed by task key
 
 
 def missing_placements(
@@ -30,26 +30,26 @@
     *,
     in_command_response: bool,
 ) -> list[Placement]:
-    """Placements whose tasks the agent would list if it had them."""
+    """Return the placements whose tasks the agent lacks: it would list them otherwise."""
     missing = []
     for key, placement in machine.placements.items():
         task = listed.get(key)
         if task is not None and task.attempt == placement.attempt:
             continue
         if not placement.start_heartbeat_seq and not placement.observed:
-            continue  # decided, not commanded yet
+            continue  # its start command has not been sent
         if not placement.observed and (
             in_command_response or heartbeat.seq <= placement.start_heartbeat_seq
         ):
-            # Only the next heartbeat settles whether a start arrived: a direct answer may
-            # have been made while our response was on its way.
+            # Only the next heartbeat shows whether a start arrived: a command response may have
+            # been made while the heartbeat response with the start was in transit.
             continue
         missing.append(placement)
     return missing
 
 
 def retained_exits(machine: Machine, listed: ListedTasks) -> dict[str, TaskExit]:
-    """The exits that the agent still lists: it has forgotten the others, as commanded."""
+    """Return the exits that the agent still lists; it has dropped the acknowledged ones."""
     return {
         key: task_exit
         for key, task_exit in machine.exits.items()
@@ -60,7 +60,7 @@
 def adopted_placement(
     jobs: Mapping[str, Job], machine: Machine, key: str, task: agent_api.TaskStatus
 ) -> Placement | None:
-    """The placement of a task that an earlier leader started; None unless its job goes on."""
+    """Return a placement for a task that an earlier leader started; None if its job is not open."""
     id, _, number = key.rpartition("/")
     job = jobs.get(id)
     if job is None or not job.open or not number.isdigit():
@@ -94,7 +94,7 @@
     def reconcile(
         self, machine: Machine, heartbeat: agent_api.AgentHeartbeat, *, in_command_response: bool
     ) -> None:
-        """Make what is known of a machine's tasks agree with a status newer than it."""
+        """Update a machine's placements, exits and orphans from a newer status."""
         listed = {task.task: task for task in heartbeat.tasks}
         for placement in missing_placements(
             machine, heartbeat, listed, in_command_response=in_command_response
@@ -119,7 +119,7 @@
         self, machine: Machine, placement: Placement | None, key: str, task: agent_api.TaskStatus
     ) -> None:
         if job_id_of(key) not in self._jobs:
-            return  # the replica may be behind: the agent keeps the exit until acknowledged
+            return  # the replica may lag; the agent lists the exit until it is acknowledged
         if key in machine.exits:
             return
         cause = task.cause or ""
@@ -135,8 +135,8 @@
         if placement is None:
             placement = adopted_placement(self._jobs, machine, key, task)
             if placement is None:
-                # Cancelled while nobody led the shard, and unheard of since. A task of an
-                # unknown job is let be: the replica may be behind.
+                # The job was cancelled while no node led the shard or received the machine's
+                # status. A task of an unknown job continues: the replica may lag.
                 if belongs_to_closed_job(self._jobs, key):
                     machine.orphans[key] = task.attempt
                 return
--- a/pitchtally/agents/heartbeats/response_effect.py
+++ b/pitchtally/agents/heartbeats/response_effect.py
@@ -1,4 +1,4 @@
-"""Whether responses reach an agent: that one was sent proves nothing."""
+"""Detection of responses that do not reach an agent, by their missing effect."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 def check_last_response(
     machine: Machine, heartbeat: agent_api.AgentHeartbeat, lease_s: float
 ) -> None:
-    """Update `machine.ineffective_responses` by a heartbeat that is about to be taken in.
+    """Update `machine.ineffective_responses` from a heartbeat that is about to be processed.
 
     An agent sends one heartbeat at a time, so the next one shows every command that reached it.
-    A machine that hears nothing takes no more work until it does.
+    No task starts on an unreachable machine until its responses have an effect again.
     """
     if (heartbeat.epoch, heartbeat.seq) <= (machine.epoch, machine.seq):
         return
     if heartbeat.epoch > machine.epoch:
-        # Its lease expired. If we responded within it, the response didn't arrive.
+        # The lease expired. If a response was sent within its term, it did not arrive.
         since_response = trio.current_time() - machine.lease_renewed_at
         ineffective = machine.confirmed and since_response < lease_s
         machine.ineffective_responses += int(ineffective) * (MAX_INEFFECTIVE_RESPONSES - 1)
@@ -40,7 +40,7 @@
 def _shows_effect_of_any(
     heartbeat: agent_api.AgentHeartbeat, commands: list[agent_api.Command]
 ) -> bool:
-    """Whether any started task is listed, or any acknowledged one isn't any more."""
+    """Return whether any started task is listed, or any acknowledged one no longer is."""
     listed = {task.task: task.attempt for task in heartbeat.tasks}
     return any(
         (listed.get(command.task) == command.attempt) == (command.op == agent_api.START)
--- a/pitchtally/agents/heartbeats/status_intake.py
+++ b/pitchtally/agents/heartbeats/status_intake.py
@@ -1,4 +1,4 @@
-"""A status taken in, from a heartbeat or from the answer to a call."""
+"""Processing of an agent's status, from a heartbeat or from a command response."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class StatusIntake:
-    """Decides whether a status is news, and brings its machine up to it."""
+    """Updates a machine from a status, unless that is older than the last one."""
 
     def __init__(
         self,
@@ -42,15 +42,16 @@
     def observe(
         self, status: agent_api.AgentHeartbeat, led_shard: LedShard, *, in_command_response: bool
     ) -> Machine | None:
-        """Take in a status; None if it is older than what is known, or may be.
+        """Process a status; return None if it is, or may be, older than the last one.
 
-        Only our fencing token proves that a status was made after this node acquired the
-        shard: any other may be a copy, late by more than a lease, of a machine long gone.
+        Only this node's fencing token proves that a status was made after the node acquired the
+        shard: any other may be a duplicate, delayed by more than a lease, from a machine that is
+        gone.
         """
         machine = self._index.machines.get(status.machine)
         if status.token != led_shard.token:
             if machine is not None and in_command_response and status.epoch > machine.epoch:
-                machine.epoch = status.epoch  # what the next command must name
+                machine.epoch = status.epoch  # the next command must name this epoch
                 machine.seq = -1
             return None
         if machine is None:
@@ -64,7 +65,7 @@
         self._reconciler.reconcile(machine, status, in_command_response=in_command_response)
         if not machine.confirmed:
             machine.confirmed = True
-            # Until it saw our fencing token, an earlier leader may have renewed its lease.
+            # An earlier leader may have renewed the lease until the agent received this token.
             machine.idle_since = machine.lease_renewed_at = now
         self._recovery.clear_suspect(led_shard, machine)
         if not machine.recorded:
@@ -76,7 +77,7 @@
     def _update_machine(
         self, machine: Machine, status: agent_api.AgentHeartbeat, now: float
     ) -> None:
-        """Bring all but the machine's tasks up to a status."""
+        """Update a machine from a status, apart from its tasks."""
         if machine.machine_type is None:
             self._index.update_machine_type(machine)
         if status.address:
--- a/pitchtally/agents/heartbeats/task_exits.py
+++ b/pitchtally/agents/heartbeats/task_exits.py
@@ -1,4 +1,4 @@
-"""What a task's exit says of its machine and its job."""
+"""Processing of task exits: the effects on the machine's failure counts and on the job."""
 
 from __future__ import annotations
 
@@ -15,32 +15,32 @@
 
 
 def record_success(machine: Machine) -> None:
-    """A task has succeeded on the machine: what failed on it before isn't its fault."""
+    """Clear the machine's failure counts: a success shows that it did not cause them."""
     machine.failures_by_job.clear()
     machine.last_failure_at.clear()
     machine.consecutive_errors = 0
 
 
 def record_failure(machine: Machine, job_id: str, now: float) -> None:
-    """A task of a job has failed on the machine."""
+    """Count a failure of one of the job's tasks on the machine."""
     machine.consecutive_errors += 1
     machine.failures_by_job[job_id] = machine.failures_by_job.get(job_id, 0) + 1
     machine.last_failure_at[job_id] = now
 
 
 class ExitHandler:
-    """Takes in exits of tasks that are placed, once each."""
+    """Processes the exits of placed tasks, each of them once."""
 
     def __init__(self, control: TaskControl, scheduler: SchedulerConnection):
         self._control = control
         self._scheduler = scheduler
 
     def handle(self, placement: Placement, cause: str) -> None:
-        """A task has exited; `cause` is one of the agent's exit causes, or unknown to us."""
+        """Process a task's exit; `cause` may be one that this version does not know."""
         now = trio.current_time()
         machine, job = placement.machine, placement.job
         if cause == agent_api.DONE and placement.spec.is_service:
-            # It should have gone on: nothing is finished, nor does it speak for the machine.
+            # A service replica should not exit: this neither completes a task nor clears failures.
             log.info("replica exited task=%s machine=%s", placement.key, machine.name)
         elif cause == agent_api.DONE:
             record_success(machine)
--- a/pitchtally/agents/lease_expiry.py
+++ b/pitchtally/agents/lease_expiry.py
@@ -1,4 +1,4 @@
-"""Machines that aren't heard: their leases expire, and what they held is given up."""
+"""Removal of tasks whose machine's lease expired, and detection of machines without heartbeats."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 log = logging.getLogger(__name__)
 
-# Looks at all machines per heartbeat interval.
+# Passes over all machines per heartbeat interval.
 CHECKS_PER_HEARTBEAT = 4
-# After a preemption notice has run out, so many intervals without a heartbeat mean it is gone.
+# After the announced preemption, a machine is lost after this many missed heartbeats.
 PREEMPTED_MISSED_HEARTBEATS = 2
-# An unrecorded machine is forgotten after so many times the heartbeat timeout.
+# An unrecorded machine is removed from the index after this many heartbeat timeouts.
 UNREGISTER_HEARTBEAT_TIMEOUTS = 4
 
 
 class LeaseExpiry:
-    """Gives up placements once the machine's lease must have expired."""
+    """Removes the placements of a machine once its lease must have expired."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         times: AgentTimes,
         heartbeat_timeout: float,
     ):
-        """`heartbeat_timeout`: seconds without a heartbeat after which a machine counts as lost."""
+        """`heartbeat_timeout` is the time in seconds without heartbeats until a machine is lost."""
         self._index = index
         self._shards = shards
         self._control = control
@@ -46,7 +46,7 @@
         self._heartbeat_timeout = heartbeat_timeout
 
     async def run(self) -> None:
-        """Look at all machines, again and again."""
+        """Check all machines of the led shards periodically."""
         while True:
             await trio.sleep(self._times.report_s / CHECKS_PER_HEARTBEAT)
             now = trio.current_time()
@@ -73,10 +73,11 @@
             self._index.remove(machine.name)
 
     def _lease_has_expired(self, machine: Machine, leadership_verified_at: float) -> bool:
-        """Whether a machine's lease is over, and nobody but us can have renewed it.
+        """Return whether a machine's lease has expired for every possible renewer.
 
-        Only our responses renew it, and none has for a whole lease. Cut off from all who could
-        tell, we wait: a new leader may be renewing it.
+        Only the shard leader's responses renew it, and this node has sent none for the length
+        of a lease. While its leadership cannot be verified, the lease does not count as
+        expired, as a new leader may be renewing it.
         """
         has_unexpired_state = not machine.lost or machine.placements
         if not machine.confirmed or not has_unexpired_state:
@@ -84,7 +85,10 @@
         return leadership_verified_at > lease_expired_at(machine.lease_renewed_at, self._times)
 
     def _is_preempted(self, machine: Machine, now: float, since_last_heartbeat: float) -> bool:
-        """Announced by the provider, and silent since: that comes before the lease's end."""
+        """Return whether a machine is past its announced preemption and sends no heartbeats.
+
+        This detects the loss before the lease expires.
+        """
         return (
             machine.preemption_at is not None
             and now > machine.preemption_at
--- a/pitchtally/agents/listener.py
+++ b/pitchtally/agents/listener.py
@@ -1,7 +1,7 @@
-"""What the agents' side asks of other packages: typed interfaces in place of callbacks.
+"""Interfaces that the agent components require of other packages.
 
-The agents know where tasks are; the scheduler decides what goes where. Each call of
-`AgentListener` tells of a fact that has become certain, in the order in which it did.
+This package tracks where tasks are, and the scheduler decides where they start. Calls of
+`AgentListener` report confirmed changes, in the order in which they were confirmed.
 """
 
 from __future__ import annotations
@@ -14,48 +14,48 @@
 
 
 class LossCause(StrEnum):
-    """Why a task is certainly not on its machine, where the agent reports no exit."""
+    """Why a task is confirmed as gone from its machine without an exit reported by the agent."""
 
-    MISSING = "missing"  # the agent does not list it any more
-    NEW_EPOCH = "epoch"  # the agent's lease expired on its side, which ended all its tasks
-    LEASE_EXPIRED = "lease"  # the lease expired on our side
+    MISSING = "missing"  # the agent no longer lists it
+    NEW_EPOCH = "epoch"  # the agent's lease expired on the agent's side, which ended all its tasks
+    LEASE_EXPIRED = "lease"  # the lease expired on the controller's side
     TERMINATED = "terminated"  # the cloud has confirmed that the machine is gone
     NOT_COMMANDED = "not_commanded"  # its start was never sent
 
 
 class AgentListener(Protocol):
-    """Told of shards and placements as their state becomes known."""
+    """Receives changes of led shards and their placements."""
 
     def shard_loaded(self, shard: int) -> None:
-        """The machines of a shard just acquired are known, though not yet heard from."""
+        """Handle an acquired shard whose recorded machines were read, but have not reported yet."""
 
     def suspects_changed(self, shard: int, groups: Collection[MachineGroupKey]) -> None:
-        """Only machines of these groups are still suspect: they may hold unknown tasks."""
+        """Handle a change of the machine groups whose suspects may still hold unknown tasks."""
 
     def shard_reconciled(self, shard: int) -> None:
-        """No machine of the shard is suspect any more: every placement is known."""
+        """Handle a shard without suspect machines: all its placements are known."""
 
     def shard_lost(self, shard: int) -> None:
-        """Another controller leads the shard; its placements are none of ours."""
+        """Handle the loss of a shard, whose placements have been discarded."""
 
     def adopt(self, placement: Placement) -> bool:
-        """Take in a task that an earlier leader started; False if it is to be stopped."""
+        """Adopt a task that an earlier leader started; return False to have it stopped."""
 
     def placement_lost(self, placement: Placement, cause: str) -> None:
-        """A task is certainly not on its machine any more.
+        """Handle a task that is confirmed as gone from its machine.
 
         `cause` is the exit cause that the agent reported, or a `LossCause`.
         """
 
     def task_completed(self, placement: Placement, ran: float) -> None:
-        """A task has exited with success after `ran` seconds, negative if unknown."""
+        """Handle a task that succeeded after `ran` seconds (negative if unknown)."""
 
 
 class TaskStarter(Protocol):
-    """Chooses what starts on a machine."""
+    """Chooses the tasks that start on a machine."""
 
     def schedule_on(self, machine: Machine) -> list[Placement]:
-        """Place pending tasks on a machine whose agent waits for its response."""
+        """Place pending tasks on a machine whose agent is waiting for a heartbeat response."""
 
 
 class Leadership(Protocol):
@@ -66,67 +66,67 @@
         """The name of this node."""
 
     def token(self, shard: int) -> int | None:
-        """This node's fencing token for a shard, None if it isn't the leader."""
+        """Return this node's fencing token for a shard, or None if it does not lead it."""
 
     def leader(self, shard: int) -> str | None:
-        """The node that leads a shard, as far as the replica shows."""
+        """Return the leader of a shard according to the replica, or None."""
 
     def fenced(self, shard: int, token: int) -> None:
-        """An agent knows this token: if it is newer than ours, we are deposed."""
+        """Process a token sent by an agent; one newer than this node's ends its leadership."""
 
 
 class Freshness(Protocol):
-    """How recent what this node concludes from is; times are trio's clock."""
+    """How recently this node verified its state; times are on trio's clock, in seconds."""
 
     def may_start_tasks(self) -> bool:
-        """Whether what is known of cancellations is recent enough to start tasks on."""
+        """Return whether cancellations were verified recently enough to start tasks."""
 
     def cancellations_stale(self) -> bool:
-        """Whether a cancellation may be unknown for too long to renew leases."""
+        """Return whether cancellations were verified too long ago to renew leases."""
 
     def leadership_verified_at(self) -> float:
-        """Up to when nobody else can have renewed a lease in a shard that we lead."""
+        """Return the time up to which no other node can have renewed a lease in a led shard."""
 
     def resumed_at(self) -> float:
-        """When this process last went on after a pause."""
+        """Return when this process last resumed after a pause."""
 
 
 class NoListener:
-    """Stands in until the scheduler is connected."""
+    """Listener that ignores all changes; used until the scheduler is connected."""
 
     def shard_loaded(self, shard: int) -> None:
-        """Ignored."""
+        """Do nothing."""
 
     def suspects_changed(self, shard: int, groups: Collection[MachineGroupKey]) -> None:
-        """Ignored."""
+        """Do nothing."""
 
     def shard_reconciled(self, shard: int) -> None:
-        """Ignored."""
+        """Do nothing."""
 
     def shard_lost(self, shard: int) -> None:
-        """Ignored."""
+        """Do nothing."""
 
     def adopt(self, placement: Placement) -> bool:
-        """Every task may stay."""
+        """Let the task continue."""
         return True
 
     def placement_lost(self, placement: Placement, cause: str) -> None:
-        """Ignored."""
+        """Do nothing."""
 
     def task_completed(self, placement: Placement, ran: float) -> None:
-        """Ignored."""
+        """Do nothing."""
 
 
 class NoStarter:
-    """Stands in until the scheduler is connected."""
+    """Starter that starts nothing; used until the scheduler is connected."""
 
     def schedule_on(self, machine: Machine) -> list[Placement]:
-        """Nothing starts."""
+        """Return no placements."""
         return []
 
 
 class SchedulerConnection:
-    """The scheduler as the agents' components reach it; it is built after them."""
+    """Holds the scheduler for the agent components, which are constructed before it."""
 
     __slots__ = ("listener", "starter")
 
--- a/pitchtally/agents/machine_records.py
+++ b/pitchtally/agents/machine_records.py
@@ -1,8 +1,8 @@
-"""The record, in the state store, of the machines that may hold tasks.
+"""The state store's record of the machines that may hold tasks.
 
-A later leader of a shard must know every machine where a task may be, so no task starts on a
-machine that isn't recorded, and a name leaves the record only once its machine is gone. A
-shard's record is cut into chunks, each a value of the store (`formats.machine_layout`).
+A later leader of a shard must find every machine that may hold a task. So a task starts only on
+a recorded machine, and a machine is removed from the record only once it is gone. A shard's
+record is split into chunks, each of them one value in the store (`formats.machine_layout`).
 """
 
 from __future__ import annotations
@@ -27,16 +27,16 @@
 
 log = logging.getLogger(__name__)
 
-# Machines come in batches: a moment's wait lets one write hold several.
+# New machines arrive in batches, so a short delay lets one write include several.
 BATCHING_S = 0.03
-# Between two passes while the store is unavailable.
+# Delay after a write that failed because the store is unavailable.
 RETRY_INTERVAL_S = 0.2
-# Longer numbers in names aren't the cloud's, and take the first chunk.
+# Names with longer numbers do not come from the cloud; they belong to the first chunk.
 MAX_NUMBER_DIGITS = 18
 
 
 class RecordedMachine(NamedTuple):
-    """What the record holds of a machine; stored as an array."""
+    """A machine's entry in the record; stored as an array."""
 
     type: str
     zone: str
@@ -44,11 +44,11 @@
     address: str
 
 
-RecordedMachines = dict[str, RecordedMachine]  # by machine name
+RecordedMachines = dict[str, RecordedMachine]  # keyed by machine name
 
 
 class MachineRecords:
-    """Chunks of all shards' records as read, and the writer of those of led shards."""
+    """Caches the record chunks of all shards, and writes those of the led shards."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         limits: StateLimits,
         interval: float,
     ):
-        """`interval`: seconds between two passes over the led shards, unless one is requested."""
+        """`interval` is the time in seconds between two passes, unless a write is requested."""
         self.gate = gate
         self.chunks: dict[keys.MachineChunk, RecordedMachines] = {}
         self.machines_per_chunk = machine_layout.machines_per_chunk(int(limits.value_kb * 1024))
@@ -68,7 +68,7 @@
         self._commits = commits
         self._interval = interval
         self._write_requested = trio.Event()
-        self._legacy_layout_refused = False  # the store takes chunks of the old layout no more
+        self._legacy_layout_refused = False  # the store no longer accepts chunks of the old layout
         commits.replica.listen(keys.MACHINES_PREFIX, self._on_record)
 
     def _on_record(self, key: str, value: bytes | None, version: int) -> None:
@@ -79,7 +79,7 @@
             self.chunks[chunk] = msgspec.json.decode(value, type=RecordedMachines)
 
     def chunk_of(self, machine: str) -> int:
-        """The number of the chunk that names a machine, in the layout to write."""
+        """Return the number of the chunk that lists a machine, in the layout to be written."""
         digits = machine.rpartition("-")[2]
         number = int(digits) if digits.isdigit() and len(digits) <= MAX_NUMBER_DIGITS else 0
         position = number // self._index.shard_count
@@ -88,7 +88,7 @@
         return position // format_1.machines_per_chunk(self.gate.value_kb)
 
     def recorded_machines(self, shard: int) -> RecordedMachines:
-        """Every recorded machine of a shard."""
+        """Return all recorded machines of a shard, keyed by name."""
         machines: RecordedMachines = {}
         for chunk, chunk_machines in self.chunks.items():
             if chunk.shard == shard:
@@ -96,11 +96,11 @@
         return machines
 
     def request_write(self) -> None:
-        """Have the records of led shards brought up to date at once."""
+        """Request an immediate update of the records of the led shards."""
         self._write_requested.set()
 
     async def run(self) -> None:
-        """Write the records of led shards whenever their machines change."""
+        """Write the records of the led shards at each interval, and on request."""
         while True:
             with trio.move_on_after(self._interval):
                 await self._write_requested.wait()
@@ -114,25 +114,27 @@
                     await trio.sleep(RETRY_INTERVAL_S)
 
     async def write(self, led_shard: LedShard) -> None:
-        """Bring a shard's record up to its machines, chunk by chunk.
+        """Update a shard's record to its present machines, chunk by chunk.
 
-        A machine is named in its new chunk before it leaves one of another layout, so it is
-        named somewhere at any moment, whenever this node ends. Raises StoreUnavailable.
+        A machine is written to its new chunk before it is removed from one of another layout,
+        so the record always contains it, even if this process stops in between.
+
+        Raises StoreUnavailable.
         """
         if not led_shard.loaded:
             return
         names = self._names_by_chunk(led_shard.shard)
         existing_chunks = {chunk.chunk for chunk in self.chunks if chunk.shard == led_shard.shard}
         for number in [*sorted(names), *sorted(existing_chunks - set(names))]:
-            # At thousands of machines a pass has dozens of chunks, and waits for permits and
-            # answers between them. So the shard is looked at anew before each.
+            # With thousands of machines a pass writes dozens of chunks, and waits for rate limit
+            # permits and responses in between. So leadership is checked again before each.
             if not self._is_led(led_shard):
                 return
             if not await self._write_chunk(led_shard, number, names.get(number, [])):
                 return
 
     def _names_by_chunk(self, shard: int) -> dict[int, list[str]]:
-        """The machines that the record is to name: those that may hold tasks."""
+        """Return the names of the machines to record, keyed by chunk: those that may hold tasks."""
         names: dict[int, list[str]] = {}
         for machine in self._index.of_shard(shard):
             if machine.confirmed or machine.recorded:
@@ -143,7 +145,7 @@
         return self._shards.get(led_shard.shard) is led_shard
 
     async def _write_chunk(self, led_shard: LedShard, number: int, names: list[str]) -> bool:
-        """Write a chunk as it should be; False if it doesn't stand so afterwards."""
+        """Write a chunk unless it is current; return False if the write was rejected."""
         machines = self._recorded_form(names)
         if machines == self.chunks.get(keys.MachineChunk(led_shard.shard, number), {}):
             self._mark_recorded(machines)
@@ -153,15 +155,16 @@
             keys.shard(led_shard.shard): led_shard.token,
             key: self._commits.replica.version(key),
         }
-        # Until the format gate opens an emptied chunk stays, as the old format has it.
+        # The old format keeps empty chunks, so they are deleted only once the format gate is open.
         value = msgspec.json.encode(machines) if machines or not self.gate.open else None
         try:
             committed = await self._commits.commit(
                 conditions, [Write(key, value)], priority=Priority.COMPLETIONS
             )
         except InvalidTransaction as error:
-            # Lower limits came before the gate opened. Earlier versions read any chunk, and
-            # move what it names to theirs before they empty it.
+            # The store's limits were lowered before the format gate opened, so from now on
+            # the new layout is written. Earlier versions read chunks of any layout, and write the
+            # machines to chunks of their own layout before they empty the others.
             log.info(
                 "machine records refused shard=%d chunk=%d cause=%s",
                 led_shard.shard,
@@ -175,7 +178,7 @@
         return committed
 
     def _recorded_form(self, names: Iterable[str]) -> RecordedMachines:
-        """The machines of these machines; one that has gone since is left out."""
+        """Return the entries of these machines, without those that have been removed since."""
         return {
             name: RecordedMachine(machine.type, machine.zone, machine.spot, machine.address)
             for name in names
@@ -183,7 +186,7 @@
         }
 
     def _mark_recorded(self, names: Iterable[str]) -> None:
-        """Let tasks start on these machines, as far as they are still there."""
+        """Mark those of the machines that still exist as recorded, which lets tasks start there."""
         for name in names:
             machine = self._index.machines.get(name)
             if machine is not None:
--- a/pitchtally/agents/reachability.py
+++ b/pitchtally/agents/reachability.py
@@ -1,4 +1,4 @@
-"""Whether this node reaches any agent: a node that doesn't lets others have its shards."""
+"""Checks whether this node reaches any agent; if it reaches none, others take its shards over."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 from .machine_index import MachineIndex
 from .machine_records import MachineRecords
 
-# Silence of all machines for this share of a lease calls for a look.
+# Agents are probed after this share of a lease without contact with any of them.
 SUSPICIOUS_LEASE_SHARE = 1 / 4
-# How many machines are asked: ours, and those of others, from each chunk of their record.
+# Machines probed in one round: of led shards, of other shards, and of each record chunk.
 MAX_OWN_PROBES = 3
 MAX_OTHER_PROBES = 4
 MAX_PROBES_PER_CHUNK = 2
 
 
 class ReachabilityStatus(Protocol):
-    """What this node tells other nodes of its own reach."""
+    """The reachability of agents that this node reports to other nodes."""
 
     @property
     def agents_unreachable(self) -> bool:
-        """Whether others have been told that this node reaches no agent."""
+        """Whether this node is reported as reaching no agent."""
 
     def set_agents_unreachable(self, unreachable: bool) -> None:
-        """Tell others whether this node reaches no agent."""
+        """Report to other nodes whether this node reaches no agent."""
 
 
 class AgentReachability:
-    """Tells a node that its agents can't reach from agents that are gone."""
+    """Distinguishes a node that is cut off from its agents from agents that are gone."""
 
     def __init__(
         self,
@@ -47,10 +47,10 @@
         self._client = client
         self._status = status
         self._times = times
-        self.last_contact_at = trio.current_time()  # when any agent was
+        self.last_contact_at = trio.current_time()  # latest contact with any agent
 
     async def run(self) -> None:
-        """Ask a few agents whenever none has been heard for a while."""
+        """Probe a few agents whenever no agent has been in contact for some time."""
         while True:
             await trio.sleep(self._times.report_s)
             now = trio.current_time()
@@ -61,8 +61,8 @@
             )
             if not self._status.agents_unreachable and not suspicious:
                 continue
-            # Machines of other shards count too: where ours are gone but others answer,
-            # handing our shards on would help nobody.
+            # Machines of other shards count too: if only those of the led shards are gone, this
+            # node still reaches agents, and handing over its shards would not help.
             addresses = own[:MAX_OWN_PROBES] + self._other_addresses()[:MAX_OTHER_PROBES]
             answering = await self._any_answers(addresses)
             if answering:
--- a/pitchtally/agents/shard_recovery.py
+++ b/pitchtally/agents/shard_recovery.py
@@ -1,4 +1,4 @@
-"""A shard acquired by failover: which machines may hold tasks, and when all are known."""
+"""Recovery of a shard after a failover: finding the machines that may hold tasks."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ShardRecovery:
-    """Takes each led shard from acquired over loaded to reconciled."""
+    """Moves each led shard through its states: acquired, loaded, reconciled."""
 
     def __init__(
         self,
@@ -34,31 +34,31 @@
         self._scheduler = scheduler
 
     def acquire(self, shard: int, token: int) -> None:
-        """This node leads a shard under a new fencing token."""
+        """Start leading a shard under a new fencing token."""
         self.release(shard)
         self._shards[shard] = LedShard(shard, token)
 
     def release(self, shard: int) -> None:
-        """Forget a shard that this node doesn't lead any more."""
+        """Discard the state of a shard that this node no longer leads."""
         if self._shards.pop(shard, None) is None:
             return
         self._index.remove_shard(shard)
         self._scheduler.listener.shard_lost(shard)
 
     def load(self, led_shard: LedShard) -> None:
-        """Add the recorded machines, once the replica includes everything up to the failover."""
+        """Add the recorded machines, once the replica includes all writes up to the failover."""
         if led_shard.loaded or self._replica.revision < led_shard.token:
             return
         led_shard.loaded = True
         for name, record in self._records.recorded_machines(led_shard.shard).items():
             if name in self._index.terminated:
-                continue  # gone for certain; the record is about to say so too
+                continue  # confirmed as gone; the next write removes it from the record
             machine = self._index.machines.get(name)
             if machine is None:
                 machine = self._index.add(
                     name, record.type, record.zone, record.spot, record.address
                 )
-                machine.lost = True  # until it is heard
+                machine.lost = True  # until its status arrives
                 machine.last_heartbeat_at = machine.lease_renewed_at = led_shard.acquired_at
             machine.recorded = True
             if not machine.confirmed:
@@ -71,7 +71,7 @@
         self._finish_if_reconciled(led_shard)
 
     def clear_suspect(self, led_shard: LedShard, machine: Machine) -> None:
-        """A machine is heard, or gone: it holds nothing that isn't known."""
+        """Remove a machine from the suspects: it has reported its tasks, or is gone."""
         if machine.name not in led_shard.suspects:
             return
         last_of_group = led_shard.clear_suspect(machine)
