--- a/tests/agents/test_machine_records.py
+++ b/tests/agents/test_machine_records.py
@@ -1,4 +1,4 @@
-"""The record of machines, while machines come and go during its writes."""
+"""Writes of the machine record while machines are added and removed."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class StoreStub:
-    """Commits everything; before each answer it lets the test change the world."""
+    """A state store that accepts every commit, and calls `during_commit` before it responds."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch):
         self.written: dict[str, Any] = {}
@@ -47,7 +47,7 @@
 
 
 class LeaderWithTwoChunks:
-    """The leader of shard 0 whose machines' names fall into two chunks of its record."""
+    """The leader of shard 0, with one machine in each of two chunks of the record."""
 
     def __init__(self) -> None:
         config = settings("n0")
@@ -91,12 +91,15 @@
 def test_machine_released_while_an_earlier_chunk_is_written(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """KeyError: rows were gathered once, and machines went while chunks before were written."""
+    """A machine may be removed during the write of an earlier chunk.
+
+    The entries of all chunks were once collected before the first write, which raised KeyError.
+    """
 
     async def scenario(leader: LeaderWithTwoChunks, state_store: StoreStub) -> None:
         await leader.write()
         assert leader.chunk(leader.first) != leader.chunk(leader.second)
-        leader.first.address = "10.1.0.1:9001"  # its chunk is written anew
+        leader.first.address = "10.1.0.1:9001"  # changes the first chunk
         state_store.during_commit = lambda: leader.agents.machine_terminated(leader.second.name)
         await leader.write()
         await leader.write()
@@ -106,7 +109,7 @@
 
 
 def test_row_of_a_released_machine_is_not_written(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A chunk that changes was written with what had been there before the wait."""
+    """A changed chunk must not be written with the machines from before the wait."""
 
     async def scenario(leader: LeaderWithTwoChunks, state_store: StoreStub) -> None:
         state_store.during_commit = lambda: leader.agents.machine_terminated(leader.second.name)
@@ -119,7 +122,7 @@
 
 
 def test_shard_lost_while_its_record_is_written(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its machines are forgotten with it; the rest of the record is the next leader's affair."""
+    """After the loss of a shard, the rest of its record is left to the next leader."""
 
     async def scenario(leader: LeaderWithTwoChunks, state_store: StoreStub) -> None:
         await leader.write()
@@ -136,7 +139,7 @@
 def test_machine_is_recorded_only_once_its_row_is_written(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A task may start only where a later leader finds the machine."""
+    """Tasks start only on recorded machines, which a later leader finds."""
 
     async def scenario(leader: LeaderWithTwoChunks, state_store: StoreStub) -> None:
         assert not leader.first.recorded
@@ -144,14 +147,14 @@
         assert leader.first.recorded
         assert leader.second.recorded
         leader.first.recorded = False
-        await leader.write()  # the row stands already
+        await leader.write()  # the record already contains it
         assert leader.first.recorded
 
     _run(monkeypatch, scenario)
 
 
 def test_record_of_a_shard_takes_few_writes() -> None:
-    """310 machines are recorded before their first task: in chunks, before progress writes."""
+    """310 machines take few writes, ahead of progress writes: tasks wait for their record."""
 
     async def main() -> None:
         leader, written = leader_of_shard(0, 50), []
--- a/tests/agents/test_placement_totals.py
+++ b/tests/agents/test_placement_totals.py
@@ -1,4 +1,4 @@
-"""Totals per shard and machine group that are kept up to date with each placement."""
+"""Totals per shard and machine group, which are updated with each placement."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def test_totals_of_a_shard_equal_the_sums_over_its_placements() -> None:
-    """Updated on each change, they equal what an iteration over all placements gives."""
+    """The incrementally updated totals equal sums over all placements."""
 
     async def main() -> None:
         leader, rng = leader_of_shard(0, 50), random.Random(4)
--- a/tests/agents/test_reconciliation.py
+++ b/tests/agents/test_reconciliation.py
@@ -1,4 +1,4 @@
-"""The pure functions of reconciliation, and the check of responses, as tables."""
+"""Reconciliation functions, and detection of responses without effect."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 @pytest.fixture(autouse=True)
 def clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A clock that stands still, for state that is made outside any loop."""
+    """Fix the current time, for state that is created outside the event loop."""
     monkeypatch.setattr(trio, "current_time", lambda: 100.0)
 
 
@@ -57,14 +57,14 @@
 @pytest.mark.parametrize(
     ("observed", "start_seq", "in_command_response", "listed", "missing"),
     [
-        (True, 3, False, [], True),  # it was there, and isn't listed any more
+        (True, 3, False, [], True),  # observed before, and no longer listed
         (True, 3, True, [], True),
         (True, 3, False, [(KEY, 7)], False),
         (True, 3, False, [(KEY, 8)], True),  # another attempt
-        (False, 0, False, [], False),  # its start was never sent
-        (False, 4, False, [], False),  # its start is in the response to this heartbeat
-        (False, 3, False, [], True),  # the start in an earlier response didn't arrive
-        (False, 3, True, [], False),  # which the answer to a call doesn't show
+        (False, 0, False, [], False),  # the start was never sent
+        (False, 4, False, [], False),  # the response to this heartbeat carries the start
+        (False, 3, False, [], True),  # an earlier response with the start did not arrive
+        (False, 3, True, [], False),  # a command response does not show whether the start arrived
     ],
 )
 def test_missing_placements(
@@ -102,7 +102,7 @@
         (f"{ID}/3", OPEN, True),
         (f"{ID}/4", OPEN, False),  # the job has four tasks
         (f"{ID}/x", OPEN, False),
-        ("wk-000002/0", OPEN, False),  # unknown: the replica may be behind
+        ("wk-000002/0", OPEN, False),  # unknown job: the replica may lag
         (f"{ID}/3", CANCELLED, False),
     ],
 )
@@ -120,10 +120,10 @@
         ([Command(START, KEY, 7)], _heartbeat(1, 5), 99.0, 1, 2),
         ([Command(ACKNOWLEDGE, KEY, 7)], _heartbeat(1, 5), 99.0, 1, 0),
         ([Command(ACKNOWLEDGE, KEY, 7)], _heartbeat(1, 5, (KEY, 7)), 99.0, 0, 1),
-        ([], _heartbeat(1, 5), 99.0, 1, 1),  # nothing was commanded, nothing is known
+        ([], _heartbeat(1, 5), 99.0, 1, 1),  # without commands there is no effect to check
         ([Command(START, KEY, 7)], _heartbeat(1, 4), 99.0, 1, 1),  # an old heartbeat
         ([], _heartbeat(2, 0), 99.0, 0, 2),  # the lease expired although it was renewed
-        ([], _heartbeat(2, 0), 80.0, 1, 0),  # it expired for want of a response
+        ([], _heartbeat(2, 0), 80.0, 1, 0),  # the lease expired without a response
     ],
 )
 def test_response_without_effect_is_counted(
