--- a/pitchtally/agents/heartbeats/endpoint.py
+++ b/pitchtally/agents/heartbeats/endpoint.py
@@ -43,7 +43,7 @@
         leadership: Leadership,
         freshness: Freshness,
         intake: StatusIntake,
-        commands: CommandBuilder,
+        command_builder: CommandBuilder,
         lease_s: float,
     ):
         """Takes eight parameters: handling a heartbeat involves each of these components."""
@@ -52,7 +52,7 @@
         self._leadership = leadership
         self._freshness = freshness
         self._intake = intake
-        self._command_builder = commands
+        self._command_builder = command_builder
         self._lease_s = lease_s
         self._shard_count = index.shard_count
         self.responses: Counter[str] = Counter()  # number of responses per HTTP status, for the log
--- a/pitchtally/agents/lease_expiry.py
+++ b/pitchtally/agents/lease_expiry.py
@@ -79,8 +79,8 @@
         of a lease. While its leadership cannot be verified, the lease does not count as
         expired, as a new leader may be renewing it.
         """
-        has_unexpired_state = not machine.lost or machine.placements
-        if not machine.confirmed or not has_unexpired_state:
+        has_state_to_expire = not machine.lost or machine.placements
+        if not machine.confirmed or not has_state_to_expire:
             return False
         return leadership_verified_at > lease_expired_at(machine.lease_renewed_at, self._times)
 
--- a/pitchtally/agents/reachability.py
+++ b/pitchtally/agents/reachability.py
@@ -55,10 +55,8 @@
             await trio.sleep(self._times.report_s)
             now = trio.current_time()
             own = self._own_addresses()
-            since_last_heartbeat = now - self.last_contact_at
-            suspicious = (
-                own and since_last_heartbeat >= self._times.lease_s * SUSPICIOUS_LEASE_SHARE
-            )
+            since_last_contact = now - self.last_contact_at
+            suspicious = own and since_last_contact >= self._times.lease_s * SUSPICIOUS_LEASE_SHARE
             if not self._status.agents_unreachable and not suspicious:
                 continue
             # Machines of other shards count too: if only those of the led shards are gone, this
