--- a/pitchtally/agents/commands/call.py
+++ b/pitchtally/agents/commands/call.py
@@ -84,7 +84,7 @@
     def _process_status(
         self, status: agent_api.AgentHeartbeat, machine: Machine, led_shard: LedShard
     ) -> bool:
-        """Process the status of a response; return False if the machine must not be called again."""
+        """Process the status of a response; return False to end the calls."""
         if status.machine != machine.name:
             return False
         if self._shards.get(led_shard.shard) is not led_shard:
--- a/tests/agents/test_machine_records.py
+++ b/tests/agents/test_machine_records.py
@@ -154,7 +154,7 @@
 
 
 def test_record_of_a_shard_takes_few_writes() -> None:
-    """310 machines take few writes, ahead of progress writes: tasks wait for their record."""
+    """Recording 310 machines takes few writes, ahead of progress writes: tasks wait for them."""
 
     async def main() -> None:
         leader, written = leader_of_shard(0, 50), []
