--- a/pitchtally/agents/heartbeats/reconciliation.py
+++ b/pitchtally/agents/heartbeats/reconciliation.py
@@ -79,14 +79,14 @@
         self,
         index: MachineIndex,
         jobs: Mapping[str, Job],
-        control: TaskControl,
+        task_control: TaskControl,
         exits: ExitHandler,
         queue: CommandQueue,
         scheduler: SchedulerConnection,
     ):
         self._index = index
         self._jobs = jobs
-        self._control = control
+        self._task_control = task_control
         self._exits = exits
         self._queue = queue
         self._scheduler = scheduler
@@ -99,7 +99,7 @@
         for placement in missing_placements(
             machine, heartbeat, listed, in_command_response=in_command_response
         ):
-            self._control.remove(placement, LossCause.MISSING)
+            self._task_control.remove(placement, LossCause.MISSING)
         if machine.exits:
             machine.exits = retained_exits(machine, listed)
         machine.orphans.clear()
--- a/pitchtally/agents/heartbeats/status_intake.py
+++ b/pitchtally/agents/heartbeats/status_intake.py
@@ -26,14 +26,14 @@
     def __init__(
         self,
         index: MachineIndex,
-        control: TaskControl,
+        task_control: TaskControl,
         reconciler: Reconciler,
         recovery: ShardRecovery,
         records: MachineRecords,
         reachability: AgentReachability,
     ):
         self._index = index
-        self._control = control
+        self._task_control = task_control
         self._reconciler = reconciler
         self._recovery = recovery
         self._records = records
@@ -84,7 +84,7 @@
             machine.address = status.address
         if status.epoch > machine.epoch and machine.epoch:
             log.info("agent epoch new machine=%s tasks=%d", machine.name, len(machine.placements))
-            self._control.remove_all(machine, LossCause.NEW_EPOCH)
+            self._task_control.remove_all(machine, LossCause.NEW_EPOCH)
         machine.epoch, machine.seq = status.epoch, status.seq
         machine.last_heartbeat_at = self._reachability.last_contact_at = now
         if machine.lost:
--- a/pitchtally/agents/heartbeats/task_exits.py
+++ b/pitchtally/agents/heartbeats/task_exits.py
@@ -31,8 +31,8 @@
 class ExitHandler:
     """Processes the exits of placed tasks, each of them once."""
 
-    def __init__(self, control: TaskControl, scheduler: SchedulerConnection):
-        self._control = control
+    def __init__(self, task_control: TaskControl, scheduler: SchedulerConnection):
+        self._task_control = task_control
         self._scheduler = scheduler
 
     def handle(self, placement: Placement, cause: str) -> None:
@@ -50,7 +50,7 @@
             log.info("task failed task=%s machine=%s", placement.key, machine.name)
         elif cause != agent_api.STOPPED:
             log.info("task exited task=%s machine=%s cause=%s", placement.key, machine.name, cause)
-        self._control.remove(placement, cause)
+        self._task_control.remove(placement, cause)
 
     def _notify_completed(self, placement: Placement, now: float) -> None:
         running_since = placement.running_since
--- a/pitchtally/agents/lease_expiry.py
+++ b/pitchtally/agents/lease_expiry.py
@@ -32,7 +32,7 @@
         self,
         index: MachineIndex,
         shards: Mapping[int, LedShard],
-        control: TaskControl,
+        task_control: TaskControl,
         freshness: Freshness,
         times: AgentTimes,
         heartbeat_timeout: float,
@@ -40,7 +40,7 @@
         """`heartbeat_timeout` is the time in seconds without heartbeats until a machine is lost."""
         self._index = index
         self._shards = shards
-        self._control = control
+        self._task_control = task_control
         self._freshness = freshness
         self._times = times
         self._heartbeat_timeout = heartbeat_timeout
@@ -63,7 +63,7 @@
         if self._lease_has_expired(machine, leadership_verified_at):
             log.info("lease expired machine=%s tasks=%d", machine.name, len(machine.placements))
             machine.lost = True
-            self._control.remove_all(machine, LossCause.LEASE_EXPIRED)
+            self._task_control.remove_all(machine, LossCause.LEASE_EXPIRED)
         if since_last_heartbeat > self._heartbeat_timeout or self._is_preempted(
             machine, now, since_last_heartbeat
         ):
--- a/pitchtally/agents/manager.py
+++ b/pitchtally/agents/manager.py
@@ -60,7 +60,7 @@
         self.placements = self.index.placements
         self.terminated = self.index.terminated
         self.machines_with_orphans = self.index.machines_with_orphans
-        self.control = TaskControl(self.index, self._queue, self._scheduler)
+        self.task_control = TaskControl(self.index, self._queue, self._scheduler)
         self.records = MachineRecords(
             self.index,
             self.shards,
@@ -73,7 +73,7 @@
             self.index, self.shards, self.records, commits.replica, self._scheduler
         )
         self.lease_expiry = LeaseExpiry(
-            self.index, self.shards, self.control, membership, times, policy.silence
+            self.index, self.shards, self.task_control, membership, times, policy.silence
         )
         client = AgentClient(deployment.machine_limits, policy.call_timeout)
         self.reachability = AgentReachability(self.index, self.records, client, membership, times)
@@ -89,21 +89,21 @@
         self.command_sender = self._compose_sender(call, interval, client.max_calls)
         self.serve = self.endpoint.serve
         self.of_shard = self.index.of_shard
-        self.stop = self.control.stop
-        self.stop_job = self.control.stop_job
+        self.stop = self.task_control.stop
+        self.stop_job = self.task_control.stop_job
 
     def _compose_intake(self, job_index: JobIndex) -> StatusIntake:
         reconciler = Reconciler(
             self.index,
             job_index.jobs,
-            self.control,
-            ExitHandler(self.control, self._scheduler),
+            self.task_control,
+            ExitHandler(self.task_control, self._scheduler),
             self._queue,
             self._scheduler,
         )
         return StatusIntake(
             self.index,
-            self.control,
+            self.task_control,
             reconciler,
             self.recovery,
             self.records,
@@ -136,7 +136,7 @@
         if machine is None:
             return
         led_shard = self.shards.get(machine.shard)
-        self.control.remove_all(machine, LossCause.TERMINATED)
+        self.task_control.remove_all(machine, LossCause.TERMINATED)
         self.index.remove(name)
         if led_shard is not None:
             self.recovery.clear_suspect(led_shard, machine)
