--- a/pitchtally/agents/heartbeats/endpoint.py
+++ b/pitchtally/agents/heartbeats/endpoint.py
@@ -102,7 +102,7 @@
             return self._respond_to_stale(heartbeat, token, registered)
         machine.last_heartbeat = number
         commands = self._command_builder.for_heartbeat(machine, heartbeat)
-        machine.awaited_commands = [c for c in commands if c.op != agent_api.STOP]
+        machine.awaited_commands = [command for command in commands if command.op != agent_api.STOP]
         machine.lease_renewed_at = trio.current_time()
         return Response(200, _encode(agent_api.HeartbeatResponse(token, commands)))
 
