--- a/pitchtally/agents/heartbeats/task_exits.py
+++ b/pitchtally/agents/heartbeats/task_exits.py
@@ -36,7 +36,7 @@
         self._scheduler = scheduler
 
     def handle(self, placement: Placement, cause: str) -> None:
-        """Process a task's exit; `cause` may be one that this version does not know."""
+        """Process a task's exit; `cause` is reported by the agent, and may be an unknown value."""
         now = trio.current_time()
         machine, job = placement.machine, placement.job
         if cause == agent_api.DONE and placement.spec.is_service:
--- a/pitchtally/agents/machine.py
+++ b/pitchtally/agents/machine.py
@@ -20,7 +20,7 @@
 
 
 class MachineGroupKey(NamedTuple):
-    """The attributes that all machines of a group share; scheduling treats them as equivalent."""
+    """The attributes that all machines of a group share; apart from these only state differs."""
 
     type: str
     zone: str
