--- a/tests/agents/test_machine_records.py
+++ b/tests/agents/test_machine_records.py
@@ -108,7 +108,7 @@
     _run(monkeypatch, scenario)
 
 
-def test_row_of_a_released_machine_is_not_written(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_entry_of_a_released_machine_is_not_written(monkeypatch: pytest.MonkeyPatch) -> None:
     """A changed chunk must not be written with the machines from before the wait."""
 
     async def scenario(leader: LeaderWithTwoChunks, state_store: StoreStub) -> None:
@@ -136,7 +136,7 @@
     _run(monkeypatch, scenario)
 
 
-def test_machine_is_recorded_only_once_its_row_is_written(
+def test_machine_is_recorded_only_once_its_entry_is_written(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Tasks start only on recorded machines, which a later leader finds."""
