--- a/pitchtally/agents/lease_expiry.py
+++ b/pitchtally/agents/lease_expiry.py
@@ -1,4 +1,4 @@
-"""Machines that aren't heard: their leases expire, and what they held is given up."""
+"""Removal of tasks whose machine's lease expired, and detection of machines without heartbeats."""
 
 from __future__ import annotations
 
@@ -17,72 +17,78 @@
 
 log = logging.getLogger(__name__)
 
-# Looks at all machines per heartbeat interval.
+# Passes over all machines per heartbeat interval.
 CHECKS_PER_HEARTBEAT = 4
-# After a preemption notice has run out, so many intervals without a heartbeat mean it is gone.
+# After the announced preemption, a machine is lost after this many missed heartbeats.
 PREEMPTED_MISSED_HEARTBEATS = 2
-# An unrecorded machine is forgotten after so many times the heartbeat timeout.
-UNREGISTER_TIMEOUTS = 4
+# An unrecorded machine is removed from the index after this many heartbeat timeouts.
+UNREGISTER_HEARTBEAT_TIMEOUTS = 4
 
 
 class LeaseExpiry:
-    """Gives up placements once the machine's lease must have expired."""
+    """Removes the placements of a machine once its lease must have expired."""
 
     def __init__(
         self,
         index: MachineIndex,
         shards: Mapping[int, LedShard],
-        control: TaskControl,
+        task_control: TaskControl,
         freshness: Freshness,
         times: AgentTimes,
         heartbeat_timeout: float,
     ):
-        """`heartbeat_timeout`: seconds without a heartbeat after which a machine counts as lost."""
+        """`heartbeat_timeout` is the time in seconds without heartbeats until a machine is lost."""
         self._index = index
         self._shards = shards
-        self._control = control
+        self._task_control = task_control
         self._freshness = freshness
         self._times = times
         self._heartbeat_timeout = heartbeat_timeout
 
     async def run(self) -> None:
-        """Look at all machines, again and again."""
+        """Check all machines of the led shards periodically."""
         while True:
             await trio.sleep(self._times.report_s / CHECKS_PER_HEARTBEAT)
             now = trio.current_time()
-            leading_until = self._freshness.leadership_verified_at()
+            leadership_verified_at = self._freshness.leadership_verified_at()
             resumed_at = self._freshness.resumed_at()
             for machine in list(self._index.machines.values()):
                 if machine.shard in self._shards:
-                    self._check(machine, now, leading_until, resumed_at)
+                    self._check(machine, now, leadership_verified_at, resumed_at)
 
-    def _check(self, machine: Machine, now: float, leading_until: float, resumed_at: float) -> None:
+    def _check(
+        self, machine: Machine, now: float, leadership_verified_at: float, resumed_at: float
+    ) -> None:
         since_last_heartbeat = now - max(machine.last_heartbeat_at, resumed_at)
-        if self._lease_has_expired(machine, leading_until):
+        if self._lease_has_expired(machine, leadership_verified_at):
             log.info("lease expired machine=%s tasks=%d", machine.name, len(machine.placements))
             machine.lost = True
-            self._control.remove_all(machine, LossCause.LEASE_EXPIRED)
+            self._task_control.remove_all(machine, LossCause.LEASE_EXPIRED)
         if since_last_heartbeat > self._heartbeat_timeout or self._is_preempted(
             machine, now, since_last_heartbeat
         ):
             machine.lost = True
-        forgotten_after = self._heartbeat_timeout * UNREGISTER_TIMEOUTS
-        if machine.lost and not machine.recorded and since_last_heartbeat > forgotten_after:
+        unregister_after = self._heartbeat_timeout * UNREGISTER_HEARTBEAT_TIMEOUTS
+        if machine.lost and not machine.recorded and since_last_heartbeat > unregister_after:
             self._index.remove(machine.name)
 
-    def _lease_has_expired(self, machine: Machine, leading_until: float) -> bool:
-        """Whether a machine's lease is over, and nobody but us can have renewed it.
+    def _lease_has_expired(self, machine: Machine, leadership_verified_at: float) -> bool:
+        """Return whether a machine's lease has expired for every possible renewer.
 
-        Only our responses renew it, and none has for a whole lease. Cut off from all who could
-        tell, we wait: a new leader may be renewing it.
+        Only the shard leader's responses renew it, and this node has sent none for the length
+        of a lease. While its leadership cannot be verified, the lease does not count as
+        expired, as a new leader may be renewing it.
         """
-        held = not machine.lost or machine.placements
-        if not machine.confirmed or not held:
+        has_state_to_expire = not machine.lost or machine.placements
+        if not machine.confirmed or not has_state_to_expire:
             return False
-        return leading_until > lease_expired_at(machine.lease_renewed_at, self._times)
+        return leadership_verified_at > lease_expired_at(machine.lease_renewed_at, self._times)
 
     def _is_preempted(self, machine: Machine, now: float, since_last_heartbeat: float) -> bool:
-        """Announced by the provider, and silent since: that comes before the lease's end."""
+        """Return whether a machine is past its announced preemption and sends no heartbeats.
+
+        This detects the loss before the lease expires.
+        """
         return (
             machine.preemption_at is not None
             and now > machine.preemption_at
--- a/pitchtally/agents/manager.py
+++ b/pitchtally/agents/manager.py
@@ -1,4 +1,4 @@
-"""The agents' side of a controller: its components put together, and what others use of them."""
+"""Composition of a controller's agent components, and their interface to other packages."""
 
 from __future__ import annotations
 
@@ -26,16 +26,17 @@
 from .reachability import AgentReachability
 from .shard_recovery import ShardRecovery
 
-# The sender looks at suspect and unreachable machines so often per heartbeat interval.
+# Passes of the command sender over suspect and unreachable machines per heartbeat interval.
 PROBES_PER_HEARTBEAT = 3
 
 
 class AgentManager:
-    """Composes the components for agents.
+    """Composes the components that manage agents.
 
-    Others read `machines`, `placements`, `shards`, `terminated` and `machines_with_orphans`;
-    only the components change them (the scheduler puts new placements). Methods that are one
-    component's duty are its own, bound once: heartbeats call some, so they cost no further call.
+    Other packages read `machines`, `placements`, `shards`, `terminated` and
+    `machines_with_orphans`; only the components change them, except that the scheduler adds new
+    placements. Methods implemented by a single component are bound here as attributes, which
+    saves a call for those on the heartbeat path.
     """
 
     def __init__(
@@ -48,7 +49,7 @@
         machine_types: MachineTypeLookup,
         on_decision: DecisionListener,
     ):
-        """Eight parameters: all that the components rest on meets here, and only here."""
+        """Takes eight parameters: the dependencies of all components are passed only here."""
         deployment = settings.deployment
         times = deployment.workers
         self._scheduler = SchedulerConnection()
@@ -59,7 +60,7 @@
         self.placements = self.index.placements
         self.terminated = self.index.terminated
         self.machines_with_orphans = self.index.machines_with_orphans
-        self.control = TaskControl(self.index, self._queue, self._scheduler)
+        self.task_control = TaskControl(self.index, self._queue, self._scheduler)
         self.records = MachineRecords(
             self.index,
             self.shards,
@@ -72,7 +73,7 @@
             self.index, self.shards, self.records, commits.replica, self._scheduler
         )
         self.lease_expiry = LeaseExpiry(
-            self.index, self.shards, self.control, membership, times, policy.silence
+            self.index, self.shards, self.task_control, membership, times, policy.silence
         )
         client = AgentClient(deployment.machine_limits, policy.call_timeout)
         self.reachability = AgentReachability(self.index, self.records, client, membership, times)
@@ -88,21 +89,21 @@
         self.command_sender = self._compose_sender(call, interval, client.max_calls)
         self.serve = self.endpoint.serve
         self.of_shard = self.index.of_shard
-        self.stop = self.control.stop
-        self.stop_job = self.control.stop_job
+        self.stop = self.task_control.stop
+        self.stop_job = self.task_control.stop_job
 
     def _compose_intake(self, job_index: JobIndex) -> StatusIntake:
         reconciler = Reconciler(
             self.index,
             job_index.jobs,
-            self.control,
-            ExitHandler(self.control, self._scheduler),
+            self.task_control,
+            ExitHandler(self.task_control, self._scheduler),
             self._queue,
             self._scheduler,
         )
         return StatusIntake(
             self.index,
-            self.control,
+            self.task_control,
             reconciler,
             self.recovery,
             self.records,
@@ -115,27 +116,27 @@
         )
 
     def connect(self, listener: AgentListener, starter: TaskStarter) -> None:
-        """Have the scheduler told of shards and placements, and asked for what may start."""
+        """Connect the scheduler as the listener for changes and as the source of task starts."""
         self._scheduler.listener = listener
         self._scheduler.starter = starter
 
     def shard_acquired(self, shard: int, token: int) -> None:
-        """This node leads a shard under a new fencing token."""
+        """Start leading a shard under a new fencing token."""
         self.recovery.acquire(shard, token)
         self._queue.wake()
 
     def shard_lost(self, shard: int) -> None:
-        """This node doesn't lead a shard any more."""
+        """Stop leading a shard."""
         self.recovery.release(shard)
 
     def machine_terminated(self, name: str) -> None:
-        """The cloud has confirmed that the machine, and all on it, is gone."""
+        """Remove a machine, with its tasks, that the cloud has confirmed as terminated."""
         self.terminated.add(name)
         machine = self.machines.get(name)
         if machine is None:
             return
         led_shard = self.shards.get(machine.shard)
-        self.control.remove_all(machine, LossCause.TERMINATED)
+        self.task_control.remove_all(machine, LossCause.TERMINATED)
         self.index.remove(name)
         if led_shard is not None:
             self.recovery.clear_suspect(led_shard, machine)
--- a/tests/agents/test_machine_records.py
+++ b/tests/agents/test_machine_records.py
@@ -1,4 +1,4 @@
-"""The record of machines, while machines come and go during its writes."""
+"""Writes of the machine record while machines are added and removed."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class StoreStub:
-    """Commits everything; before each answer it lets the test change the world."""
+    """A state store that accepts every commit, and calls `during_commit` before it responds."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch):
         self.written: dict[str, Any] = {}
@@ -46,8 +46,8 @@
         return Response(200, b'{"ledger":60}')
 
 
-class RecordsUnderTest:
-    """The leader of shard 0 whose machines' names fall into two chunks of its record."""
+class LeaderWithTwoChunks:
+    """The leader of shard 0, with one machine in each of two chunks of the record."""
 
     def __init__(self) -> None:
         config = settings("n0")
@@ -61,7 +61,7 @@
         controller.membership.leadership.announce(SHARD)
         self.agents = controller.agents
         self.agents.recovery.load(self.led_shard)
-        span = controller.agents.records.span * controller.agents.index.shard_count
+        span = controller.agents.records.machines_per_chunk * controller.agents.index.shard_count
         self.first = self._add(0)
         self.second = self._add(span)
 
@@ -81,9 +81,9 @@
         return self.agents.records.chunk_of(machine.name)
 
 
-def _play(monkeypatch: pytest.MonkeyPatch, body: Any) -> None:
+def _run(monkeypatch: pytest.MonkeyPatch, scenario: Any) -> None:
     async def main() -> None:
-        await body(RecordsUnderTest(), StoreStub(monkeypatch))
+        await scenario(LeaderWithTwoChunks(), StoreStub(monkeypatch))
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
@@ -91,37 +91,40 @@
 def test_machine_released_while_an_earlier_chunk_is_written(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """KeyError: rows were gathered once, and machines went while chunks before were written."""
+    """A machine may be removed during the write of an earlier chunk.
 
-    async def body(leader: RecordsUnderTest, state_store: StoreStub) -> None:
+    The entries of all chunks were once collected before the first write, which raised KeyError.
+    """
+
+    async def scenario(leader: LeaderWithTwoChunks, state_store: StoreStub) -> None:
         await leader.write()
         assert leader.chunk(leader.first) != leader.chunk(leader.second)
-        leader.first.address = "10.1.0.1:9001"  # its chunk is written anew
+        leader.first.address = "10.1.0.1:9001"  # changes the first chunk
         state_store.during_commit = lambda: leader.agents.machine_terminated(leader.second.name)
         await leader.write()
         await leader.write()
         assert state_store.written[f"pt/fleet/0/{leader.chunk(leader.second)}"] == {}
 
-    _play(monkeypatch, body)
+    _run(monkeypatch, scenario)
 
 
-def test_row_of_a_released_machine_is_not_written(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A chunk that changes was written with what had been there before the wait."""
+def test_entry_of_a_released_machine_is_not_written(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A changed chunk must not be written with the machines from before the wait."""
 
-    async def body(leader: RecordsUnderTest, state_store: StoreStub) -> None:
+    async def scenario(leader: LeaderWithTwoChunks, state_store: StoreStub) -> None:
         state_store.during_commit = lambda: leader.agents.machine_terminated(leader.second.name)
         await leader.write()
         assert leader.second.name not in state_store.written.get(
             f"pt/fleet/0/{leader.chunk(leader.second)}", {}
         )
 
-    _play(monkeypatch, body)
+    _run(monkeypatch, scenario)
 
 
 def test_shard_lost_while_its_record_is_written(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its machines are forgotten with it; the rest of the record is the next leader's affair."""
+    """After the loss of a shard, the rest of its record is left to the next leader."""
 
-    async def body(leader: RecordsUnderTest, state_store: StoreStub) -> None:
+    async def scenario(leader: LeaderWithTwoChunks, state_store: StoreStub) -> None:
         await leader.write()
         leader.first.address = "10.1.0.1:9001"
         second = f"pt/fleet/0/{leader.chunk(leader.second)}"
@@ -130,35 +133,35 @@
         await leader.write()
         assert second not in state_store.written
 
-    _play(monkeypatch, body)
+    _run(monkeypatch, scenario)
 
 
-def test_machine_is_recorded_only_once_its_row_is_written(
+def test_machine_is_recorded_only_once_its_entry_is_written(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A task may start only where a later leader finds the machine."""
+    """Tasks start only on recorded machines, which a later leader finds."""
 
-    async def body(leader: RecordsUnderTest, state_store: StoreStub) -> None:
+    async def scenario(leader: LeaderWithTwoChunks, state_store: StoreStub) -> None:
         assert not leader.first.recorded
         await leader.write()
         assert leader.first.recorded
         assert leader.second.recorded
         leader.first.recorded = False
-        await leader.write()  # the row stands already
+        await leader.write()  # the record already contains it
         assert leader.first.recorded
 
-    _play(monkeypatch, body)
+    _run(monkeypatch, scenario)
 
 
 def test_record_of_a_shard_takes_few_writes() -> None:
-    """310 machines are recorded before their first task: in chunks, before progress writes."""
+    """Recording 310 machines takes few writes, ahead of progress writes: tasks wait for them."""
 
     async def main() -> None:
         leader, written = leader_of_shard(0, 50), []
 
         async def commit(conditions: Any, changes: Any, *, priority: int) -> bool:
             assert priority < Priority.SUBMISSIONS
-            assert all(len(c.value) <= 8192 for c in changes)
+            assert all(len(write.value) <= 8192 for write in changes)
             written.extend(changes)
             return True
 
@@ -167,6 +170,6 @@
             await leader.agents.serve(heartbeat_request(number, 1, 50, []))
         await leader.agents.records.write(leader.agents.shards[0])
         assert len(written) <= 8
-        assert all(m.recorded for m in leader.agents.machines.values())
+        assert all(machine.recorded for machine in leader.agents.machines.values())
 
     trio.run(main, clock=trio.testing.MockClock())
