--- a/pitchtally/agents/heartbeats/endpoint.py
+++ b/pitchtally/agents/heartbeats/endpoint.py
@@ -74,7 +74,7 @@
         token = self._leadership.token(shard)
         if led_shard is None or token is None or token != led_shard.token:
             leader = self._leadership.leader(shard)
-            return _redirect(leader if leader != self._leadership.me else None)
+            return _redirect(leader if leader != self._leadership.node_name else None)
         if heartbeat.token > token:
             self._leadership.fenced(shard, heartbeat.token)
             return _redirect(None)
--- a/pitchtally/agents/listener.py
+++ b/pitchtally/agents/listener.py
@@ -62,7 +62,7 @@
     """Which shards this node leads, under which fencing tokens."""
 
     @property
-    def me(self) -> str:
+    def node_name(self) -> str:
         """The name of this node."""
 
     def token(self, shard: int) -> int | None:
--- a/pitchtally/membership/membership.py
+++ b/pitchtally/membership/membership.py
@@ -36,7 +36,7 @@
         self, settings: Settings, policy: Policy, state_store: StateStoreClient, replica: Replica
     ):
         identity = NodeIdentity.of_new_process(settings.name)
-        self.me = identity.name
+        self.node_name = identity.name
         self.incarnation = identity.incarnation
         self.replica = replica
         self._session_ttl = policy.session_ttl
@@ -132,4 +132,4 @@
 
     def answering(self) -> dict[str, str]:
         """The incarnation of each node, ours included, that has replied within a session TTL."""
-        return {**self.peer_group.incarnations_replying(), self.me: self.incarnation}
+        return {**self.peer_group.incarnations_replying(), self.node_name: self.incarnation}
