--- a/pitchtally/agents/commands/call.py
+++ b/pitchtally/agents/commands/call.py
@@ -85,7 +85,7 @@
         if self._shards.get(led_shard.shard) is not led_shard:
             return False
         if status.token > led_shard.token:
-            self._leadership.fenced(led_shard.shard, status.token)
+            self._leadership.observe_token(led_shard.shard, status.token)
             return False
         self._observer.observe(status, led_shard, direct=True)
         return True
--- a/pitchtally/agents/heartbeats/endpoint.py
+++ b/pitchtally/agents/heartbeats/endpoint.py
@@ -76,7 +76,7 @@
             leader = self._leadership.leader(shard)
             return _redirect(leader if leader != self._leadership.node_name else None)
         if heartbeat.token > token:
-            self._leadership.fenced(shard, heartbeat.token)
+            self._leadership.observe_token(shard, heartbeat.token)
             return _redirect(None)
         if self._freshness.cancellations_stale():
             # A cancellation may have been confirmed to a user that we can't hear of: letting
--- a/pitchtally/agents/listener.py
+++ b/pitchtally/agents/listener.py
@@ -71,7 +71,7 @@
     def leader(self, shard: int) -> str | None:
         """The node that leads a shard, as far as the replica shows."""
 
-    def fenced(self, shard: int, token: int) -> None:
+    def observe_token(self, shard: int, token: int) -> None:
         """An agent knows this token: if it is newer than ours, we are deposed."""
 
 
--- a/pitchtally/membership/leadership.py
+++ b/pitchtally/membership/leadership.py
@@ -98,7 +98,7 @@
         """The cluster leader's fencing token, None if this node is not the cluster leader."""
         return self.token(CLUSTER_LEADER_SHARD)
 
-    def fenced(self, shard: ShardId, token: FencingToken) -> None:
+    def observe_token(self, shard: ShardId, token: FencingToken) -> None:
         """An agent or a peer knows this token: if it is newer than ours, we are deposed."""
         if token > self._newest_seen.get(shard, 0):
             self._newest_seen[shard] = token
--- a/pitchtally/membership/membership.py
+++ b/pitchtally/membership/membership.py
@@ -81,7 +81,7 @@
         self.alive = self.live_nodes.alive
         self.token = self.leadership.token
         self.leader = self.leadership.leader
-        self.fenced = self.leadership.fenced
+        self.observe_token = self.leadership.observe_token
         self.cancellations_verified_at = self.freshness.cancellations_verified_at
         self.leadership_verified_at = self.freshness.leadership_verified_at
         self.may_start_tasks = self.freshness.may_start_tasks
--- a/pitchtally/membership/peers/heartbeats.py
+++ b/pitchtally/membership/peers/heartbeats.py
@@ -67,7 +67,7 @@
             own_token = self._leadership.token(shard)
             if own_token is not None and token > own_token:
                 # Our replica is behind, or cut off from the store.
-                self._leadership.fenced(shard, token)
+                self._leadership.observe_token(shard, token)
         for cancellation in heartbeat.cancellations:
             self.listener.cancellation_received(cancellation)
         listed = self._live_nodes.alive.get(heartbeat.node)
