--- a/pitchtally/api/read_barrier.py
+++ b/pitchtally/api/read_barrier.py
@@ -131,7 +131,7 @@
             log.debug(
                 "read revision=%d asked=%.3f answered=%.3f requests=%d",
                 read.revision,
-                read.asked_at,
+                read.requested_at,
                 read.answered_at,
                 len(served or ()),
             )
--- a/pitchtally/membership/freshness.py
+++ b/pitchtally/membership/freshness.py
@@ -21,7 +21,7 @@
 class PeerReply:
     """A peer's reply to a heartbeat of ours; times in seconds."""
 
-    asked_at: float  # when we sent the heartbeat
+    requested_at: float  # when we sent the heartbeat
     store_age: float  # how old the peer's replica was as it replied
     cancellations_age: float  # how long before its reply it last knew all cancellations
 
@@ -33,10 +33,10 @@
     @property
     def cancellations_verified_at(self) -> float:
         """Up to when the peer knew every cancellation, at the least."""
-        return self.asked_at - self.cancellations_age
+        return self.requested_at - self.cancellations_age
 
 
-def all_peers_asked_at(replies: Iterable[PeerReply | None]) -> float | None:
+def all_peers_requested_at(replies: Iterable[PeerReply | None]) -> float | None:
     """When we had asked every peer, each of which then replied; None if one has not.
 
     A peer that has not read the store since it started does not know what its predecessor
@@ -45,7 +45,7 @@
     collected = list(replies)
     if not collected or not all(reply is not None and reply.has_read for reply in collected):
         return None
-    return min(reply.asked_at for reply in collected if reply is not None)
+    return min(reply.requested_at for reply in collected if reply is not None)
 
 
 def cancellations_verified(replica_at: float, replies: Iterable[PeerReply | None]) -> float:
@@ -67,8 +67,8 @@
             ),
         ]
     )
-    asked_at = all_peers_asked_at(collected)
-    return verified if asked_at is None else max(verified, asked_at)
+    requested_at = all_peers_requested_at(collected)
+    return verified if requested_at is None else max(verified, requested_at)
 
 
 def leadership_verified(replica_at: float, replies: Iterable[PeerReply | None]) -> float:
@@ -77,5 +77,5 @@
     Either the store showed the shard as ours, or every peer told the newest leader it knows of:
     its predecessor's failovers too, since it has read the store after that one's end.
     """
-    asked_at = all_peers_asked_at(replies)
-    return replica_at if asked_at is None else max(replica_at, asked_at)
+    requested_at = all_peers_requested_at(replies)
+    return replica_at if requested_at is None else max(replica_at, requested_at)
--- a/pitchtally/membership/peers/heartbeats.py
+++ b/pitchtally/membership/peers/heartbeats.py
@@ -57,8 +57,8 @@
         self._leadership = leadership
         self._live_nodes = live_nodes
 
-    def receive(self, heartbeat: PeerHeartbeat, asked_at: float | None) -> None:
-        """Take in a heartbeat; `asked_at`: when we asked for it, None if we did not."""
+    def receive(self, heartbeat: PeerHeartbeat, requested_at: float | None) -> None:
+        """Take in a heartbeat; `requested_at`: when we asked for it, None if we did not."""
         peer = self._peers.by_name.get(heartbeat.node)
         if peer is None:
             return
@@ -71,7 +71,7 @@
         for cancellation in heartbeat.cancellations:
             self.listener.cancellation_received(cancellation)
         listed = self._live_nodes.alive.get(heartbeat.node)
-        if peer.accept_newer(heartbeat, asked_at, listed.incarnation if listed else ""):
+        if peer.accept_newer(heartbeat, requested_at, listed.incarnation if listed else ""):
             self.listener.heartbeat_received(heartbeat)
 
 
@@ -94,11 +94,11 @@
     async def run(self, peer: Peer) -> None:
         """Exchange heartbeats with one peer, once per interval."""
         while True:
-            asked_at = trio.current_time()
+            requested_at = trio.current_time()
             reply = await self._transport.send(peer, self._composer.compose(peer.revision))
             if isinstance(reply, PeerHeartbeat) and reply.node == peer.name:
-                self._receiver.receive(reply, asked_at)
+                self._receiver.receive(reply, requested_at)
                 # Only now: what it tells is known here from this moment on.
-                peer.last_reply = PeerReply(asked_at, reply.store_age, reply.cancellations_age)
-                peer.statuses_sent_at = asked_at
+                peer.last_reply = PeerReply(requested_at, reply.store_age, reply.cancellations_age)
+                peer.statuses_sent_at = requested_at
             await trio.sleep(self._interval)
--- a/pitchtally/membership/peers/peer.py
+++ b/pitchtally/membership/peers/peer.py
@@ -31,20 +31,20 @@
     @property
     def last_heartbeat_at(self) -> float:
         """When we sent the newest heartbeat of ours that it replied to."""
-        return LONG_AGO if self.last_reply is None else self.last_reply.asked_at
+        return LONG_AGO if self.last_reply is None else self.last_reply.requested_at
 
     def accept_newer(
-        self, heartbeat: PeerHeartbeat, asked_at: float | None, listed_incarnation: str
+        self, heartbeat: PeerHeartbeat, requested_at: float | None, listed_incarnation: str
     ) -> bool:
         """Take in a heartbeat if it is newer than all before it; False if it is not.
 
         A partition may hold one back and deliver it after newer ones, of the next incarnation
         too. Which of two incarnations is the later, the store can tell, or a reply to a
-        request that we sent at `asked_at`, when we knew of the other. Whatever is taken for
+        request that we sent at `requested_at`, when we knew of the other. Whatever is taken for
         the later by mistake is put right by the next reply.
         """
         if heartbeat.incarnation != self.incarnation:
-            asked_since = asked_at is not None and asked_at > self.incarnation_known_at
+            asked_since = requested_at is not None and requested_at > self.incarnation_known_at
             listed = heartbeat.incarnation == listed_incarnation
             if self.incarnation and not asked_since and not listed:
                 return False
@@ -89,6 +89,6 @@
             reply = peer.last_reply
             if reply is None or peer.failure:
                 continue
-            if now - reply.asked_at < self._session_ttl and reply.store_age < self._session_ttl:
+            if now - reply.requested_at < self._session_ttl and reply.store_age < self._session_ttl:
                 return peer
         return None
--- a/pitchtally/state_store/replica.py
+++ b/pitchtally/state_store/replica.py
@@ -34,7 +34,7 @@
     """A read of the store that the replica covers."""
 
     revision: int  # the store's, as it replied
-    asked_at: float  # steady clock, seconds
+    requested_at: float  # steady clock, seconds
     answered_at: float
 
 
@@ -103,11 +103,11 @@
         """
         if self.revision < 0:
             raise StoreUnavailable("nothing is loaded yet")
-        asked_at = trio.current_time()
+        requested_at = trio.current_time()
 
         def note_dispatched() -> None:
-            nonlocal asked_at
-            asked_at = trio.current_time()
+            nonlocal requested_at
+            requested_at = trio.current_time()
             if on_dispatched is not None:
                 on_dispatched()
 
@@ -121,11 +121,11 @@
         )
         if events is None:
             raise StoreUnavailable("the copy is too old to be refreshed")
-        self._apply_events(events, asked_at)
-        return Refresh(events.revision, asked_at, trio.current_time())
+        self._apply_events(events, requested_at)
+        return Refresh(events.revision, requested_at, trio.current_time())
 
-    def _apply_events(self, events: state_store_api.Events, asked_at: float) -> None:
-        """Apply a reply to a request that was sent at `asked_at`.
+    def _apply_events(self, events: state_store_api.Events, requested_at: float) -> None:
+        """Apply a reply to a request that was sent at `requested_at`.
 
         Several requests may be under way. A change that the replica covers already is left
         out: a put that came late would bring a key back that was removed since.
@@ -141,7 +141,7 @@
         self._advance(events.revision)
         # A reply after a wait without changes vouches for its end, not its start;
         # only the sending time is certain.
-        self.verified_at = max(self.verified_at, asked_at)
+        self.verified_at = max(self.verified_at, requested_at)
 
     async def load(self) -> None:
         """Read every key; those that vanished meanwhile are dropped."""
@@ -183,12 +183,12 @@
             await trio.sleep(pause)
 
     async def _watch_or_load(self) -> None:
-        asked_at = trio.current_time()
+        requested_at = trio.current_time()
         if self.revision >= 0:
             events = await self._state_store.watch(keys.ROOT, self.revision, self._wait)
             if events is not None:
-                self._apply_events(events, asked_at)
+                self._apply_events(events, requested_at)
                 return
             log.info("watch too old, loading all keys")
         await self.load()
-        self.verified_at = max(self.verified_at, asked_at)
+        self.verified_at = max(self.verified_at, requested_at)
--- a/tests/api/test_read_barrier.py
+++ b/tests/api/test_read_barrier.py
@@ -210,7 +210,7 @@
             asked_at = trio.current_time()
             outcome = await read_barrier.wait()
             assert isinstance(outcome, BarrierPassed)
-            assert outcome.read.asked_at >= asked_at
+            assert outcome.read.requested_at >= asked_at
         assert service.reads == 2
 
     play(monkeypatch, body)
