--- a/pitchtally/api/read_barrier.py
+++ b/pitchtally/api/read_barrier.py
@@ -132,7 +132,7 @@
                 "read revision=%d asked=%.3f answered=%.3f requests=%d",
                 read.revision,
                 read.requested_at,
-                read.answered_at,
+                read.replied_at,
                 len(served or ()),
             )
         except StoreUnavailable as error:
--- a/pitchtally/observability/decision_log.py
+++ b/pitchtally/observability/decision_log.py
@@ -100,8 +100,7 @@
         ]
         if read is not None:
             fields.append(
-                f"read={read.revision} asked={read.requested_at:.3f}"
-                f" answered={read.answered_at:.3f}"
+                f"read={read.revision} asked={read.requested_at:.3f} answered={read.replied_at:.3f}"
             )
         if reason.version is not None:
             fields.append(f"version={reason.version}")
--- a/pitchtally/state_store/replica.py
+++ b/pitchtally/state_store/replica.py
@@ -35,7 +35,7 @@
 
     revision: int  # the store's, as it replied
     requested_at: float  # steady clock, seconds
-    answered_at: float
+    replied_at: float
 
 
 class Replica:
--- a/tests/observability/test_decision_log.py
+++ b/tests/observability/test_decision_log.py
@@ -21,7 +21,7 @@
 
 from ..harness.simulation import Simulation, job, run
 
-READ = Refresh(revision=431, requested_at=1.0, answered_at=1.25)
+READ = Refresh(revision=431, requested_at=1.0, replied_at=1.25)
 
 
 def _log(counters: dict[str, int]) -> DecisionLog:
