--- a/pitchtally/formats/text_chunks.py
+++ b/pitchtally/formats/text_chunks.py
@@ -16,7 +16,7 @@
 from ..state_store import keys
 
 _DIGEST_BYTES = 8
-# Of a value. JSON may escape a character to several bytes, which `cut` counts.
+# Of a value. JSON may escape a character to several bytes, which `split` counts.
 CHUNK_SHARE = 3 / 4
 _QUOTES = 2
 
@@ -47,7 +47,7 @@
     return keys.text_chunk(job, ref.digest, number)
 
 
-def cut(text: str, value_bytes: int) -> EncodedText:
+def split(text: str, value_bytes: int) -> EncodedText:
     """Cut a text into chunks, each of them encoded within the limit of a value."""
     most = max(1, int(value_bytes * CHUNK_SHARE))
     chunks: list[str] = []
--- a/pitchtally/jobs/layout.py
+++ b/pitchtally/jobs/layout.py
@@ -71,7 +71,7 @@
 
     def _move_spec_out(self, id: str, record: JobRecord) -> LaidOutJob:
         """The record without its spec, which goes into chunks of its own."""
-        ref, values = text_chunks.cut(_encode(record.spec).decode(), self.value_bytes)
+        ref, values = text_chunks.split(_encode(record.spec).decode(), self.value_bytes)
         writes = [
             Write(keys.text_chunk(id, ref.digest, number), value)
             for number, value in enumerate(values)
--- a/tests/formats/test_golden.py
+++ b/tests/formats/test_golden.py
@@ -386,7 +386,7 @@
 
 
 def test_pieces_of_a_text() -> None:
-    ref, values = text_chunks.cut('one "two" \\ three\nกข', 16)
+    ref, values = text_chunks.split('one "two" \\ three\nกข', 16)
     assert ref == ("49593c2b2478f341", 3)
     assert values == [b'"one \\"two\\" "', b'"\\\\ three\\n"', b'"\xe0\xb8\x81\xe0\xb8\x82"']
 
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -367,14 +367,14 @@
 @pytest.mark.parametrize("value_bytes", [64, 512, 2048])
 @pytest.mark.parametrize("text", ["", "a" * 5000, '"\\' * 900, "กข" * 700, "\x00\n" * 300])
 def test_text_is_joined_from_its_chunks(text: str, value_bytes: int) -> None:
-    ref, values = text_chunks.cut(text, value_bytes)
+    ref, values = text_chunks.split(text, value_bytes)
     assert all(len(value) <= value_bytes for value in values)
     chunks = {
         text_chunks.ChunkId(ref.digest, n): msgspec.json.decode(v, type=str)
         for n, v in enumerate(values)
     }
     assert text_chunks.join(ref, chunks) == text
-    other, more = text_chunks.cut(text + "b", value_bytes)
+    other, more = text_chunks.split(text + "b", value_bytes)
     chunks |= {
         text_chunks.ChunkId(other.digest, n): msgspec.json.decode(v, type=str)
         for n, v in enumerate(more)
