--- a/pitchtally/formats/finished_tasks.py
+++ b/pitchtally/formats/finished_tasks.py
@@ -16,7 +16,7 @@
 _BITS_PER_CHARACTER = 6
 
 
-def inline_tasks(value_bytes: int) -> int:
+def max_inline_tasks(value_bytes: int) -> int:
     """The most tasks whose bitmap is kept in the job's record, under this limit of a value."""
     return int(value_bytes * INLINE_SHARE * _BITS_PER_CHARACTER)
 
--- a/pitchtally/jobs/layout.py
+++ b/pitchtally/jobs/layout.py
@@ -39,7 +39,7 @@
     def __init__(self, gate: FormatGate, limits: StateLimits):
         self.gate = gate
         self.value_bytes = int(limits.value_kb * 1024)
-        self.inline_tasks = finished_tasks.inline_tasks(self.value_bytes)
+        self.inline_tasks = finished_tasks.max_inline_tasks(self.value_bytes)
         self.chunk_tasks = finished_tasks.chunk_tasks(self.value_bytes)
 
     @property
--- a/tests/formats/test_golden.py
+++ b/tests/formats/test_golden.py
@@ -362,7 +362,7 @@
 def test_layout_widths() -> None:
     """Where records of each size are cut; under 0.5.1 they depend on the width alone."""
     kilobytes = (1, 2, 8, 64)
-    assert [finished_tasks.inline_tasks(kb * 1024) for kb in kilobytes] == [
+    assert [finished_tasks.max_inline_tasks(kb * 1024) for kb in kilobytes] == [
         1536,
         3072,
         12288,
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -339,7 +339,7 @@
             assert [t for t in range(tasks) if t in converted.finished] == sorted(set(done))
         job_ = first.job_index.jobs["wk-000001"]
         assert not first.layout.needs_conversion(job_)
-        assert bool(job_.chunk_tasks) == (tasks > finished_tasks.inline_tasks(1024))
+        assert bool(job_.chunk_tasks) == (tasks > finished_tasks.max_inline_tasks(1024))
 
     _run(body)
 
