--- a/pitchtally/formats/finished_tasks.py
+++ b/pitchtally/formats/finished_tasks.py
@@ -21,7 +21,7 @@
     return int(value_bytes * INLINE_SHARE * _BITS_PER_CHARACTER)
 
 
-def chunk_tasks(value_bytes: int) -> int:
+def tasks_per_chunk(value_bytes: int) -> int:
     """Tasks in one key under this limit of a value; whole bytes of the bitmap."""
     tasks = int(value_bytes * CHUNK_SHARE * _BITS_PER_CHARACTER)
     return max(BITS_PER_BYTE, tasks // BITS_PER_BYTE * BITS_PER_BYTE)
--- a/pitchtally/formats/format_1.py
+++ b/pitchtally/formats/format_1.py
@@ -17,7 +17,7 @@
 _MACHINE_BYTES = 100
 
 
-def chunk_tasks(value_kb: float) -> int:
+def tasks_per_chunk(value_kb: float) -> int:
     """Tasks whose bitmap 0.5.1 kept in one value, under this limit of a value in KiB."""
     tasks = value_kb * 1024 * BITS_PER_BYTE * _BYTES_PER_CHARACTER * _VALUE_SHARE
     return int(tasks) // BITS_PER_BYTE * BITS_PER_BYTE
--- a/pitchtally/formats/gate.py
+++ b/pitchtally/formats/gate.py
@@ -60,7 +60,7 @@
         """`value_kb`: today's limit of a value in KiB, on which format 1 rests its layouts."""
         self.format = FIRST_FORMAT
         self.value_kb = value_kb
-        self.legacy_chunk_tasks = format_1.chunk_tasks(value_kb)
+        self.legacy_chunk_tasks = format_1.tasks_per_chunk(value_kb)
         replica.listen(keys.FORMAT_PREFIX, self._on_record)
 
     def _on_record(self, key: str, value: bytes | None, version: int) -> None:
--- a/pitchtally/jobs/layout.py
+++ b/pitchtally/jobs/layout.py
@@ -40,7 +40,7 @@
         self.gate = gate
         self.value_bytes = int(limits.value_kb * 1024)
         self.inline_tasks = finished_tasks.max_inline_tasks(self.value_bytes)
-        self.chunk_tasks = finished_tasks.chunk_tasks(self.value_bytes)
+        self.chunk_tasks = finished_tasks.tasks_per_chunk(self.value_bytes)
 
     @property
     def max_value_bytes(self) -> int:
--- a/tests/formats/test_golden.py
+++ b/tests/formats/test_golden.py
@@ -368,13 +368,13 @@
         12288,
         98304,
     ]
-    assert [finished_tasks.chunk_tasks(kb * 1024) for kb in kilobytes] == [
+    assert [finished_tasks.tasks_per_chunk(kb * 1024) for kb in kilobytes] == [
         3072,
         6144,
         24576,
         196608,
     ]
-    assert [legacy.chunk_tasks(kb) for kb in kilobytes] == [3072, 6144, 24576, 196608]
+    assert [legacy.tasks_per_chunk(kb) for kb in kilobytes] == [3072, 6144, 24576, 196608]
     assert [legacy.machines_per_chunk(kb) for kb in kilobytes] == [5, 10, 40, 327]
     assert [machine_layout.machines_per_chunk(kb * 1024) for kb in kilobytes] == [7, 15, 61, 491]
     assert [machine_layout.chunk_of(place, 7) for place in (0, 6, 7, 120)] == [
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -31,7 +31,7 @@
 STATE = StateLimits(
     rps=300, write_rps=100, value_kb=2, txn_ops=16, next=NextStateLimits(value_kb=1, txn_ops=4)
 )
-LEGACY_CHUNK = legacy.chunk_tasks(2)
+LEGACY_CHUNK = legacy.tasks_per_chunk(2)
 
 # --- the gate ---------------------------------------------------------------------------------
 
