--- a/pitchtally/formats/gate.py
+++ b/pitchtally/formats/gate.py
@@ -25,7 +25,7 @@
 # The format of 0.5.1, which tells nothing.
 FIRST_FORMAT = 1
 # Finished tasks by task number, long specs in chunks, quota shares by team: since 0.6.0.
-FORMAT = 2
+CURRENT_FORMAT = 2
 
 KEY = keys.FORMAT
 
@@ -75,11 +75,11 @@
     @property
     def open(self) -> bool:
         """Whether the present format may be written."""
-        return self.format >= FORMAT
+        return self.format >= CURRENT_FORMAT
 
     def record(self) -> bytes:
         """The record that opens the gate."""
-        return _encode(FormatRecord(FORMAT, self.legacy_chunk_tasks))
+        return _encode(FormatRecord(CURRENT_FORMAT, self.legacy_chunk_tasks))
 
 
 def all_read(
@@ -93,7 +93,7 @@
     """
     return all(
         (record := records.get(name)) is not None
-        and record.reads >= FORMAT
+        and record.reads >= CURRENT_FORMAT
         and answering.get(name) == record.incarnation
         for name in members
     )
--- a/pitchtally/membership/session.py
+++ b/pitchtally/membership/session.py
@@ -7,7 +7,7 @@
 import msgspec
 import trio
 
-from ..formats.gate import FORMAT
+from ..formats.gate import CURRENT_FORMAT
 from ..state_store import keys
 from ..state_store.client import StateStoreClient, Write
 from ..state_store.errors import CompareFailed, LeaseExpired, StoreUnavailable
@@ -50,7 +50,7 @@
 
     def own_record(self) -> NodeRecord:
         """The record of this node as it should stand in the store."""
-        return NodeRecord(self._identity.incarnation, self.agents_unreachable, FORMAT)
+        return NodeRecord(self._identity.incarnation, self.agents_unreachable, CURRENT_FORMAT)
 
     async def run(self) -> None:
         """Keep the lease alive and the record up to date."""
--- a/tests/formats/test_golden.py
+++ b/tests/formats/test_golden.py
@@ -28,7 +28,7 @@
 from pitchtally.controller import Controller
 from pitchtally.formats import finished_tasks, machine_layout, text_chunks
 from pitchtally.formats import format_1 as legacy
-from pitchtally.formats.gate import FORMAT, FormatRecord
+from pitchtally.formats.gate import CURRENT_FORMAT, FormatRecord
 from pitchtally.formats.gate import KEY as GATE_KEY
 from pitchtally.jobs.job_record import CANCELLED, DONE, OPEN, TaskRange
 from pitchtally.jobs.job_record import JobRecord as JobRecord
@@ -346,7 +346,7 @@
 
 def test_format_record() -> None:
     def body() -> None:
-        assert (GATE_KEY, FORMAT) == ("pt/format", 2)
+        assert (GATE_KEY, CURRENT_FORMAT) == ("pt/format", 2)
         assert controller_of(False).gate.record() == FORMAT_RECORD
 
     on_clock(body)
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -17,7 +17,7 @@
 from pitchtally.controller import Controller
 from pitchtally.formats import finished_tasks, machine_layout, text_chunks
 from pitchtally.formats import format_1 as legacy
-from pitchtally.formats.gate import FIRST_FORMAT, FORMAT, KEY, all_read
+from pitchtally.formats.gate import FIRST_FORMAT, CURRENT_FORMAT, KEY, all_read
 from pitchtally.jobs import job_record
 from pitchtally.jobs.job_record import OPEN, JobRecord, TaskRange
 from pitchtally.jobs.task_bitmap import TaskBitmap
@@ -35,7 +35,7 @@
 
 # --- the gate ---------------------------------------------------------------------------------
 
-NEW, OLD = NodeRecord("a1", reads=FORMAT), NodeRecord("a1")
+NEW, OLD = NodeRecord("a1", reads=CURRENT_FORMAT), NodeRecord("a1")
 MEMBERS = ["n0", "n1"]
 GATE: list[tuple[dict[str, NodeRecord], dict[str, str], bool]] = [
     ({"n0": NEW, "n1": NEW}, {"n0": "a1", "n1": "a1"}, True),
@@ -46,7 +46,7 @@
     # restarted with the old version
     ({"n0": NEW, "n1": NodeRecord("b2")}, {"n0": "a1", "n1": "b2"}, False),
     ({"n0": NEW, "n1": NEW, "n2": OLD}, {"n0": "a1", "n1": "a1"}, True),  # not configured
-    ({"n0": NEW, "n1": NodeRecord("a1", reads=FORMAT + 1)}, {"n0": "a1", "n1": "a1"}, True),
+    ({"n0": NEW, "n1": NodeRecord("a1", reads=CURRENT_FORMAT + 1)}, {"n0": "a1", "n1": "a1"}, True),
 ]
 
 
@@ -246,7 +246,7 @@
         node_record = reader.membership.alive["n1"]
         assert (node_record.incarnation, node_record.reads) == (
             writer.membership.incarnation,
-            FORMAT,
+            CURRENT_FORMAT,
         )
 
     _run(body)
