--- a/pitchtally/formats/gate.py
+++ b/pitchtally/formats/gate.py
@@ -82,7 +82,7 @@
         return _encode(FormatRecord(CURRENT_FORMAT, self.legacy_chunk_tasks))
 
 
-def all_read(
+def all_members_read_format(
     members: Iterable[str], records: Mapping[str, Reader], answering: Mapping[str, str]
 ) -> bool:
     """Whether every configured member is known to read the present format.
--- a/pitchtally/membership/format_negotiation.py
+++ b/pitchtally/membership/format_negotiation.py
@@ -74,7 +74,7 @@
         token = members.cluster_leader_token
         if token is None:
             return
-        if not gate.all_read(members.nodes, members.alive, members.answering()):
+        if not gate.all_members_read_format(members.nodes, members.alive, members.answering()):
             return
         # A member that is replaced meanwhile has another record, and the write fails.
         expected_versions = {
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -17,7 +17,7 @@
 from pitchtally.controller import Controller
 from pitchtally.formats import finished_tasks, machine_layout, text_chunks
 from pitchtally.formats import format_1 as legacy
-from pitchtally.formats.gate import FIRST_FORMAT, CURRENT_FORMAT, KEY, all_read
+from pitchtally.formats.gate import FIRST_FORMAT, CURRENT_FORMAT, KEY, all_members_read_format
 from pitchtally.jobs import job_record
 from pitchtally.jobs.job_record import OPEN, JobRecord, TaskRange
 from pitchtally.jobs.task_bitmap import TaskBitmap
@@ -54,7 +54,7 @@
 def test_gate_opens_once_every_configured_member_reads_the_format(
     records: dict[str, NodeRecord], answering: dict[str, str], opens: bool
 ) -> None:
-    assert all_read(MEMBERS, records, answering) is opens
+    assert all_members_read_format(MEMBERS, records, answering) is opens
 
 
 # --- records of 0.5.1, and how it reads the present ones --------------------------------------
