--- a/pitchtally/formats/gate.py
+++ b/pitchtally/formats/gate.py
@@ -83,17 +83,17 @@
 
 
 def all_members_read_format(
-    members: Iterable[str], records: Mapping[str, Reader], answering: Mapping[str, str]
+    members: Iterable[str], records: Mapping[str, Reader], replying_incarnations: Mapping[str, str]
 ) -> bool:
     """Whether every configured member is known to read the present format.
 
-    `answering` names the incarnation of each member that has answered of late. A record
+    `replying_incarnations` names the incarnation of each member that has answered of late. A record
     outlives its process for a moment: only one of the process that answers counts, so what
     a predecessor read, or did not read, says nothing of its successor.
     """
     return all(
         (record := records.get(name)) is not None
         and record.reads >= CURRENT_FORMAT
-        and answering.get(name) == record.incarnation
+        and replying_incarnations.get(name) == record.incarnation
         for name in members
     )
--- a/pitchtally/membership/format_negotiation.py
+++ b/pitchtally/membership/format_negotiation.py
@@ -37,7 +37,7 @@
     def cluster_leader_token(self) -> FencingToken | None:
         """Our token if this node is the cluster leader."""
 
-    def answering(self) -> dict[str, str]:
+    def replying_incarnations(self) -> dict[str, str]:
         """The incarnation of each node that has replied of late."""
 
 
@@ -74,7 +74,9 @@
         token = members.cluster_leader_token
         if token is None:
             return
-        if not gate.all_members_read_format(members.nodes, members.alive, members.answering()):
+        if not gate.all_members_read_format(
+            members.nodes, members.alive, members.replying_incarnations()
+        ):
             return
         # A member that is replaced meanwhile has another record, and the write fails.
         expected_versions = {
--- a/pitchtally/membership/membership.py
+++ b/pitchtally/membership/membership.py
@@ -130,6 +130,6 @@
             return None
         return self.cluster_leader_token
 
-    def answering(self) -> dict[str, str]:
+    def replying_incarnations(self) -> dict[str, str]:
         """The incarnation of each node, ours included, that has replied within a session TTL."""
         return {**self.peer_group.incarnations_replying(), self.node_name: self.incarnation}
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -50,11 +50,11 @@
 ]
 
 
-@pytest.mark.parametrize(("records", "answering", "opens"), GATE)
+@pytest.mark.parametrize(("records", "replying_incarnations", "opens"), GATE)
 def test_gate_opens_once_every_configured_member_reads_the_format(
-    records: dict[str, NodeRecord], answering: dict[str, str], opens: bool
+    records: dict[str, NodeRecord], replying_incarnations: dict[str, str], opens: bool
 ) -> None:
-    assert all_members_read_format(MEMBERS, records, answering) is opens
+    assert all_members_read_format(MEMBERS, records, replying_incarnations) is opens
 
 
 # --- records of 0.5.1, and how it reads the present ones --------------------------------------
