--- a/pitchtally/membership/membership.py
+++ b/pitchtally/membership/membership.py
@@ -132,4 +132,4 @@
 
     def replying_incarnations(self) -> dict[str, str]:
         """The incarnation of each node, ours included, that has replied within a session TTL."""
-        return {**self.peer_group.incarnations_replying(), self.node_name: self.incarnation}
+        return {**self.peer_group.replying_incarnations(), self.node_name: self.incarnation}
--- a/pitchtally/membership/peers/peer.py
+++ b/pitchtally/membership/peers/peer.py
@@ -67,7 +67,7 @@
         }
         self._session_ttl = session_ttl
 
-    def incarnations_replying(self) -> dict[str, str]:
+    def replying_incarnations(self) -> dict[str, str]:
         """The incarnation of each peer that has replied within a session TTL."""
         limit = trio.current_time() - self._session_ttl
         return {
