--- a/pitchtally/membership/failover.py
+++ b/pitchtally/membership/failover.py
@@ -16,7 +16,7 @@
 from ..state_store.replica import Replica
 from .leadership import ShardLeadership
 from .nodes import LiveNodes
-from .shards import ShardLeader, preference, preferred_leader
+from .shards import ShardLeader, leader_preference, preferred_leader
 
 log = logging.getLogger(__name__)
 
@@ -83,7 +83,7 @@
         if self._leadership.token(shard) is not None:
             return False
         # When all nodes start at once, each leaves the others time to appear.
-        return not starting or preference(names, shard)[0] == self._identity.name
+        return not starting or leader_preference(names, shard)[0] == self._identity.name
 
     async def _try_to_acquire(self, shard: ShardId) -> None:
         try:
--- a/pitchtally/membership/shards.py
+++ b/pitchtally/membership/shards.py
@@ -47,7 +47,7 @@
     return number % count
 
 
-def preference(nodes: Sequence[str], shard: ShardId) -> list[str]:
+def leader_preference(nodes: Sequence[str], shard: ShardId) -> list[str]:
     """The order in which nodes should lead a shard: its home first."""
     start = shard % len(nodes)
     return [*nodes[start:], *nodes[:start]]
@@ -60,7 +60,7 @@
 
     A node that cannot reach its agents leads only if nobody else can.
     """
-    order = preference(nodes, shard)
+    order = leader_preference(nodes, shard)
     for accept_unreachable in (False, True):
         for name in order:
             node = alive.get(name)
--- a/tests/membership/test_shards.py
+++ b/tests/membership/test_shards.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from pitchtally.membership.shards import preference, shard_of
+from pitchtally.membership.shards import leader_preference, shard_of
 
 
 @pytest.mark.parametrize(
@@ -16,4 +16,4 @@
 
 
 def test_preference_starts_at_home() -> None:
-    assert preference(["a", "b", "c"], 1) == ["b", "c", "a"]
+    assert leader_preference(["a", "b", "c"], 1) == ["b", "c", "a"]
