--- a/pitchtally/membership/freshness.py
+++ b/pitchtally/membership/freshness.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 
 # The age, in seconds, that a controller tells which has not read the store since it started.
-NEVER_READ = 1e6
+NEVER_READ_AGE_S = 1e6
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,7 +28,7 @@
     @property
     def has_read(self) -> bool:
         """Whether the peer has read the store since it started."""
-        return self.store_age < NEVER_READ
+        return self.store_age < NEVER_READ_AGE_S
 
     @property
     def cancellations_verified_at(self) -> float:
--- a/pitchtally/membership/peers/heartbeats.py
+++ b/pitchtally/membership/peers/heartbeats.py
@@ -5,7 +5,7 @@
 import trio
 
 from ...state_store.replica import Replica
-from ..freshness import NEVER_READ, PeerReply
+from ..freshness import NEVER_READ_AGE_S, PeerReply
 from ..leadership import ShardLeadership
 from ..messages import PeerHeartbeat, ShardToken
 from ..nodes import LiveNodes
@@ -36,8 +36,10 @@
             incarnation=identity.incarnation,
             number=self._composed,
             revision=self._replica.revision,
-            store_age=min(NEVER_READ, now - self._replica.verified_at),
-            cancellations_age=min(NEVER_READ, now - self._freshness.cancellations_verified_at()),
+            store_age=min(NEVER_READ_AGE_S, now - self._replica.verified_at),
+            cancellations_age=min(
+                NEVER_READ_AGE_S, now - self._freshness.cancellations_verified_at()
+            ),
             cancellations=[],
             shards=[],
             terminated=[],
--- a/tests/membership/test_freshness.py
+++ b/tests/membership/test_freshness.py
@@ -9,7 +9,7 @@
 from pitchtally.config import policy
 from pitchtally.config.timing import lease_expired_at, max_freshness_bound
 from pitchtally.membership.freshness import (
-    NEVER_READ,
+    NEVER_READ_AGE_S,
     PeerReply,
     cancellations_verified,
     leadership_verified,
@@ -58,7 +58,7 @@
     # all peers replied, in an outage
     (10.0, [A(99.0, 60.0, 60.0), A(98.0, 50.0, 50.0)], 98.0, 98.0),
     # one has read nothing
-    (10.0, [A(99.0, NEVER_READ, NEVER_READ), A(98.0, 50.0, 50.0)], 48.0, 10.0),
+    (10.0, [A(99.0, NEVER_READ_AGE_S, NEVER_READ_AGE_S), A(98.0, 50.0, 50.0)], 48.0, 10.0),
     (10.0, [A(99.0, 60.0, 60.0), A(20.0, 1.0, 1.0)], 39.0, 20.0),  # one has been silent since
     (95.0, [A(99.0, 60.0, 60.0), A(98.0, 50.0, 50.0)], 98.0, 98.0),
     (99.5, [A(99.0, 60.0, 60.0), A(98.0, 50.0, 50.0)], 99.5, 99.5),
