--- a/pitchtally/membership/freshness.py
+++ b/pitchtally/membership/freshness.py
@@ -48,7 +48,7 @@
     return min(reply.requested_at for reply in collected if reply is not None)
 
 
-def cancellations_verified(replica_at: float, replies: Iterable[PeerReply | None]) -> float:
+def cancellations_verified_until(replica_at: float, replies: Iterable[PeerReply | None]) -> float:
     """Up to when no confirmed cancellation can be unknown to us.
 
     Our replica shows what was committed by `replica_at`. A peer's reply holds every
@@ -71,7 +71,7 @@
     return verified if requested_at is None else max(verified, requested_at)
 
 
-def leadership_verified(replica_at: float, replies: Iterable[PeerReply | None]) -> float:
+def leadership_verified_until(replica_at: float, replies: Iterable[PeerReply | None]) -> float:
     """Up to when nobody else can have renewed a lease in a shard that we lead.
 
     Either the store showed the shard as ours, or every peer told the newest leader it knows of:
--- a/pitchtally/membership/peers/freshness_tracker.py
+++ b/pitchtally/membership/peers/freshness_tracker.py
@@ -9,7 +9,7 @@
 from ...config.clock import LONG_AGO
 from ...config.policy import Policy
 from ...state_store.replica import Replica
-from ..freshness import PeerReply, cancellations_verified, leadership_verified
+from ..freshness import PeerReply, cancellations_verified_until, leadership_verified_until
 from .peer import Peer
 
 
@@ -28,13 +28,13 @@
 
     def cancellations_verified_at(self) -> float:
         """Up to when no confirmed cancellation can be unknown to this node."""
-        verified = cancellations_verified(self._replica.verified_at, self._replies())
+        verified = cancellations_verified_until(self._replica.verified_at, self._replies())
         self._cancellations_verified_at = max(self._cancellations_verified_at, verified)
         return self._cancellations_verified_at
 
     def leadership_verified_at(self) -> float:
         """Up to when nobody else can have renewed an agent's lease in a shard that we lead."""
-        verified = leadership_verified(self._replica.verified_at, self._replies())
+        verified = leadership_verified_until(self._replica.verified_at, self._replies())
         self._leadership_verified_at = max(self._leadership_verified_at, verified)
         return self._leadership_verified_at
 
--- a/tests/membership/test_freshness.py
+++ b/tests/membership/test_freshness.py
@@ -11,8 +11,8 @@
 from pitchtally.membership.freshness import (
     NEVER_READ_AGE_S,
     PeerReply,
-    cancellations_verified,
-    leadership_verified,
+    cancellations_verified_until,
+    leadership_verified_until,
 )
 from pitchtally.membership.membership import Membership
 from pitchtally.state_store.client import StateStoreClient
@@ -70,8 +70,8 @@
 def test_cancellations_and_leadership_are_verified_up_to_the_peers_replies(
     verified_at: float, replies: list[PeerReply | None], cancellations: float, leadership: float
 ) -> None:
-    assert cancellations_verified(verified_at, replies) == cancellations
-    assert leadership_verified(verified_at, replies) == leadership
+    assert cancellations_verified_until(verified_at, replies) == cancellations
+    assert leadership_verified_until(verified_at, replies) == leadership
 
 
 @pytest.mark.parametrize("deployment", DEPLOYMENT_TIMES)
