--- a/pitchtally/state_store/rate_limits.py
+++ b/pitchtally/state_store/rate_limits.py
@@ -83,7 +83,7 @@
         try:
             while not self._try_acquire(waiter):
                 ahead = sum(other.permits for other in self._waiters if other < waiter)
-                missing = ahead + self._least_available(waiter) - self._available
+                missing = ahead + self._required_permits(waiter) - self._available
                 await trio.sleep(max(_SHORTEST_SLEEP, missing / self.rate))
         finally:
             self._waiters.remove(waiter)
@@ -92,12 +92,12 @@
     def _try_acquire(self, waiter: _Waiter) -> bool:
         self._refill()
         first = self._waiters[0] is waiter
-        if not first or self._available < self._least_available(waiter):
+        if not first or self._available < self._required_permits(waiter):
             return False
         self._available -= waiter.permits
         return True
 
-    def _least_available(self, waiter: _Waiter) -> float:
+    def _required_permits(self, waiter: _Waiter) -> float:
         """The permits that the bucket must hold before this caller may go.
 
         More than a burst at once is paid for afterwards: those that follow wait longer. Worked
