--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -17,7 +17,7 @@
 from pitchtally.controller import Controller
 from pitchtally.formats import finished_tasks, machine_layout, text_chunks
 from pitchtally.formats import format_1 as legacy
-from pitchtally.formats.gate import FIRST_FORMAT, CURRENT_FORMAT, KEY, all_members_read_format
+from pitchtally.formats.gate import CURRENT_FORMAT, FIRST_FORMAT, KEY, all_members_read_format
 from pitchtally.jobs import job_record
 from pitchtally.jobs.job_record import OPEN, JobRecord, TaskRange
 from pitchtally.jobs.task_bitmap import TaskBitmap
