--- a/pitchtally/state_store/client.py
+++ b/pitchtally/state_store/client.py
@@ -35,9 +35,9 @@
 T = TypeVar("T")
 
 # Of the limits, for all nodes together: their clocks and our own bursts never quite agree.
-_USED_SHARE = 0.9
-_CONNECTIONS = 8
-_PAGE_KEYS = 500
+_USED_LIMIT_SHARE = 0.9
+_MAX_IDLE_CONNECTIONS = 8
+_KEYS_PER_PAGE = 500
 _LOGGED_REPLY_BYTES = 100
 _COMMIT_PATH = "/commit"
 
@@ -78,20 +78,20 @@
     def __init__(self, address: str, limits: StateLimits, nodes: int, timeout: float):
         """`nodes` share the store's limits at first; `timeout`: seconds for a reply."""
         self.limits = limits
-        share = _USED_SHARE / nodes
+        share = _USED_LIMIT_SHARE / nodes
         self.request_limit = TokenBucket(limits.rps * share, limits.rps * share)
         self.write_limit = TokenBucket(limits.write_rps * share, limits.write_rps * share)
         # Since when requests have failed, as they were sent; None while the store replies.
         self.failing_since: float | None = None
         self._address = host_port(address)
         self._timeout = timeout
-        self._client = Client(max_idle_per_address=_CONNECTIONS)
+        self._client = Client(max_idle_per_address=_MAX_IDLE_CONNECTIONS)
         self._replied_at = LONG_AGO  # when the newest request that was replied to was sent
         self._logged_causes: set[str] = set()  # of unusable replies, each logged once
 
     def share_limits(self, nodes: int) -> None:
         """Share the limits, which are for all nodes together, with those that live."""
-        share = _USED_SHARE / max(1, nodes)
+        share = _USED_LIMIT_SHARE / max(1, nodes)
         self.request_limit.resize(self.limits.rps * share)
         self.write_limit.resize(self.limits.write_rps * share)
 
@@ -139,7 +139,7 @@
         since = f"&since={after}" if after else ""
         response = await self._call(
             "GET",
-            f"/store?starts={prefix}{since}&limit={_PAGE_KEYS}",
+            f"/store?starts={prefix}{since}&limit={_KEYS_PER_PAGE}",
             priority=Priority.LEASES,
         )
         if response.status != 200:
