--- a/pitchtally/jobs/index.py
+++ b/pitchtally/jobs/index.py
@@ -290,7 +290,7 @@
         the job from now on finds it over, also a shard that is loaded or reconciled later.
         """
         final = JobRecord(CANCELLED, tasks, finished_when_cancelled=done)
-        self.replica.learn(keys.job(id), encode(final), version)
+        self.replica.apply_committed(keys.job(id), encode(final), version)
 
     def task_done(self, job: Job, task: int, urgent: bool) -> None:
         """Note that an agent has reported a task done; `urgent`: others wait for it."""
--- a/pitchtally/state_store/replica.py
+++ b/pitchtally/state_store/replica.py
@@ -89,7 +89,7 @@
             if write.value is not None:
                 self._apply(write.key, write.value, revision)
 
-    def learn(self, key: str, value: bytes, version: int) -> None:
+    def apply_committed(self, key: str, value: bytes, version: int) -> None:
         """Apply a write that the store has committed, as a peer's replica shows it."""
         self._apply(key, value, version)
 
--- a/tests/api/test_submission_batcher.py
+++ b/tests/api/test_submission_batcher.py
@@ -66,7 +66,9 @@
             nursery.start_soon(controller.api.submission_batcher.run)
             assert (await controller.api.submissions.accept(spec)).status == 503
             assert (await poll()).status == 404  # nothing else is known of it
-            controller.replica.learn(f"pt/jobs/{spec.id}", b'{"of":"a later version"}', 11)
+            controller.replica.apply_committed(
+                f"pt/jobs/{spec.id}", b'{"of":"a later version"}', 11
+            )
             assert (await poll()).status == 503
             assert (await controller.api.cancellations.cancel(spec.id)).status == 503
             nursery.cancel_scope.cancel()
--- a/tests/cluster/test_heartbeat_cost.py
+++ b/tests/cluster/test_heartbeat_cost.py
@@ -60,7 +60,7 @@
             spec = msgspec.structs.replace(job_spec(number, cpus), estimate=600.0)
             ranges = [TaskRange(0, spec.tasks, 0)]
             record = JobRecord(OPEN, spec.tasks, spec, time.time(), ranges)
-            leader.replica.learn(f"pt/jobs/{spec.id}", encode(record), 60 + number)
+            leader.replica.apply_committed(f"pt/jobs/{spec.id}", encode(record), 60 + number)
         leader.scheduler.shards.shard_loaded(0)
         leader.scheduler.shards.shard_reconciled(0)
         leader.scheduler.survey.survey(0)
--- a/tests/formats/test_golden.py
+++ b/tests/formats/test_golden.py
@@ -319,7 +319,7 @@
     config = settings(NODE, state=STATE)
     found = Controller(config, policy_module.parse("", config))
     if gate_open:
-        found.replica.learn("pt/format", FORMAT_RECORD, 9)
+        found.replica.apply_committed("pt/format", FORMAT_RECORD, 9)
     return found
 
 
@@ -417,12 +417,12 @@
 def test_shares_of_a_team(gate_open: bool, key: str, value: bytes) -> None:
     def body() -> None:
         controller = controller_of(gate_open)
-        controller.replica.learn("pt/shares", b'{"other":[[1.0,0.0],[2.0,0.5]]}', 10)
+        controller.replica.apply_committed("pt/shares", b'{"other":[[1.0,0.0],[2.0,0.5]]}', 10)
         shares = controller.scheduler.quotas.shares
         assert shares.of("other") == [(1.0, 0.0), (2.0, 0.5)]
         rows = [(4.0, 0.0), (2.5, 1.0)]
         assert stored([shares.change("a b/c", rows)]) == [(key, value)]
-        controller.replica.learn(key, value, 11)
+        controller.replica.apply_committed(key, value, 11)
         assert shares.of("a b/c") == rows
 
     on_clock(body)
@@ -454,7 +454,7 @@
     def body() -> None:
         controller = controller_of(gate_open)
         kinds = controller.autoscaler.catalog
-        controller.replica.learn("pt/types", page(names), 10)
+        controller.replica.apply_committed("pt/types", page(names), 10)
         assert stored(kinds.lay_out(list(kinds.known.values()))) == expected
 
     on_clock(body)
@@ -511,9 +511,9 @@
     def body() -> None:
         controller = controller_of(True)
         for number, (key, value) in enumerate(SPEC_PIECES):
-            controller.replica.learn(key, value or b"", 10 + number)
+            controller.replica.apply_committed(key, value or b"", 10 + number)
         value = b'{"stage":"open","tasks":6,"at":2.5,"spec_text":%s}' % SPEC_REF
-        controller.replica.learn("pt/jobs/wk-000001", value, 20)
+        controller.replica.apply_committed("pt/jobs/wk-000001", value, 20)
         found = controller.job_index.jobs["wk-000001"]
         assert msgspec.json.encode(found.spec) == SPEC % (6, LONG_IMAGE)
         assert controller.layout.encode_record(found, found.record) == value
@@ -526,11 +526,11 @@
 
     def body() -> None:
         controller = controller_of(True)
-        controller.replica.learn("pt/fin/wk-000001/0", b'"BQ=="', 10)
-        controller.replica.learn("pt/fin/wk-000001/1", b'"Ag=="', 11)
+        controller.replica.apply_committed("pt/fin/wk-000001/0", b'"BQ=="', 10)
+        controller.replica.apply_committed("pt/fin/wk-000001/1", b'"Ag=="', 11)
         more = b',"at":2.5,"ranges":[[0,9000,0]]'
         old = open_record(9000, more, LONG_IMAGE)
-        controller.replica.learn("pt/jobs/wk-000001", old, 12)
+        controller.replica.apply_committed("pt/jobs/wk-000001", old, 12)
         found = controller.job_index.jobs["wk-000001"]
         assert controller.layout.needs_conversion(found)
         first, record = controller.layout.convert(found)
@@ -565,7 +565,7 @@
 def test_progress(tasks: int, more: bytes, expected: tuple[str, bytes]) -> None:
     def body() -> None:
         controller = controller_of(False)
-        controller.replica.learn("pt/jobs/wk-000001", open_record(tasks, more), 10)
+        controller.replica.apply_committed("pt/jobs/wk-000001", open_record(tasks, more), 10)
         found = controller.job_index.jobs["wk-000001"]
         joined = TaskBitmap(tasks)
         for task in (1, 5):
@@ -581,8 +581,8 @@
         controller = controller_of(True)
         keys = ["pt/done/wk-000001/0", "pt/fin/wk-000001/1", "pt/text/wk-000001/00ff/0"]
         for number, key in enumerate(keys):
-            controller.replica.learn(key, b'"AA=="', 10 + number)
-        controller.replica.learn("pt/jobs/wk-000001", b'{"stage":"done","tasks":6}', 20)
+            controller.replica.apply_committed(key, b'"AA=="', 10 + number)
+        controller.replica.apply_committed("pt/jobs/wk-000001", b'{"stage":"done","tasks":6}', 20)
         assert controller.cleanup.left_over(10) == keys
 
     on_clock(body)
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -81,7 +81,7 @@
 def _learn(controller: Any, writes: Mapping[str, str | bytes]) -> None:
     for number, (key, value) in enumerate(writes.items()):
         data = value if isinstance(value, bytes) else value.encode()
-        controller.replica.learn(f"pt/{key}", data, 10 + number)
+        controller.replica.apply_committed(f"pt/{key}", data, 10 + number)
 
 
 def _check_records(controller: Any) -> None:
@@ -150,8 +150,11 @@
         }
         assert new.agents.records.chunk_of("i-000360") == 360 // 3 // 10
         old = earlier.controller(settings("n2", state=STATE), "")
-        _learn(old, {key: written[key] for key in RECORDS})
-        _learn(old, {key: written[key] for key in written if key not in RECORDS})
+        _learn(with_present_names(old), {key: written[key] for key in RECORDS})
+        _learn(
+            with_present_names(old),
+            {key: written[key] for key in written if key not in RECORDS},
+        )
         _check_records(with_present_names(old))
         assert old.job_store.jobs["wk-000004"].record.at == 2.5
         assert old.members.alive["n1"].incarnation == new.membership.incarnation
@@ -201,7 +204,7 @@
         their_chunk = old.workers.records.chunk_of(f"i-{row * 3:06d}")
         our_chunk = machine_layout.chunk_of(row, width)
         assert sorted([our_chunk, their_chunk]) == [their_chunk, our_chunk]
-        _learn(old, {f"fleet/0/{our_chunk}": RECORDS["fleet/0/3"]})
+        _learn(with_present_names(old), {f"fleet/0/{our_chunk}": RECORDS["fleet/0/3"]})
         assert "i-000360" in old.workers.records.of(0)
 
     _run(body)
@@ -277,7 +280,7 @@
         order = [chunk, record] if bits_first else [record, chunk]
         for number, writes in enumerate(order):
             for key, value in writes.items():
-                controller.replica.learn(f"pt/{key}", value.encode(), 20 + number)
+                controller.replica.apply_committed(f"pt/{key}", value.encode(), 20 + number)
         job_ = controller.job_index.jobs["wk-000001"]
         assert [t for t in range(100_000) if t in job_.finished] == [2 * LEGACY_CHUNK + 1]
 
@@ -354,7 +357,9 @@
             {"jobs/wk-000001": _wide(20_000), "jobs/wk-000002": RECORDS["jobs/wk-000002"]},
         )
         assert controller.cleanup.left_over(4) == ["pt/fin/wk-000002/0"]
-        controller.replica.learn("pt/jobs/wk-000001", b'{"stage":"done","tasks":20000}', 90)
+        controller.replica.apply_committed(
+            "pt/jobs/wk-000001", b'{"stage":"done","tasks":20000}', 90
+        )
         assert len(controller.cleanup.left_over(4)) == 4
         assert len(controller.cleanup.left_over(100)) == 7  # wk-000003 has no record
 
@@ -399,7 +404,7 @@
         assert set(shares.versions("tight")) == {"pt/shares", change.key}
         controller.replica.apply_own_commit([change], 30)
         late_value = b'{"tight":[[0.0,0.0],[2.0,0.0],[4.0,0.0]],"free":[[1,1],[1,1],[1,1]]}'
-        controller.replica.learn("pt/shares", late_value, 40)
+        controller.replica.apply_committed("pt/shares", late_value, 40)
         assert shares.of("tight") == [(1.0, 0.0), (3.0, 0.0), (2.0, 0.0)]
         assert shares.of("free") == [(1.0, 1.0)] * 3
 
--- a/tests/harness/earlier_version.py
+++ b/tests/harness/earlier_version.py
@@ -46,6 +46,7 @@
     """A controller of 0.5.1 or 0.6.0 under the present tree's names."""
     return Renamed(
         controller,
+        replica=Renamed(controller.replica, apply_committed="learn"),
         job_index="job_store",
         membership=Renamed(
             controller.members,
