--- a/pitchtally/state_store/replica.py
+++ b/pitchtally/state_store/replica.py
@@ -26,7 +26,7 @@
 ReplicaListener = Callable[[str, bytes | None, int], None]
 
 _NOT_LOADED = -1
-_LONGEST_PAUSE = 1.0  # seconds between two failed watches
+_MAX_RETRY_PAUSE_S = 1.0  # seconds between two failed watches
 
 
 @dataclass(frozen=True, slots=True)
@@ -145,7 +145,7 @@
 
     async def load(self) -> None:
         """Read every key; those that vanished meanwhile are dropped."""
-        found: set[str] = set()
+        listed_keys: set[str] = set()
         after: str | None = None
         revision: int | None = None
         while True:
@@ -153,17 +153,17 @@
             # The watch continues from the first page: later changes are seen again.
             revision = page.revision if revision is None else revision
             for item in page.items:
-                found.add(item.key)
+                listed_keys.add(item.key)
                 self._apply(item.key, bytes(item.value), item.version)
             if not page.more or not page.items:
                 break
             after = page.items[-1].key
-        vanished = [
+        removed_keys = [
             key
             for key, version in self._versions.items()
-            if key not in found and version <= revision
+            if key not in listed_keys and version <= revision
         ]
-        for key in vanished:
+        for key in removed_keys:
             self._apply(key, None, revision)
         self._advance(revision)
 
@@ -179,7 +179,7 @@
                 pause = self._pause
             except StoreUnavailable as error:
                 log.debug("watch failed: %s", error)
-                pause = min(pause * 2, _LONGEST_PAUSE)
+                pause = min(pause * 2, _MAX_RETRY_PAUSE_S)
             await trio.sleep(pause)
 
     async def _watch_or_load(self) -> None:
