--- a/pitchtally/state_store/rate_limits.py
+++ b/pitchtally/state_store/rate_limits.py
@@ -25,10 +25,10 @@
 
 
 # Of a burst: what `PROGRESS` leaves to calls that users wait for.
-_PROGRESS_RESERVE = 0.4
+_PROGRESS_RESERVE_SHARE = 0.4
 
 # Timers fire in steps of a few milliseconds, so finer waits gain nothing; seconds.
-_SHORTEST_SLEEP = 0.004
+_MIN_SLEEP_S = 0.004
 
 
 class _Waiter(NamedTuple):
@@ -84,7 +84,7 @@
             while not self._try_acquire(waiter):
                 ahead = sum(other.permits for other in self._waiters if other < waiter)
                 missing = ahead + self._required_permits(waiter) - self._available
-                await trio.sleep(max(_SHORTEST_SLEEP, missing / self.rate))
+                await trio.sleep(max(_MIN_SLEEP_S, missing / self.rate))
         finally:
             self._waiters.remove(waiter)
             heapq.heapify(self._waiters)
@@ -104,5 +104,7 @@
         out anew each time: a bucket that was made smaller under a waiter would never hold
         what it waited for, and nobody else would go.
         """
-        reserve = self.burst * _PROGRESS_RESERVE if waiter.priority >= Priority.PROGRESS else 0.0
+        reserve = (
+            self.burst * _PROGRESS_RESERVE_SHARE if waiter.priority >= Priority.PROGRESS else 0.0
+        )
         return min(self.burst, waiter.permits + reserve)
