--- a/pitchtally/formats/text_chunks.py
+++ b/pitchtally/formats/text_chunks.py
@@ -18,7 +18,7 @@
 _DIGEST_BYTES = 8
 # Of a value. JSON may escape a character to several bytes, which `split` counts.
 CHUNK_SHARE = 3 / 4
-_QUOTES = 2
+_QUOTE_BYTES = 2
 
 
 class TextRef(NamedTuple):
@@ -49,12 +49,12 @@
 
 def split(text: str, value_bytes: int) -> EncodedText:
     """Cut a text into chunks, each of them encoded within the limit of a value."""
-    most = max(1, int(value_bytes * CHUNK_SHARE))
+    max_chunk_bytes = max(1, int(value_bytes * CHUNK_SHARE))
     chunks: list[str] = []
-    size = most
+    size = max_chunk_bytes
     for character in text:
-        width = len(msgspec.json.encode(character)) - _QUOTES
-        if size + width > most:
+        width = len(msgspec.json.encode(character)) - _QUOTE_BYTES
+        if size + width > max_chunk_bytes:
             chunks.append("")
             size = 0
         chunks[-1] += character
@@ -66,10 +66,10 @@
 
 def join(ref: TextRef, chunks: Mapping[ChunkId, str]) -> str | None:
     """The text again, None while some of its chunks are missing."""
-    found = []
+    collected = []
     for number in range(ref.chunks):
         chunk = chunks.get(ChunkId(ref.digest, number))
         if chunk is None:
             return None
-        found.append(chunk)
-    return "".join(found)
+        collected.append(chunk)
+    return "".join(collected)
