--- a/pitchtally/formats/machine_layout.py
+++ b/pitchtally/formats/machine_layout.py
@@ -9,13 +9,13 @@
 # Larger than any chunk number of 0.5.1, which counted up from 0.
 _WIDTH_FACTOR = 10**9
 # A machine's name, type, zone, kind and address as JSON, where names are long.
-_MACHINE_BYTES = 100
-_VALUE_SHARE = 3 / 4
+_BYTES_PER_MACHINE = 100
+_FILLED_VALUE_SHARE = 3 / 4
 
 
 def machines_per_chunk(value_bytes: int) -> int:
     """Consecutive machines of a shard that one value of at most so many bytes names."""
-    return max(1, int(value_bytes * _VALUE_SHARE / _MACHINE_BYTES))
+    return max(1, int(value_bytes * _FILLED_VALUE_SHARE / _BYTES_PER_MACHINE))
 
 
 def chunk_of(position: int, width: int) -> int:
