--- a/pitchtally/membership/failover.py
+++ b/pitchtally/membership/failover.py
@@ -21,8 +21,8 @@
 log = logging.getLogger(__name__)
 
 # Seconds.
-_NOT_LISTED_PAUSE = 0.05
-_FAILED_PAUSE = 0.1
+_NOT_LISTED_PAUSE_S = 0.05
+_FAILED_ATTEMPT_PAUSE_S = 0.1
 
 
 class Failover:
@@ -60,7 +60,7 @@
             self._wake = trio.Event()
             if not self._is_listed():
                 # The record under our name may still be a predecessor's.
-                await trio.sleep(_NOT_LISTED_PAUSE)
+                await trio.sleep(_NOT_LISTED_PAUSE_S)
                 continue
             starting = trio.current_time() - self._started_at < self._policy.session_ttl / 2
             for shard in range(self._shard_count):
@@ -90,7 +90,7 @@
             await self._acquire(shard)
         except (CompareFailed, LeaseExpired, StoreUnavailable) as error:
             log.debug("shard not acquired shard=%d: %s", shard, error)
-            await trio.sleep(_FAILED_PAUSE)
+            await trio.sleep(_FAILED_ATTEMPT_PAUSE_S)
 
     async def _acquire(self, shard: ShardId) -> None:
         """Compare-and-swap the shard's record, provided that our node record still stands."""
