--- a/pitchtally/membership/session.py
+++ b/pitchtally/membership/session.py
@@ -18,8 +18,8 @@
 log = logging.getLogger(__name__)
 
 # Of the lease's time to live.
-_RENEW_SHARE = 1 / 3
-_RETRY_SHARE = 1 / 20
+_RENEWAL_INTERVAL_SHARE = 1 / 3
+_RETRY_INTERVAL_SHARE = 1 / 20
 
 
 class Session:
@@ -56,19 +56,21 @@
         """Keep the lease alive and the record up to date."""
         while True:
             try:
-                loaded = await self._keep()
+                up_to_date = await self._renew()
             except LeaseExpired:
                 self._lease = None
                 continue
             except CompareFailed:
                 # The watch has yet to show what is there: a predecessor's record, or its end.
-                loaded = False
+                up_to_date = False
             except StoreUnavailable as error:
                 log.debug("lease not kept: %s", error)
-                loaded = False
-            await trio.sleep(self._ttl * (_RENEW_SHARE if loaded else _RETRY_SHARE))
+                up_to_date = False
+            await trio.sleep(
+                self._ttl * (_RENEWAL_INTERVAL_SHARE if up_to_date else _RETRY_INTERVAL_SHARE)
+            )
 
-    async def _keep(self) -> bool:
+    async def _renew(self) -> bool:
         """Renew the lease and write the record if it changed; False if it is to be tried soon."""
         if self._lease is None:
             self._lease = await self._state_store.grant_lease(self._ttl)
