--- a/pitchtally/membership/shards.py
+++ b/pitchtally/membership/shards.py
@@ -18,7 +18,7 @@
 CLUSTER_LEADER_SHARD: ShardId = 0
 
 # Longer numbers may not fit the integers of other languages, so they are treated as text.
-_MOST_DIGITS = 18
+_MAX_NUMBER_DIGITS = 18
 
 
 class ShardLeader(Struct, frozen=True):
@@ -42,7 +42,7 @@
     The number at the end of its name decides; any other name is spread by its bytes.
     """
     digits = machine.rpartition("-")[2]
-    numbered = digits.isdigit() and len(digits) <= _MOST_DIGITS
+    numbered = digits.isdigit() and len(digits) <= _MAX_NUMBER_DIGITS
     number = int(digits) if numbered else sum(machine.encode())
     return number % count
 
