--- a/pitchtally/membership/pause_detector.py
+++ b/pitchtally/membership/pause_detector.py
@@ -19,7 +19,7 @@
     def __init__(self, heartbeat_interval: float, call_timeout: float):
         """A pause is a check that comes more than `call_timeout` seconds late."""
         self._check_interval = heartbeat_interval / _CHECKS_PER_HEARTBEAT
-        self._longest_gap = self._check_interval + call_timeout
+        self._max_gap = self._check_interval + call_timeout
         self._checked_at = trio.current_time()
         self._resumed_at = LONG_AGO
 
@@ -31,7 +31,7 @@
         after a pause detects it, whatever the order in which tasks are resumed.
         """
         now = trio.current_time()
-        if now - self._checked_at > self._longest_gap:
+        if now - self._checked_at > self._max_gap:
             log.info("process paused for=%.1f", now - self._checked_at)
             self._resumed_at = self._checked_at = now
         return self._resumed_at
