--- a/pitchtally/membership/peers/requests.py
+++ b/pitchtally/membership/peers/requests.py
@@ -22,8 +22,8 @@
 RETRY_SOON = [("Retry-After", "1")]
 
 # Of all connections: users' requests that one node forwards at a time.
-_FORWARDED_SHARE = 1 / 80
-_LEAST_FORWARDED = 2
+_FORWARDED_CONNECTION_SHARE = 1 / 80
+_MIN_FORWARDED_REQUESTS = 2
 # Of a call's timeout: how long a user waits for the cluster leader to place a job.
 _SCHEDULE_TIMEOUT_SHARE = 1 / 4
 
@@ -47,7 +47,7 @@
         # Forwarded requests must leave connections to heartbeats: a flood of them made peers
         # refuse each other for as long as it took to notice that all are partitioned.
         self._forwarding = trio.CapacityLimiter(
-            max(_LEAST_FORWARDED, int(max_connections * _FORWARDED_SHARE))
+            max(_MIN_FORWARDED_REQUESTS, int(max_connections * _FORWARDED_CONNECTION_SHARE))
         )
 
     async def forward(self, request: Request) -> Response | None:
