--- a/pitchtally/membership/peers/transport.py
+++ b/pitchtally/membership/peers/transport.py
@@ -25,13 +25,13 @@
         """`call_timeout`: seconds that a peer may take to reply."""
         self._client = Client(max_idle_per_address=_CONNECTIONS_PER_PEER)
         self._call_timeout = call_timeout
-        self._calls = 0
+        self._last_call_number = 0
 
     async def send(self, peer: Peer, message: Message) -> Message | None:
         """Send one message to a peer; its reply, or None without a usable one."""
-        self._calls += 1
+        self._last_call_number += 1
         try:
-            reply = await self._call(peer, message, self._calls)
+            reply = await self._call(peer, message, self._last_call_number)
         except (HttpError, msgspec.MsgspecError) as error:
             self._client.drop(peer.address)
             if not peer.failure:
--- a/tests/membership/test_mismatched_replies.py
+++ b/tests/membership/test_mismatched_replies.py
@@ -42,7 +42,7 @@
     answer_calls(monkeypatch, answer)
     config = settings("n0")
     membership = Controller(config, policy.parse("", config)).membership
-    membership.transport._calls = 40  # some calls were made before
+    membership.transport._last_call_number = 40  # some calls were made before
     return membership
 
 
