--- a/pitchtally/membership/peers/heartbeats.py
+++ b/pitchtally/membership/peers/heartbeats.py
@@ -23,18 +23,18 @@
         self._leadership = leadership
         self._replica = replica
         self._freshness = freshness
-        self._composed = 0
+        self._last_number = 0
 
     def compose(self, revision: int) -> PeerHeartbeat:
         """Our heartbeat for a peer whose replica covers that revision."""
-        self._composed += 1
+        self._last_number += 1
         now = trio.current_time()
         identity = self._leadership.identity
         leaders = self._leadership.leaders
         heartbeat = PeerHeartbeat(
             node=identity.name,
             incarnation=identity.incarnation,
-            number=self._composed,
+            number=self._last_number,
             revision=self._replica.revision,
             store_age=min(NEVER_READ_AGE_S, now - self._replica.verified_at),
             cancellations_age=min(
