--- a/pitchtally/membership/peers/peer.py
+++ b/pitchtally/membership/peers/peer.py
@@ -44,9 +44,9 @@
         the later by mistake is put right by the next reply.
         """
         if heartbeat.incarnation != self.incarnation:
-            asked_since = requested_at is not None and requested_at > self.incarnation_known_at
-            listed = heartbeat.incarnation == listed_incarnation
-            if self.incarnation and not asked_since and not listed:
+            requested_since = requested_at is not None and requested_at > self.incarnation_known_at
+            in_state_store = heartbeat.incarnation == listed_incarnation
+            if self.incarnation and not requested_since and not in_state_store:
                 return False
             self.incarnation = heartbeat.incarnation
             self.incarnation_known_at = trio.current_time()
@@ -69,18 +69,18 @@
 
     def replying_incarnations(self) -> dict[str, str]:
         """The incarnation of each peer that has replied within a session TTL."""
-        limit = trio.current_time() - self._session_ttl
+        oldest_recent = trio.current_time() - self._session_ttl
         return {
             name: peer.incarnation
             for name, peer in self.by_name.items()
-            if peer.last_heartbeat_at >= limit
+            if peer.last_heartbeat_at >= oldest_recent
         }
 
     def is_isolated(self) -> bool:
         """Whether no peer has replied within a session TTL: others may well be in service."""
-        limit = trio.current_time() - self._session_ttl
+        oldest_recent = trio.current_time() - self._session_ttl
         peers = self.by_name.values()
-        return bool(peers) and all(peer.last_heartbeat_at < limit for peer in peers)
+        return bool(peers) and all(peer.last_heartbeat_at < oldest_recent for peer in peers)
 
     def with_state_store(self) -> Peer | None:
         """A peer that reached the state store within a session TTL, as it told itself."""
