--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -78,7 +78,7 @@
 }
 
 
-def _learn(controller: Any, writes: Mapping[str, str | bytes]) -> None:
+def _apply_records(controller: Any, writes: Mapping[str, str | bytes]) -> None:
     for number, (key, value) in enumerate(writes.items()):
         data = value if isinstance(value, bytes) else value.encode()
         controller.replica.apply_committed(f"pt/{key}", data, 10 + number)
@@ -117,7 +117,7 @@
 def test_records_of_the_version_in_production_are_read() -> None:
     def body() -> None:
         controller = _controller()
-        _learn(controller, RECORDS)
+        _apply_records(controller, RECORDS)
         _check_records(controller)
         assert controller.membership.alive["n0"].reads == FIRST_FORMAT
 
@@ -131,7 +131,7 @@
 
     def body() -> None:
         new = _controller()
-        _learn(new, RECORDS)
+        _apply_records(new, RECORDS)
         job_ = new.job_index.jobs["wk-000001"]
         spec = job_.spec
         first, record = new.layout.lay_out_new("wk-000004", JobRecord(OPEN, 6, spec, 2.5))
@@ -150,8 +150,8 @@
         }
         assert new.agents.records.chunk_of("i-000360") == 360 // 3 // 10
         old = earlier.controller(settings("n2", state=STATE), "")
-        _learn(with_present_names(old), {key: written[key] for key in RECORDS})
-        _learn(
+        _apply_records(with_present_names(old), {key: written[key] for key in RECORDS})
+        _apply_records(
             with_present_names(old),
             {key: written[key] for key in written if key not in RECORDS},
         )
@@ -204,7 +204,7 @@
         their_chunk = old.workers.records.chunk_of(f"i-{row * 3:06d}")
         our_chunk = machine_layout.chunk_of(row, width)
         assert sorted([our_chunk, their_chunk]) == [their_chunk, our_chunk]
-        _learn(with_present_names(old), {f"fleet/0/{our_chunk}": RECORDS["fleet/0/3"]})
+        _apply_records(with_present_names(old), {f"fleet/0/{our_chunk}": RECORDS["fleet/0/3"]})
         assert "i-000360" in old.workers.records.of(0)
 
     _run(body)
@@ -212,7 +212,7 @@
 
 def _write_in_present_format(writer: Any, task_ranges: list[Any]) -> dict[str, str | bytes]:
     """Return the records above as a controller of either version with an open gate writes them."""
-    _learn(writer, RECORDS)
+    _apply_records(writer, RECORDS)
     job_ = writer.job_index.jobs["wk-000001"]
     before, record = writer.layout.convert(job_)
     assert job_.record.ranges == task_ranges
@@ -236,13 +236,13 @@
         new = _controller()
         writer: Any = new if new_writes else old
         reader: Any = old if new_writes else new
-        _learn(writer, {"format": writer.gate.record()})
+        _apply_records(writer, {"format": writer.gate.record()})
         assert writer.gate.open
         assert not reader.gate.open
         written = _write_in_present_format(writer, [(0, 4, 0), (4, 6, 1)])
         assert written["jobs/wk-000001"] != RECORDS["jobs/wk-000001"]
-        _learn(reader, {key: written[key] for key in RECORDS})
-        _learn(reader, {key: written[key] for key in written if key not in RECORDS})
+        _apply_records(reader, {key: written[key] for key in RECORDS})
+        _apply_records(reader, {key: written[key] for key in written if key not in RECORDS})
         _check_records(reader)
         assert reader.gate.open
         assert reader.gate.legacy_chunk_tasks == LEGACY_CHUNK
@@ -296,8 +296,8 @@
         later.replica.apply_own_commit([Write(KEY, upgraded.gate.record())], 9)
         bits = TaskBitmap(8)
         bits.add(1)
-        _learn(later, {"fin/wk-000001/1": json.dumps(bits.text())})
-        _learn(later, {"jobs/wk-000001": _wide(100_000)})
+        _apply_records(later, {"fin/wk-000001/1": json.dumps(bits.text())})
+        _apply_records(later, {"jobs/wk-000001": _wide(100_000)})
         assert LEGACY_CHUNK + 1 in later.job_index.jobs["wk-000001"].finished
 
     _run(body)
@@ -325,7 +325,7 @@
             stored["jobs/wk-000001"] = _wide(tasks)
         else:
             stored["jobs/wk-000001"] = _wide(tasks, finished=bits.text())
-        _learn(first, stored)
+        _apply_records(first, stored)
         for writes_made in (steps, 1000):
             job_ = first.job_index.jobs["wk-000001"]
             if not first.layout.needs_conversion(job_):
@@ -337,7 +337,7 @@
             for write in writes:
                 stored[write.key.removeprefix("pt/")] = write.value or b""
             first = _controller(gate_open=True)
-            _learn(first, stored)
+            _apply_records(first, stored)
             converted = first.job_index.jobs["wk-000001"]
             assert [t for t in range(tasks) if t in converted.finished] == sorted(set(done))
         job_ = first.job_index.jobs["wk-000001"]
@@ -350,9 +350,9 @@
 def test_keys_of_finished_jobs_are_removed_a_few_at_a_time() -> None:
     def body() -> None:
         controller = _controller(gate_open=True)
-        _learn(controller, {f"done/wk-000001/{n * 3072}": '"AA=="' for n in range(6)})
-        _learn(controller, {"fin/wk-000002/0": '"AA=="', "fin/wk-000003/0": '"AA=="'})
-        _learn(
+        _apply_records(controller, {f"done/wk-000001/{n * 3072}": '"AA=="' for n in range(6)})
+        _apply_records(controller, {"fin/wk-000002/0": '"AA=="', "fin/wk-000003/0": '"AA=="'})
+        _apply_records(
             controller,
             {"jobs/wk-000001": _wide(20_000), "jobs/wk-000002": RECORDS["jobs/wk-000002"]},
         )
@@ -399,7 +399,7 @@
     def body() -> None:
         controller = _controller(gate_open=True)
         shares = controller.scheduler.quotas.shares
-        _learn(controller, {"shares": '{"tight":[[2.0,0.0],[2.0,0.0],[2.0,0.0]]}'})
+        _apply_records(controller, {"shares": '{"tight":[[2.0,0.0],[2.0,0.0],[2.0,0.0]]}'})
         change = shares.change("tight", [(1.0, 0.0), (3.0, 0.0), (2.0, 0.0)])
         assert set(shares.versions("tight")) == {"pt/shares", change.key}
         controller.replica.apply_own_commit([change], 30)
