--- a/pitchtally/membership/__init__.py
+++ b/pitchtally/membership/__init__.py
@@ -1,11 +1,12 @@
-"""Which controllers live, which shards each leads, and what they tell one another.
+"""Cluster membership: live controllers, shard leadership, and messages between controllers.
 
-State: this node's session lease and node record (`session`), the nodes and shard leaders that
-the state store shows (`nodes`, `leadership`), the last reply of each peer (`peers`), when the
-process was last paused (`pause_detector`). Each is changed by its own module alone, from the
-replica's watch, from peers' messages or from its own loop; `membership` composes them.
+State: this node's session lease and node record (`session`), the nodes and shard leaders recorded
+in the state store (`nodes`, `leadership`), the last reply of each peer (`peers`), and the time at
+which the process last resumed after a pause (`pause_detector`). Each is changed only by its own
+module: on changes of the replica, on messages from peers, or in the module's own loop.
+`membership` composes them.
 
-Invariant: at most one node holds a shard's newest fencing token. A node acts on its token only
-while no newer one is known to it, and what it concludes from silence or from replies is bounded
-by their age (`freshness`): a deposed leader stops before its successor's acts can conflict.
+Invariant: at most one node holds a shard's newest fencing token. A node uses its token only until
+it learns of a newer one, and what it concludes from replies, or from their absence, is limited by
+their age (`freshness`): a deposed leader stops before its successor's actions can conflict.
 """
--- a/pitchtally/membership/failover.py
+++ b/pitchtally/membership/failover.py
@@ -1,4 +1,4 @@
-"""Failover: this node acquires the shards that it should lead."""
+"""Failover: acquisition of the shards that this node should lead."""
 
 from __future__ import annotations
 
@@ -20,7 +20,6 @@
 
 log = logging.getLogger(__name__)
 
-# Seconds.
 _NOT_LISTED_PAUSE_S = 0.05
 _FAILED_ATTEMPT_PAUSE_S = 0.1
 
@@ -53,13 +52,13 @@
         self._wake.set()
 
     async def run(self) -> None:
-        """Look at every shard after each change, and once per heartbeat interval."""
+        """Check all shards after each node or shard change, and once per heartbeat interval."""
         while True:
             with trio.move_on_after(self._policy.heartbeat_interval):
                 await self._wake.wait()
             self._wake = trio.Event()
             if not self._is_listed():
-                # The record under our name may still be a predecessor's.
+                # The record under this node's name may still belong to its previous process.
                 await trio.sleep(_NOT_LISTED_PAUSE_S)
                 continue
             starting = trio.current_time() - self._started_at < self._policy.session_ttl / 2
@@ -68,7 +67,7 @@
                     await self._try_to_acquire(shard)
 
     def _is_listed(self) -> bool:
-        """Whether the store shows this process as its node's live one."""
+        """Return whether the replica holds the node record written by this process."""
         node = self._live_nodes.alive.get(self._identity.name)
         return (
             self._replica.revision >= 0
@@ -77,15 +76,20 @@
         )
 
     def _should_acquire(self, shard: ShardId, *, starting: bool) -> bool:
+        """Return whether this node is to acquire a shard now.
+
+        `starting`: whether less than half a session TTL has passed since this node started.
+        """
         names = self._live_nodes.names
         if preferred_leader(names, self._live_nodes.alive, shard) != self._identity.name:
             return False
         if self._leadership.token(shard) is not None:
             return False
-        # When all nodes start at once, each leaves the others time to appear.
+        # When all nodes start at once, each leaves the others' home shards to them at first.
         return not starting or leader_preference(names, shard)[0] == self._identity.name
 
     async def _try_to_acquire(self, shard: ShardId) -> None:
+        """Acquire a shard; log a failure and pause, since the next check retries it."""
         try:
             await self._acquire(shard)
         except (CompareFailed, LeaseExpired, StoreUnavailable) as error:
@@ -93,7 +97,7 @@
             await trio.sleep(_FAILED_ATTEMPT_PAUSE_S)
 
     async def _acquire(self, shard: ShardId) -> None:
-        """Compare-and-swap the shard's record, provided that our node record still stands."""
+        """Compare-and-swap the shard's record, provided that this node's record is unchanged."""
         key = keys.shard(shard)
         node_key = keys.node(self._identity.name)
         node_version = self._replica.version(node_key)
--- a/pitchtally/membership/format_negotiation.py
+++ b/pitchtally/membership/format_negotiation.py
@@ -1,4 +1,4 @@
-"""Opens the format gate once every configured member reads the present format."""
+"""Opening of the format gate once every configured member reads the current format."""
 
 from __future__ import annotations
 
@@ -23,26 +23,26 @@
 
 
 class Members(Protocol):
-    """The members of the cluster as this node sees them."""
+    """This node's view of the cluster's members."""
 
     @property
     def nodes(self) -> Sequence[str]:
-        """Every configured node."""
+        """Names of all configured nodes."""
 
     @property
     def alive(self) -> Mapping[str, NodeRecord]:
-        """The records of live nodes."""
+        """Records of the live nodes, by name."""
 
     @property
     def cluster_leader_token(self) -> FencingToken | None:
-        """Our token if this node is the cluster leader."""
+        """The cluster leader's fencing token, None if this node is not the cluster leader."""
 
     def replying_incarnations(self) -> dict[str, str]:
-        """The incarnation of each node that has replied of late."""
+        """Return the incarnation of each node that replied within a session TTL, by name."""
 
 
 class FormatNegotiation:
-    """The cluster leader's watch for the moment at which no earlier version runs any more."""
+    """Opens the gate from the cluster leader, once no member runs an earlier version."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         format_gate: FormatGate,
         interval: float,
     ):
-        """`interval`: seconds between two attempts."""
+        """Initialise; `interval` is the time between two attempts, in seconds."""
         self._members = members
         self._state_store = state_store
         self._replica = replica
@@ -60,7 +60,7 @@
         self._interval = interval
 
     async def run(self) -> None:
-        """Try to open the gate until it is open."""
+        """Retry until the gate is open."""
         while not self._gate.open:
             await trio.sleep(self._interval)
             try:
@@ -78,7 +78,7 @@
             members.nodes, members.alive, members.replying_incarnations()
         ):
             return
-        # A member that is replaced meanwhile has another record, and the write fails.
+        # If a member is replaced meanwhile, its record has another version and the commit fails.
         expected_versions = {
             keys.node(name): self._replica.version(keys.node(name)) for name in members.nodes
         }
--- a/pitchtally/membership/freshness.py
+++ b/pitchtally/membership/freshness.py
@@ -1,9 +1,9 @@
-"""What a controller may conclude from replies: pure functions of the replies and their age.
+"""Freshness rules: what a controller may conclude from replies, given their age.
 
-Silence proves nothing. What counts is a reply to a request of our own, and it counts from the
-moment at which we sent the request: whatever the reply holds was so at that moment or later,
-however long either was under way. A message that came on its own has no such moment; a
-network partition may have held it for minutes.
+The rules are pure functions. A missing reply proves nothing. A reply is as fresh as the time at
+which this node sent the request: its content was true at that time or later, however long request
+and reply took. An unsolicited message has no such lower bound, since a network partition may have
+delayed it for minutes.
 
 The deadlines that follow from these ages are in `config.timing`.
 """
@@ -13,34 +13,34 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-# The age, in seconds, that a controller tells which has not read the store since it started.
+# Reported as its replica's age by a controller that has not read the store since it started.
 NEVER_READ_AGE_S = 1e6
 
 
 @dataclass(frozen=True, slots=True)
 class PeerReply:
-    """A peer's reply to a heartbeat of ours; times in seconds."""
+    """A peer's reply to a heartbeat of this node; times and ages are in seconds."""
 
-    requested_at: float  # when we sent the heartbeat
-    store_age: float  # how old the peer's replica was as it replied
-    cancellations_age: float  # how long before its reply it last knew all cancellations
+    requested_at: float  # when this node sent the heartbeat
+    store_age: float  # age of the peer's replica when it replied
+    cancellations_age: float  # time from the peer's last verification of cancellations to its reply
 
     @property
     def has_read(self) -> bool:
-        """Whether the peer has read the store since it started."""
+        """Whether the peer has read the state store since it started."""
         return self.store_age < NEVER_READ_AGE_S
 
     @property
     def cancellations_verified_at(self) -> float:
-        """Up to when the peer knew every cancellation, at the least."""
+        """Lower bound of the time up to which the peer had received every cancellation."""
         return self.requested_at - self.cancellations_age
 
 
 def all_peers_requested_at(replies: Iterable[PeerReply | None]) -> float | None:
-    """When we had asked every peer, each of which then replied; None if one has not.
+    """Return the oldest send time among the last request that each peer answered.
 
-    A peer that has not read the store since it started does not know what its predecessor
-    confirmed or acquired, so its reply says nothing.
+    None if a peer has not replied, or has not read the store since it started: such a peer lacks
+    what its previous process confirmed or acquired, so its reply proves nothing.
     """
     collected = list(replies)
     if not collected or not all(reply is not None and reply.has_read for reply in collected):
@@ -49,12 +49,13 @@
 
 
 def cancellations_verified_until(replica_at: float, replies: Iterable[PeerReply | None]) -> float:
-    """Up to when no confirmed cancellation can be unknown to us.
+    """Return the time up to which this node has received every confirmed cancellation.
 
-    Our replica shows what was committed by `replica_at`. A peer's reply holds every
-    cancellation in its replica that is newer than ours: what it had verified, we have, so two
-    that cannot reach each other learn from the third. Without the store, all peers'
-    replies together suffice: each holds what it confirmed itself, and nobody else confirms.
+    The local replica holds everything committed by `replica_at`. A peer's reply holds every
+    cancellation in its replica that is newer than the local one, so what the peer had verified
+    holds here too; two nodes that cannot reach each other are thus updated through the third.
+    Without the store, replies of all peers together suffice: each reply holds what that peer
+    confirmed itself, and only controllers confirm cancellations.
     """
     collected = list(replies)
     verified = max(
@@ -72,10 +73,11 @@
 
 
 def leadership_verified_until(replica_at: float, replies: Iterable[PeerReply | None]) -> float:
-    """Up to when nobody else can have renewed a lease in a shard that we lead.
+    """Return the time up to which no other node can have renewed a lease in a shard led here.
 
-    Either the store showed the shard as ours, or every peer told the newest leader it knows of:
-    its predecessor's failovers too, since it has read the store after that one's end.
+    Either the store showed this node as the shard's leader, or every peer reported the newest
+    fencing token it has received. That includes failovers by the peer's previous process, since
+    the peer has read the store after that process ended.
     """
     requested_at = all_peers_requested_at(replies)
     return replica_at if requested_at is None else max(replica_at, requested_at)
--- a/pitchtally/membership/leadership.py
+++ b/pitchtally/membership/leadership.py
@@ -1,8 +1,8 @@
-"""Which node leads which shard, as the state store and fencing tokens show it.
+"""Shard leadership, derived from shard records in the state store and from fencing tokens.
 
 A node leads a shard if it wrote the newest version of the shard's record. That version is the
-fencing token which agents and the store compare, so both refuse a deposed leader, whatever its
-clock or its replica says.
+fencing token which agents and the store compare, so both reject a deposed leader regardless of
+its clock and its replica.
 """
 
 from __future__ import annotations
@@ -24,23 +24,26 @@
 
 
 class ShardListener(Protocol):
-    """Told of the shards that this node begins or ceases to lead."""
+    """Receives changes of this node's shard leadership."""
 
     def shard_acquired(self, shard: ShardId, token: FencingToken) -> None:
-        """This node leads the shard under the token; a newer token follows a `shard_lost`."""
+        """Handle that this node now leads the shard under the token.
+
+        `shard_lost` precedes each further call for the same shard.
+        """
 
     def shard_lost(self, shard: ShardId) -> None:
-        """This node does not lead the shard any more."""
+        """Handle that this node no longer leads the shard."""
 
 
 class NoShardListener:
-    """Stands in until a listener is connected."""
+    """Null listener, used until a real one is connected."""
 
     def shard_acquired(self, shard: ShardId, token: FencingToken) -> None:
-        """Ignored."""
+        """Do nothing."""
 
     def shard_lost(self, shard: ShardId) -> None:
-        """Ignored."""
+        """Do nothing."""
 
 
 class ShardLeadership:
@@ -52,8 +55,8 @@
         self.listener: ShardListener = NoShardListener()
         self._node = identity.name
         self._incarnation = identity.incarnation
-        self._newest_seen: dict[ShardId, FencingToken] = {}  # tokens that agents or peers told
-        self._announced: dict[ShardId, FencingToken] = {}  # what the listener was told last
+        self._newest_seen: dict[ShardId, FencingToken] = {}  # reported by agents or peers
+        self._announced: dict[ShardId, FencingToken] = {}  # last reported to the listener
         replica.listen(keys.SHARD_PREFIX, self._on_shard)
 
     def _on_shard(self, key: str, value: bytes | None, version: int) -> None:
@@ -65,7 +68,7 @@
         self.announce(shard)
 
     def announce(self, shard: ShardId) -> None:
-        """Tell the listener if this node's leadership of a shard has changed."""
+        """Notify the listener if this node's leadership of a shard has changed."""
         token = self.token(shard)
         if self._announced.get(shard) == token:
             return
@@ -79,7 +82,7 @@
             self.listener.shard_acquired(shard, token)
 
     def token(self, shard: ShardId) -> FencingToken | None:
-        """This node's fencing token for a shard, None if it is not the leader."""
+        """Return this node's fencing token for a shard, None if it is not the leader."""
         lease = self.leaders.get(shard)
         if lease is None:
             return None
@@ -89,7 +92,7 @@
         return lease.token if self._newest_seen.get(shard, 0) <= lease.token else None
 
     def leader(self, shard: ShardId) -> str | None:
-        """The node that leads a shard, as far as our replica shows."""
+        """Return the node that leads a shard according to the replica, None if there is none."""
         lease = self.leaders.get(shard)
         return lease.leader.node if lease is not None else None
 
@@ -99,7 +102,10 @@
         return self.token(CLUSTER_LEADER_SHARD)
 
     def observe_token(self, shard: ShardId, token: FencingToken) -> None:
-        """An agent or a peer knows this token: if it is newer than ours, we are deposed."""
+        """Record a token reported by an agent or a peer.
+
+        If it is newer than this node's own token, this node no longer leads the shard.
+        """
         if token > self._newest_seen.get(shard, 0):
             self._newest_seen[shard] = token
             self.announce(shard)
--- a/pitchtally/membership/membership.py
+++ b/pitchtally/membership/membership.py
@@ -1,4 +1,4 @@
-"""This node's membership of the cluster: its components composed, and what others ask of them."""
+"""Composition of this node's cluster membership, and the interface to it for other packages."""
 
 from __future__ import annotations
 
@@ -25,11 +25,12 @@
 
 
 class Membership:
-    """Which nodes live, which shards they lead, and what peers have told.
+    """The live nodes, the shard leaders, and communication with peers.
 
-    Composes the parts of this package; each loop is run, and each fact changed, by the part
-    that owns it. The methods that others call are the parts' own, bound once: agents'
-    heartbeats call some of them, so they cost no further call.
+    Composes the components of this package; each component runs its own loop and owns its state.
+    The methods that other packages call are the components' bound methods, assigned once as
+    attributes: some are called for every agent heartbeat, so a delegating method would add the
+    cost of a call.
     """
 
     def __init__(
@@ -56,7 +57,7 @@
         self._bind()
 
     def _build_peers(self, settings: Settings, policy: Policy) -> None:
-        """Build what talks to peers, and what is concluded from their replies."""
+        """Create the components for communication with peers and the freshness tracker."""
         group = PeerGroup(settings.members, settings.name, policy.session_ttl)
         self.peer_group = group
         self.peers = group.by_name
@@ -76,7 +77,7 @@
         )
 
     def _bind(self) -> None:
-        """Offer the parts' methods under this object's own names."""
+        """Assign the components' methods to attributes of this object."""
         self.nodes = self.live_nodes.names
         self.alive = self.live_nodes.alive
         self.token = self.leadership.token
@@ -103,7 +104,7 @@
         updates: PeerUpdates,
         handler: PeerRequestHandler,
     ) -> None:
-        """Connect what is told of shards and peers, and what answers peers; before any loop."""
+        """Connect listeners, the source of updates and the request handler before any loop runs."""
         self.leadership.listener = shards
         self.receiver.listener = peers
         self.composer.updates = updates
@@ -111,7 +112,7 @@
 
     @property
     def agents_unreachable(self) -> bool:
-        """Whether this node has told others that it cannot reach its agents."""
+        """Whether this node reports that it cannot reach its agents."""
         return self.session.agents_unreachable
 
     @property
@@ -120,7 +121,10 @@
         return self.token(CLUSTER_LEADER_SHARD)
 
     def verified_cluster_leader(self) -> FencingToken | None:
-        """The cluster leader's token, None as well if another may have acquired it by now.
+        """Return the cluster leader's fencing token if this node is verifiably the leader.
+
+        None if this node is not the leader, or if another node may have become the leader since
+        the last verification.
 
         The cloud API accepts no fencing token, so a deposed leader, or one that was paused,
         could launch and terminate machines alongside its successor.
@@ -131,5 +135,5 @@
         return self.cluster_leader_token
 
     def replying_incarnations(self) -> dict[str, str]:
-        """The incarnation of each node, ours included, that has replied within a session TTL."""
+        """Return incarnations: this node's and those of peers that replied within a session TTL."""
         return {**self.peer_group.replying_incarnations(), self.node_name: self.incarnation}
--- a/pitchtally/membership/messages.py
+++ b/pitchtally/membership/messages.py
@@ -1,10 +1,10 @@
 """Messages between controllers: tagged tuples in MessagePack.
 
-Fields go by their order, so a field may be renamed but not moved; a new one comes last and
-has a default, which keeps messages readable between neighbouring versions.
+Fields are encoded by position, so a field may be renamed but not moved. A new field is added at
+the end with a default, so that neighbouring versions can read each other's messages.
 
-Every message ends with the number of the call that it belongs to: the sender numbers its
-calls, and a reply repeats the number of the message that it answers.
+The last field of every message is a call number: the sender numbers its calls, and a reply
+repeats the number of the message that it answers.
 """
 
 from __future__ import annotations
@@ -20,25 +20,25 @@
 from ..protocol import user_api
 from ..state_store.identifiers import FencingToken, ShardId
 
-# The number of a call by a version that numbers nothing.
+# The call number decoded from messages of versions that do not number calls.
 UNNUMBERED = 0
 
 
 class MachineFlag(StrEnum):
-    """Why a machine is given no tasks; the values are those of earlier versions."""
+    """Why no tasks are placed on a machine; earlier versions use the same values."""
 
     USABLE = ""
-    NEW = "new"  # not recorded yet, or of a type not known yet
+    NEW = "new"  # not yet recorded, or its type is not yet in the machine catalog
     LOST = "lost"  # its lease has expired
-    SUSPECT = "unheard"  # recorded, no heartbeat since its shard was acquired
-    UNREACHABLE = "deaf"  # its heartbeats arrive, but our answers do not
+    SUSPECT = "unheard"  # recorded, but no heartbeat received since its shard was acquired
+    UNREACHABLE = "deaf"  # its heartbeats arrive, but responses do not reach it
     NOTICE = "notice"  # a spot instance that the cloud is about to preempt
     DRAINING = "drain"  # to be terminated once it is empty
-    QUARANTINED = "sick"  # tasks of several good jobs fail on it
+    QUARANTINED = "sick"  # tasks of several otherwise healthy jobs fail on it
 
 
 class MachineStatus(Struct, array_like=True):
-    """What peers and the cluster leader need to know of one machine."""
+    """The status of one machine, for peers and the cluster leader."""
 
     name: str
     type: str
@@ -48,7 +48,7 @@
     preemptible: Resources  # used by tasks of the lowest rank
     tasks: int
     idle_for: float  # seconds
-    flag: str  # a `MachineFlag`, or one of a later version
+    flag: str  # a `MachineFlag`, or a flag of a later version
     slow: float = 1.0
     over_guarantee: Resources = NO_RESOURCES  # used by teams over their guarantee
 
@@ -57,53 +57,53 @@
     """The availability matrix of a machine group; sent as an array."""
 
     group: str  # see `MachineGroupKey.text`
-    cells: list[list[list[int]]]  # tasks by stretch, size and task length
+    cells: list[list[list[int]]]  # task counts by stretch, task size and task duration
 
 
 class ShardStatus(Struct, array_like=True):
-    """What the leader of a shard tells its peers of it."""
+    """The status of a shard, sent by its leader to peers."""
 
     shard: int
     token: int
     reconciled: bool
     queued_seconds: float  # CPU-seconds of pending tasks
-    stretch: float  # the lowest of its machines
+    stretch: float  # lowest stretch of its machines
     machines: list[MachineStatus]
     matrix: list[GroupMatrix] = []
-    pending: dict[str, int] = {}  # job -> pending tasks
-    reserved_jobs: list[str] = []  # jobs that machines are kept free for
-    running: dict[str, int] = {}  # job -> tasks running
+    pending: dict[str, int] = {}  # job -> number of pending tasks
+    reserved_jobs: list[str] = []  # jobs for which machines are kept free
+    running: dict[str, int] = {}  # job -> number of running tasks
     reserved_machines: list[str] = []  # machines kept free
-    ready_gangs: list[str] = []  # gangs over several shards whose share fits here
+    ready_gangs: list[str] = []  # gangs across several shards whose part in this shard fits
     usage: dict[str, tuple[float, float]] = {}  # team -> CPUs and GPUs in use in this shard
 
 
 class Cancellation(Struct, array_like=True, frozen=True):
-    """A committed cancellation: all that a replica needs to show it."""
+    """A committed cancellation, with all that a replica needs to apply it."""
 
     job: str
     version: int  # of the job's record, as committed
     tasks: int
-    done: int  # tasks finished
+    done: int  # number of finished tasks
 
 
 class ShardToken(NamedTuple):
-    """The newest fencing token that the sender knows of a shard; sent as an array."""
+    """The newest fencing token of a shard in the sender's replica; sent as an array."""
 
     shard: ShardId
     token: FencingToken
 
 
 class PeerHeartbeat(Struct, array_like=True, tag="heartbeat"):
-    """What a node knows, sent to each peer and returned as the reply."""
+    """A node's state, sent to each peer and returned as the reply."""
 
     node: str
     incarnation: str
-    number: int  # orders the heartbeats of one incarnation
+    number: int  # increases with each heartbeat of one incarnation
     revision: int  # the revision that the sender's replica covers
-    store_age: float  # of the sender's replica, seconds
-    cancellations_age: float  # seconds since the sender knew all cancellations
-    cancellations: list[Cancellation]  # that the receiver's replica cannot show yet
+    store_age: float  # age of the sender's replica, in seconds
+    cancellations_age: float  # seconds since the sender last verified cancellations
+    cancellations: list[Cancellation]  # newer than the receiver's replica
     shards: list[ShardStatus]
     terminated: list[str]  # machines that the cloud has confirmed as terminated
     draining: list[str]  # machines to be drained
@@ -112,14 +112,14 @@
 
 
 class Cancelled(Struct, array_like=True, tag="cancelled"):
-    """A job was cancelled just now; sent once, for speed."""
+    """A new cancellation; sent once, ahead of the next heartbeat."""
 
     cancellation: Cancellation
     call: int = UNNUMBERED
 
 
 class Forward(Struct, array_like=True, tag="forward"):
-    """A user's request, from a node that cannot reach the state store to one that can."""
+    """A user's request, forwarded by a node that cannot reach the state store to one that can."""
 
     method: str
     path: str
@@ -128,7 +128,7 @@
 
 
 class Forwarded(Struct, array_like=True, tag="forwarded"):
-    """A peer's response to a user's request."""
+    """The response to a forwarded user's request."""
 
     status: int
     body: bytes
@@ -137,14 +137,14 @@
 
 
 class ScheduleRequest(Struct, array_like=True, tag="split"):
-    """A job that no shard of the accepting controller keeps: the cluster leader is to place it."""
+    """A request to the cluster leader to place a job that stays in no shard of the sender."""
 
     spec: user_api.JobSpec
     call: int = UNNUMBERED
 
 
 class ScheduleReply(Struct, array_like=True, tag="split_answer"):
-    """Where the cluster leader places the job; no ranges if it cannot tell yet."""
+    """Where the cluster leader places the job; no ranges if it cannot decide yet."""
 
     ranges: list[TaskRange]
     zone: str | None = None
--- a/pitchtally/membership/nodes.py
+++ b/pitchtally/membership/nodes.py
@@ -1,4 +1,4 @@
-"""Controllers as the state store shows them: one record for each that holds a session lease."""
+"""Node records in the state store: one for each controller that holds a session lease."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
     """The record of a live node, bound to its session lease."""
 
     incarnation: str
-    # Reaches the store but not its machines. Stored under the name of earlier versions.
+    # The node reaches the store but not its agents. The stored name is that of earlier versions.
     agents_unreachable: bool = msgspec.field(default=False, name="deaf")
-    reads: int = FIRST_FORMAT  # the newest stored format that it can read
+    reads: int = FIRST_FORMAT  # the newest stored format that the node can read
 
 
 _decode_node = msgspec.json.Decoder(NodeRecord).decode
@@ -30,31 +30,32 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeIdentity:
-    """Which node this is, and which process of it."""
+    """A node, and the process that runs as this node."""
 
     name: str
     incarnation: str
 
     @classmethod
     def of_new_process(cls, name: str) -> NodeIdentity:
-        """An identity that no earlier process of the node had.
+        """Return an identity that no earlier process of the node had.
 
-        Unlike a time or a counter, a random number cannot repeat after a restart without a disk.
+        The incarnation is random: a time or a counter could repeat after a restart without a
+        disk.
         """
         number = random.SystemRandom().getrandbits(_INCARNATION_BITS)
         return cls(name, f"{number:016x}")
 
 
 class LiveNodes:
-    """The records of all live nodes, followed from the state store."""
+    """The records of all live nodes, kept up to date from the replica."""
 
     def __init__(
         self, names: Sequence[str], replica: Replica, share_rate_limits: Callable[[int], None]
     ):
-        """`names`: every configured node.
+        """Initialise with the names of all configured nodes.
 
-        `share_rate_limits` is told how many nodes share the store's rate limits, whenever one
-        appears or vanishes.
+        `share_rate_limits` is called with the number of nodes that share the store's rate limits
+        whenever a node record changes.
         """
         self.names = names
         self.alive: dict[str, NodeRecord] = {}
@@ -66,5 +67,5 @@
             self.alive.pop(name, None)
         else:
             self.alive[name] = _decode_node(value)
-        # A node that is starting is not listed yet, so at least one share is left for it.
+        # A starting node has no record yet, so one share is reserved for it.
         self._share_rate_limits(min(len(self.names), len(self.alive) + 1))
--- a/pitchtally/membership/pause_detector.py
+++ b/pitchtally/membership/pause_detector.py
@@ -1,4 +1,4 @@
-"""Detects that this process was paused: descheduled, swapped out, or its machine suspended."""
+"""Detection of pauses of this process: descheduled, swapped out, or its machine suspended."""
 
 from __future__ import annotations
 
@@ -14,21 +14,22 @@
 
 
 class PauseDetector:
-    """Knows when this process last resumed after a pause."""
+    """Detects pauses of this process from late periodic checks."""
 
     def __init__(self, heartbeat_interval: float, call_timeout: float):
-        """A pause is a check that comes more than `call_timeout` seconds late."""
+        """Initialise; a check that is more than `call_timeout` seconds late indicates a pause."""
         self._check_interval = heartbeat_interval / _CHECKS_PER_HEARTBEAT
         self._max_gap = self._check_interval + call_timeout
         self._checked_at = trio.current_time()
         self._resumed_at = LONG_AGO
 
     def resumed_at(self) -> float:
-        """When this process last resumed after a pause; steady clock, seconds.
+        """Return when this process last resumed after a pause, in seconds of the steady clock.
 
-        Its clocks ran on, and all its timers fire at once: nothing received before counts as
-        fresh, and nobody was silent only because we did not listen. Whoever asks first
-        after a pause detects it, whatever the order in which tasks are resumed.
+        During a pause clocks advance, and afterwards all overdue timers fire at once. So nothing
+        received before a pause counts as fresh, and messages missing during it are no sign that
+        their senders failed. The first call after a pause detects it, in whatever order tasks
+        are resumed.
         """
         now = trio.current_time()
         if now - self._checked_at > self._max_gap:
@@ -37,7 +38,7 @@
         return self._resumed_at
 
     async def run(self) -> None:
-        """Detect pauses also when nobody asks."""
+        """Check for pauses periodically, besides the checks made by callers."""
         self._checked_at = trio.current_time()
         while True:
             await trio.sleep(self._check_interval)
--- a/pitchtally/membership/session.py
+++ b/pitchtally/membership/session.py
@@ -1,4 +1,4 @@
-"""This node's session lease, and its own record, which the store removes with the lease."""
+"""This node's session lease, and its node record, which the store removes with the lease."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 log = logging.getLogger(__name__)
 
-# Of the lease's time to live.
+# Intervals as shares of the lease's time to live.
 _RENEWAL_INTERVAL_SHARE = 1 / 3
 _RETRY_INTERVAL_SHARE = 1 / 20
 
 
 class Session:
-    """Keeps the session lease, and the node record that is bound to it."""
+    """Keeps the session lease and the node record bound to it up to date."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         replica: Replica,
         ttl: float,
     ):
-        """`ttl`: seconds that the lease lives on without a renewal."""
+        """Initialise; `ttl` is the time to live of a lease that is not renewed, in seconds."""
         self._identity = identity
         self._live_nodes = live_nodes
         self._state_store = state_store
@@ -43,17 +43,20 @@
         self.agents_unreachable = False
 
     def set_agents_unreachable(self, unreachable: bool) -> None:
-        """Let other nodes acquire our shards while our agents cannot be reached."""
+        """Set whether this node's agents are unreachable.
+
+        While they are, other nodes should acquire its shards.
+        """
         if unreachable != self.agents_unreachable:
             self.agents_unreachable = unreachable
             log.info("agents %s", "unreachable" if unreachable else "reachable again")
 
     def own_record(self) -> NodeRecord:
-        """The record of this node as it should stand in the store."""
+        """Return the record of this node as it should be stored."""
         return NodeRecord(self._identity.incarnation, self.agents_unreachable, CURRENT_FORMAT)
 
     async def run(self) -> None:
-        """Keep the lease alive and the record up to date."""
+        """Renew the lease and update the record periodically."""
         while True:
             try:
                 up_to_date = await self._renew()
@@ -61,30 +64,34 @@
                 self._lease = None
                 continue
             except CompareFailed:
-                # The watch has yet to show what is there: a predecessor's record, or its end.
+                # The replica lags: the watch has yet to deliver a record of the previous process,
+                # or its removal.
                 up_to_date = False
             except StoreUnavailable as error:
-                log.debug("lease not kept: %s", error)
+                log.debug("session lease not renewed: %s", error)
                 up_to_date = False
             await trio.sleep(
                 self._ttl * (_RENEWAL_INTERVAL_SHARE if up_to_date else _RETRY_INTERVAL_SHARE)
             )
 
     async def _renew(self) -> bool:
-        """Renew the lease and write the record if it changed; False if it is to be tried soon."""
+        """Renew the lease, and write the record if it changed.
+
+        Returns False if the replica is not loaded yet, so that the caller retries soon.
+        """
         if self._lease is None:
             self._lease = await self._state_store.grant_lease(self._ttl)
         else:
             await self._state_store.renew_lease(self._lease)
         if self._replica.revision < 0:
-            # What stands in our place, if anything, is not known yet.
+            # The version of the stored record is not known yet.
             return False
         if self._live_nodes.alive.get(self._identity.name) != self.own_record():
             await self._write_record(self._lease)
         return True
 
     async def _write_record(self, lease: int) -> None:
-        """Compare-and-swap our record, so that a late write of ours changes nothing."""
+        """Compare-and-swap the node record, so that a write executed late changes nothing."""
         key = keys.node(self._identity.name)
         changes = [Write(key, msgspec.json.encode(self.own_record()), lease)]
         revision = await self._state_store.commit(
--- a/pitchtally/membership/shards.py
+++ b/pitchtally/membership/shards.py
@@ -1,7 +1,7 @@
-"""Shards of the fleet: the record of a shard's leader, and who should lead which.
+"""Shards: assignment of machines to shards, the shard leader's record, preferred leaders.
 
-A machine belongs to the shard that its name gives, so every controller agrees on it without
-asking. Each shard has a home node, and an order in which other nodes stand in for it.
+A machine's shard follows from its name alone, so all controllers agree on it without
+communication. Each shard has a home node, and an order in which other nodes replace it.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 from ..state_store.identifiers import FencingToken, ShardId
 from .nodes import NodeRecord
 
-# Whoever leads this shard is the cluster leader.
+# The leader of this shard is the cluster leader.
 CLUSTER_LEADER_SHARD: ShardId = 0
 
-# Longer numbers may not fit the integers of other languages, so they are treated as text.
+# Longer numbers may exceed the integers of other languages, so they are treated as text.
 _MAX_NUMBER_DIGITS = 18
 
 
 class ShardLeader(Struct, frozen=True):
-    """The stored record of a shard: which process of which node leads it."""
+    """The stored record of a shard: the node that leads it, and the node's incarnation."""
 
     node: str
     incarnation: str
@@ -30,16 +30,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ShardLease:
-    """A shard's leader with the fencing token that its record's version gives it."""
+    """A shard's leader, and the version of its record, which is the fencing token."""
 
     leader: ShardLeader
     token: FencingToken
 
 
 def shard_of(machine: str, count: int) -> ShardId:
-    """The shard, of `count`, to which a machine belongs.
+    """Return the shard, out of `count`, to which a machine belongs.
 
-    The number at the end of its name decides; any other name is spread by its bytes.
+    It is the number at the end of the name modulo `count`; for a name without one, the sum of
+    its bytes takes the place of the number.
     """
     digits = machine.rpartition("-")[2]
     numbered = digits.isdigit() and len(digits) <= _MAX_NUMBER_DIGITS
@@ -48,7 +49,7 @@
 
 
 def leader_preference(nodes: Sequence[str], shard: ShardId) -> list[str]:
-    """The order in which nodes should lead a shard: its home first."""
+    """Return the nodes in the order in which they should lead a shard, its home node first."""
     start = shard % len(nodes)
     return [*nodes[start:], *nodes[:start]]
 
@@ -56,9 +57,9 @@
 def preferred_leader(
     nodes: Sequence[str], alive: Mapping[str, NodeRecord], shard: ShardId
 ) -> str | None:
-    """The live node that should lead a shard, None if no node lives.
+    """Return the live node that should lead a shard, None if no node is live.
 
-    A node that cannot reach its agents leads only if nobody else can.
+    A node that cannot reach its agents is chosen only if no other live node can reach its own.
     """
     order = leader_preference(nodes, shard)
     for accept_unreachable in (False, True):
