--- a/pitchtally/membership/freshness.py
+++ b/pitchtally/membership/freshness.py
@@ -73,7 +73,7 @@
 
 
 def leadership_verified_until(replica_at: float, replies: Iterable[PeerReply | None]) -> float:
-    """Return the time up to which no other node can have renewed a lease in a shard led here.
+    """Return the time up to which only this node can have renewed leases in its shards.
 
     Either the store showed this node as the shard's leader, or every peer reported the newest
     fencing token it has received. That includes failovers by the peer's previous process, since
--- a/pitchtally/membership/messages.py
+++ b/pitchtally/membership/messages.py
@@ -137,7 +137,7 @@
 
 
 class ScheduleRequest(Struct, array_like=True, tag="split"):
-    """A request to the cluster leader to place a job that stays in no shard of the sender."""
+    """A request to the cluster leader to place a job that the sender placed in no own shard."""
 
     spec: user_api.JobSpec
     call: int = UNNUMBERED
--- a/pitchtally/membership/peers/freshness_tracker.py
+++ b/pitchtally/membership/peers/freshness_tracker.py
@@ -1,4 +1,4 @@
-"""How fresh this node's knowledge is, and what it may still do on it."""
+"""Freshness of this node's data, and the actions that it still permits."""
 
 from __future__ import annotations
 
@@ -16,7 +16,8 @@
 class FreshnessTracker:
     """Applies the rules of `freshness` to this node's replica and its peers' replies.
 
-    What was once verified stays so, also when whoever told it has ended: both times only grow.
+    What was verified once stays verified after the peer that reported it has ended, so both
+    times only increase.
     """
 
     def __init__(self, replica: Replica, peers: Mapping[str, Peer], policy: Policy):
@@ -27,13 +28,13 @@
         self._leadership_verified_at = LONG_AGO
 
     def cancellations_verified_at(self) -> float:
-        """Up to when no confirmed cancellation can be unknown to this node."""
+        """Return the time up to which this node has received every confirmed cancellation."""
         verified = cancellations_verified_until(self._replica.verified_at, self._replies())
         self._cancellations_verified_at = max(self._cancellations_verified_at, verified)
         return self._cancellations_verified_at
 
     def leadership_verified_at(self) -> float:
-        """Up to when nobody else can have renewed an agent's lease in a shard that we lead."""
+        """Return the time up to which only this node can have renewed leases in its shards."""
         verified = leadership_verified_until(self._replica.verified_at, self._replies())
         self._leadership_verified_at = max(self._leadership_verified_at, verified)
         return self._leadership_verified_at
@@ -42,17 +43,17 @@
         return [peer.last_reply for peer in self._peers.values()]
 
     def may_start_tasks(self) -> bool:
-        """Whether cancellations were verified recently enough to start tasks.
+        """Return whether cancellations were verified recently enough to start tasks.
 
-        Renewing a lease on older knowledge is safe within `max_evidence_age`, since a task that
-        was cancelled meanwhile still ends in time. A start is not: users are told that no task
-        of a cancelled job begins any more. After a session TTL without any news a shard has,
-        or soon will have, another leader, and a start here would be wasted anyway.
+        Renewing a lease on older data is safe within `max_evidence_age`, since a task that was
+        cancelled meanwhile still ends in time. Starting a task is not: the API guarantees that
+        no task of a cancelled job starts any more. A session TTL after the last verification a
+        shard has, or soon gets, another leader, so a task started here would be wasted anyway.
         """
         age = trio.current_time() - self.cancellations_verified_at()
         return age <= self._policy.session_ttl
 
     def cancellations_stale(self) -> bool:
-        """Whether a cancellation may be unknown to us for too long to renew agents' leases."""
+        """Return whether cancellations were verified too long ago to renew agents' leases."""
         age = trio.current_time() - self.cancellations_verified_at()
         return age > self._policy.max_evidence_age
--- a/pitchtally/membership/peers/heartbeats.py
+++ b/pitchtally/membership/peers/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats between controllers: composed, exchanged, and taken in."""
+"""Peer heartbeats: composition, exchange and reception."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         self._last_number = 0
 
     def compose(self, revision: int) -> PeerHeartbeat:
-        """Our heartbeat for a peer whose replica covers that revision."""
+        """Return a heartbeat for a peer whose replica covers a revision."""
         self._last_number += 1
         now = trio.current_time()
         identity = self._leadership.identity
@@ -51,7 +51,7 @@
 
 
 class HeartbeatReceiver:
-    """Takes in peers' heartbeats, whether they came on their own or as a reply."""
+    """Processes peers' heartbeats, both requests and replies."""
 
     def __init__(self, peers: PeerGroup, leadership: ShardLeadership, live_nodes: LiveNodes):
         self.listener: PeerListener = NoPeerListener()
@@ -60,15 +60,19 @@
         self._live_nodes = live_nodes
 
     def receive(self, heartbeat: PeerHeartbeat, requested_at: float | None) -> None:
-        """Take in a heartbeat; `requested_at`: when we asked for it, None if we did not."""
+        """Process a heartbeat.
+
+        `requested_at` is when this node sent the request that the heartbeat answers, None if the
+        heartbeat is itself a request.
+        """
         peer = self._peers.by_name.get(heartbeat.node)
         if peer is None:
             return
-        # Tokens and cancellations are committed: true however late they come.
+        # Tokens and cancellations are committed, so they are valid however late they arrive.
         for shard, token in heartbeat.tokens:
             own_token = self._leadership.token(shard)
             if own_token is not None and token > own_token:
-                # Our replica is behind, or cut off from the store.
+                # The local replica lags, or cannot reach the store.
                 self._leadership.observe_token(shard, token)
         for cancellation in heartbeat.cancellations:
             self.listener.cancellation_received(cancellation)
@@ -78,7 +82,7 @@
 
 
 class HeartbeatExchange:
-    """Sends heartbeats to peers, and takes in those that they reply with."""
+    """Sends heartbeats to peers, and processes the heartbeats returned as replies."""
 
     def __init__(
         self,
@@ -87,20 +91,21 @@
         receiver: HeartbeatReceiver,
         interval: float,
     ):
-        """`interval`: seconds between two heartbeats to a peer, the reply's time apart."""
+        """Initialise; `interval` is the pause after each exchange with a peer, in seconds."""
         self._transport = transport
         self._composer = composer
         self._receiver = receiver
         self._interval = interval
 
     async def run(self, peer: Peer) -> None:
-        """Exchange heartbeats with one peer, once per interval."""
+        """Exchange heartbeats with one peer, pausing for an interval after each exchange."""
         while True:
             requested_at = trio.current_time()
             reply = await self._transport.send(peer, self._composer.compose(peer.revision))
             if isinstance(reply, PeerHeartbeat) and reply.node == peer.name:
                 self._receiver.receive(reply, requested_at)
-                # Only now: what it tells is known here from this moment on.
+                # Set only after processing: the freshness derived from a reply requires that the
+                # reply's content has been applied.
                 peer.last_reply = PeerReply(requested_at, reply.store_age, reply.cancellations_age)
                 peer.statuses_sent_at = requested_at
             await trio.sleep(self._interval)
--- a/pitchtally/membership/peers/listener.py
+++ b/pitchtally/membership/peers/listener.py
@@ -1,4 +1,4 @@
-"""What peers' messages reach in this controller: typed interfaces in place of callbacks."""
+"""Interfaces between peer communication and the rest of the controller."""
 
 from __future__ import annotations
 
@@ -10,56 +10,56 @@
 
 
 class PeerListener(Protocol):
-    """Told of what peers know."""
+    """Receives data from peers."""
 
     def cancellation_received(self, cancellation: Cancellation) -> None:
-        """A committed cancellation, perhaps known already."""
+        """Handle a committed cancellation; it may have been received before."""
 
     def heartbeat_received(self, heartbeat: PeerHeartbeat) -> None:
-        """A heartbeat newer than all that this peer's were before."""
+        """Handle a heartbeat that is newer than all earlier ones of its sender."""
 
 
 class PeerUpdates(Protocol):
-    """What is piggybacked on our heartbeats."""
+    """Source of the updates piggybacked on this node's heartbeats."""
 
     def add_updates(self, heartbeat: PeerHeartbeat, revision: int) -> None:
-        """Fill in what a peer is to know whose replica covers that revision."""
+        """Add the updates for a peer whose replica covers a revision."""
 
 
 class PeerRequestHandler(Protocol):
-    """Answers what peers ask for."""
+    """Answers requests from peers."""
 
     def plan_job(self, spec: user_api.JobSpec) -> ScheduleReply:
-        """Where the cluster leader places a job."""
+        """Return where the cluster leader places a job."""
 
     async def serve_forwarded(self, request: Request) -> Response:
-        """Answer a user's request that a peer without the state store passes on."""
+        """Answer a user's request forwarded by a peer that cannot reach the state store."""
 
 
 class NoPeerListener:
-    """Stands in until a listener is connected."""
+    """Null listener, used until a real one is connected."""
 
     def cancellation_received(self, cancellation: Cancellation) -> None:
-        """Ignored."""
+        """Do nothing."""
 
     def heartbeat_received(self, heartbeat: PeerHeartbeat) -> None:
-        """Ignored."""
+        """Do nothing."""
 
 
 class NoPeerUpdates:
-    """Stands in until the source of updates is connected."""
+    """Null source of updates, used until a real one is connected."""
 
     def add_updates(self, heartbeat: PeerHeartbeat, revision: int) -> None:
-        """Nothing to add."""
+        """Add nothing."""
 
 
 class NoPeerRequestHandler:
-    """Stands in until a handler is connected."""
+    """Null handler, used until a real one is connected."""
 
     def plan_job(self, spec: user_api.JobSpec) -> ScheduleReply:
-        """Nothing is placed."""
+        """Return a reply without placements."""
         return ScheduleReply([])
 
     async def serve_forwarded(self, request: Request) -> Response:
-        """Not in service yet."""
+        """Respond that this controller is not in service yet (503)."""
         return Response(503, b"")
--- a/pitchtally/membership/peers/peer.py
+++ b/pitchtally/membership/peers/peer.py
@@ -1,4 +1,4 @@
-"""What a controller knows of another one, and how old that knowledge is."""
+"""Per-peer state: the last reply, its age, and the order of heartbeats."""
 
 from __future__ import annotations
 
@@ -15,33 +15,34 @@
 
 
 class Peer:
-    """Another controller: its last reply, and the order of its heartbeats."""
+    """Another controller: its last reply, and the newest heartbeat accepted from it."""
 
     def __init__(self, name: str, address: str):
         self.name = name
         self.address = host_port(address)
-        self.last_reply: PeerReply | None = None  # to a heartbeat of ours
-        self.statuses_sent_at = LONG_AGO  # when it last had our statuses, as it replied
-        self.failure = ""  # of the last call; empty if it succeeded
+        self.last_reply: PeerReply | None = None  # to a heartbeat of this node
+        self.statuses_sent_at = LONG_AGO  # send time of the last heartbeat that it answered
+        self.failure = ""  # error of the last call; empty if it succeeded
         self.incarnation = ""
         self.incarnation_known_at = LONG_AGO
-        self.heartbeat_number = _NO_HEARTBEAT  # of the newest heartbeat taken in
-        self.revision = -1  # the revision that its replica covers
+        self.heartbeat_number = _NO_HEARTBEAT  # number of the newest accepted heartbeat
+        self.revision = -1  # revision that the peer's replica covers
 
     @property
     def last_heartbeat_at(self) -> float:
-        """When we sent the newest heartbeat of ours that it replied to."""
+        """Send time of this node's newest heartbeat that the peer answered."""
         return LONG_AGO if self.last_reply is None else self.last_reply.requested_at
 
     def accept_newer(
         self, heartbeat: PeerHeartbeat, requested_at: float | None, listed_incarnation: str
     ) -> bool:
-        """Take in a heartbeat if it is newer than all before it; False if it is not.
+        """Accept a heartbeat and return True if it is newer than all earlier ones of the peer.
 
-        A partition may hold one back and deliver it after newer ones, of the next incarnation
-        too. Which of two incarnations is the later, the store can tell, or a reply to a
-        request that we sent at `requested_at`, when we knew of the other. Whatever is taken for
-        the later by mistake is put right by the next reply.
+        A partition may delay a heartbeat and deliver it after newer ones, even after some of the
+        next incarnation. Of two incarnations the newer is the one recorded in the store
+        (`listed_incarnation`), or the one that answers a request sent at `requested_at`, after
+        the other had been seen. An older incarnation accepted by mistake is corrected by the
+        next reply.
         """
         if heartbeat.incarnation != self.incarnation:
             requested_since = requested_at is not None and requested_at > self.incarnation_known_at
@@ -57,7 +58,7 @@
 
 
 class PeerGroup:
-    """All peers of this node, and what their last replies say of them together."""
+    """All peers of this node, and conclusions from their last replies."""
 
     def __init__(self, members: Iterable[Member], own_name: str, session_ttl: float):
         self.by_name: Mapping[str, Peer] = {
@@ -68,7 +69,7 @@
         self._session_ttl = session_ttl
 
     def replying_incarnations(self) -> dict[str, str]:
-        """The incarnation of each peer that has replied within a session TTL."""
+        """Return the incarnation of each peer that replied within a session TTL, by name."""
         oldest_recent = trio.current_time() - self._session_ttl
         return {
             name: peer.incarnation
@@ -77,13 +78,16 @@
         }
 
     def is_isolated(self) -> bool:
-        """Whether no peer has replied within a session TTL: others may well be in service."""
+        """Return whether no peer replied within a session TTL.
+
+        The peers may still be in service without this node. False if there are no peers.
+        """
         oldest_recent = trio.current_time() - self._session_ttl
         peers = self.by_name.values()
         return bool(peers) and all(peer.last_heartbeat_at < oldest_recent for peer in peers)
 
     def with_state_store(self) -> Peer | None:
-        """A peer that reached the state store within a session TTL, as it told itself."""
+        """Return a peer that reported contact with the store within a session TTL, if any."""
         now = trio.current_time()
         for peer in self.by_name.values():
             reply = peer.last_reply
--- a/pitchtally/membership/peers/requests.py
+++ b/pitchtally/membership/peers/requests.py
@@ -1,4 +1,4 @@
-"""What this controller asks of its peers, besides heartbeats."""
+"""Requests from this controller to its peers, besides heartbeats."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 RETRY_SOON = [("Retry-After", "1")]
 
-# Of all connections: users' requests that one node forwards at a time.
+# Limit of users' requests that this node forwards at a time, as a share of its connections.
 _FORWARDED_CONNECTION_SHARE = 1 / 80
 _MIN_FORWARDED_REQUESTS = 2
-# Of a call's timeout: how long a user waits for the cluster leader to place a job.
+# Timeout for placement by the cluster leader, which a user waits for, as a share of a call's.
 _SCHEDULE_TIMEOUT_SHARE = 1 / 4
 
 
@@ -39,19 +39,23 @@
         max_connections: int,
         call_timeout: float,
     ):
-        """`call_timeout`: seconds; `max_connections`: of this process, all purposes together."""
+        """Initialise; `call_timeout` is in seconds, `max_connections` the limit of this process."""
         self._transport = transport
         self._peers = peers
         self._leadership = leadership
         self._schedule_timeout = call_timeout * _SCHEDULE_TIMEOUT_SHARE
-        # Forwarded requests must leave connections to heartbeats: a flood of them made peers
-        # refuse each other for as long as it took to notice that all are partitioned.
+        # Forwarded requests must leave connections free for heartbeats: without the limit, a
+        # flood of them made peers refuse each other's connections until they detected that all
+        # of them are partitioned.
         self._forwarding = trio.CapacityLimiter(
             max(_MIN_FORWARDED_REQUESTS, int(max_connections * _FORWARDED_CONNECTION_SHARE))
         )
 
     async def forward(self, request: Request) -> Response | None:
-        """Let a peer answer a user while this node alone is cut off from the state store."""
+        """Forward a user's request to a peer that reaches the state store.
+
+        None if no such peer is available, or if it does not reply.
+        """
         peer = self._peers.with_state_store()
         if peer is None:
             return None
@@ -67,11 +71,12 @@
         return Response(reply.status, reply.body, headers)
 
     async def request_schedule(self, spec: user_api.JobSpec) -> ScheduleReply | None:
-        """Ask the cluster leader where a job goes, so that its acceptance can say so.
+        """Request a job's placement from the cluster leader, to store it with the accepted job.
 
-        Without it the leader would have to write the record once more, and writes are
-        scarce: one small job after the other used up the leader's share of them. None if
-        we lead ourselves, or if the leader does not reply at once; it will find the job.
+        Otherwise the leader would have to write the job's record a second time, and writes are
+        rate-limited: a series of small jobs used up the leader's share of them. None if this
+        node is the cluster leader, if no leader can be reached, or if it does not reply in time;
+        the leader then places the job once its replica shows it.
         """
         leader = self._peers.by_name.get(self._leadership.leader(CLUSTER_LEADER_SHARD) or "")
         if leader is None or leader.failure:
@@ -82,9 +87,10 @@
         return None
 
     async def broadcast_cancellation(self, cancellation: Cancellation) -> None:
-        """Tell all peers: leaders that lost only the store must still stop the job's tasks.
+        """Send a cancellation to all peers.
 
-        Sent once, for speed alone: each heartbeat repeats it until the peer's own replica
+        A shard leader that cannot reach the store must still stop the job's tasks. The message is
+        sent once, only to save time: heartbeats repeat the cancellation until the peer's replica
         covers it, and a leader that receives none of them stops renewing leases.
         """
         async with trio.open_nursery() as nursery:
--- a/pitchtally/membership/peers/server.py
+++ b/pitchtally/membership/peers/server.py
@@ -1,4 +1,4 @@
-"""Answers the messages of peers."""
+"""Handler of messages from peers."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 from .listener import NoPeerRequestHandler, PeerRequestHandler
 from .peer import PeerGroup
 
-# Heartbeat intervals after which a peer that had our statuses is due for them again.
+# Replies to a peer include this node's statuses once it has received none for this many intervals.
 _STATUSES_DUE_INTERVALS = 1.5
 
 
 class PeerServer:
-    """Takes in each message of a peer, and replies to it."""
+    """Processes each message from a peer and replies to it."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         receiver: HeartbeatReceiver,
         heartbeat_interval: float,
     ):
-        """`heartbeat_interval`: seconds between two heartbeats of ours to a peer."""
+        """Initialise; `heartbeat_interval` is the time between heartbeats to a peer, in seconds."""
         self.handler: PeerRequestHandler = NoPeerRequestHandler()
         self._peers = peers
         self._composer = composer
@@ -43,7 +43,7 @@
         self._statuses_due_after = heartbeat_interval * _STATUSES_DUE_INTERVALS
 
     async def serve(self, request: Request) -> Response:
-        """Answer a message of a peer; status 400 if it cannot be read."""
+        """Answer a message from a peer; respond with status 400 if it cannot be decoded."""
         try:
             message: Message = decode(request.body)
         except msgspec.MsgspecError:
@@ -65,15 +65,15 @@
 
     def _reply_to_heartbeat(self, message: PeerHeartbeat) -> PeerHeartbeat:
         self._receiver.receive(message, None)
-        # What it needs rests on its own words, not on what we remember of it: the reply
-        # holds every cancellation newer than the replica that it had as it asked.
+        # The reply depends on the revision in the message, not on the one recorded for the peer:
+        # it holds every cancellation newer than the replica that the peer had when it sent it.
         reply = self._composer.compose(message.revision)
         peer = self._peers.by_name.get(message.node)
         if peer is not None:
             since_statuses = trio.current_time() - peer.statuses_sent_at
             if since_statuses < self._statuses_due_after:
-                # Our own heartbeats bring it our statuses, by far the most of a message;
-                # where they are refused, this reply must.
+                # This node's own heartbeats deliver the statuses, by far the largest part of a
+                # message. If the peer does not accept those heartbeats, this reply must.
                 reply.shards = []
         return reply
 
--- a/pitchtally/membership/peers/transport.py
+++ b/pitchtally/membership/peers/transport.py
@@ -1,4 +1,4 @@
-"""Calls to peers: one message, and the reply that repeats its number."""
+"""Calls to peers: a message is sent, and the reply repeats its call number."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 
 class PeerTransport:
-    """Sends messages to peers, and matches replies to them by number."""
+    """Sends messages to peers, and checks that replies carry the same call number."""
 
     def __init__(self, call_timeout: float):
-        """`call_timeout`: seconds that a peer may take to reply."""
+        """Initialise; `call_timeout` is the time that a peer may take to reply, in seconds."""
         self._client = Client(max_idle_per_address=_CONNECTIONS_PER_PEER)
         self._call_timeout = call_timeout
         self._last_call_number = 0
 
     async def send(self, peer: Peer, message: Message) -> Message | None:
-        """Send one message to a peer; its reply, or None without a usable one."""
+        """Send a message to a peer and return its reply, None without a usable reply."""
         self._last_call_number += 1
         try:
             reply = await self._call(peer, message, self._last_call_number)
@@ -36,7 +36,9 @@
             self._client.drop(peer.address)
             if not peer.failure:
                 log.info(
-                    "peer fails peer=%s cause=%s", peer.name, str(error)[:_LOGGED_CAUSE_LENGTH]
+                    "peer call failed peer=%s cause=%s",
+                    peer.name,
+                    str(error)[:_LOGGED_CAUSE_LENGTH],
                 )
             peer.failure = str(error)
             return None
@@ -46,7 +48,10 @@
         return reply
 
     async def _call(self, peer: Peer, message: Message, call: int) -> Message:
-        """The reply to a message that is sent under this number; raises if there is none."""
+        """Send a message under a call number and return the reply.
+
+        Raises `HttpError` or `msgspec.MsgspecError` without a usable reply.
+        """
         body = encode(msgspec.structs.replace(message, call=call))
         response = await self._client.call(
             peer.address, "POST", PEER_PATH, body, timeout=self._call_timeout
@@ -55,5 +60,5 @@
             raise HttpError(f"status {response.status}")
         reply: Message = decode(response.body)
         if reply.call not in (call, UNNUMBERED):
-            raise HttpError("a reply to another message")
+            raise HttpError("call number of the reply does not match the message")
         return reply
--- a/tests/membership/test_fencing.py
+++ b/tests/membership/test_fencing.py
@@ -1,4 +1,4 @@
-"""A controller that learns of a newer fencing token gives its shard up."""
+"""A controller stops leading a shard once it receives a newer fencing token."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def test_peers_newer_token_ends_leadership_of_a_shard() -> None:
-    """A leader whose replica lags learns of its successor from the successor's heartbeat."""
+    """A leader whose replica lags is fenced by the token in its successor's heartbeat."""
 
     async def main() -> None:
         leader = leader_of_shard(1, 50)
--- a/tests/membership/test_freshness.py
+++ b/tests/membership/test_freshness.py
@@ -1,4 +1,4 @@
-"""Up to when a controller knows all cancellations, and that it still leads its shards."""
+"""Times up to which a controller has verified cancellations and its shard leadership."""
 
 from __future__ import annotations
 
@@ -21,18 +21,22 @@
 from ..harness.simulation import DEPLOYMENT_TIMES, settings
 
 CANCELLATIONS_VERIFIED = [
-    # replica verified at, peers' (reply asked for at, age of their replica), known up to
+    # replica verified at, peers' (request sent at, age of their replica), verified up to
     (90.0, [(50.0, 2.0), (60.0, 2.0)], 90.0),
-    (20.0, [(95.0, 3.0), (10.0, 1.0)], 92.0),  # a peer that reads the store
-    (20.0, [(95.0, 70.0), (94.0, 80.0)], 94.0),  # all peers replied: nobody else can cancel
-    (20.0, [(95.0, 70.0), (40.0, 30.0)], 40.0),  # a silent peer may be accepting cancellations
-    (20.0, [(95.0, 1e6), (94.0, 80.0)], 20.0),  # a restarted peer doesn't know what it accepted
+    (20.0, [(95.0, 3.0), (10.0, 1.0)], 92.0),  # a peer with access to the store
+    (20.0, [(95.0, 70.0), (94.0, 80.0)], 94.0),  # all peers replied: no other node can confirm
+    (
+        20.0,
+        [(95.0, 70.0), (40.0, 30.0)],
+        40.0,
+    ),  # a peer without replies may be confirming cancellations
+    (20.0, [(95.0, 1e6), (94.0, 80.0)], 20.0),  # a restarted peer lacks what it had confirmed
     (20.0, [(95.0, 70.0), None], 25.0),  # a peer that never replied
 ]
 
 
 @pytest.mark.parametrize(("verified_at", "peers", "expected"), CANCELLATIONS_VERIFIED)
-def test_silent_peers_limit_up_to_when_cancellations_are_known(
+def test_missing_replies_limit_verification_of_cancellations(
     verified_at: float, peers: list[tuple[float, float] | None], expected: float
 ) -> None:
     async def main() -> None:
@@ -53,13 +57,18 @@
 VERIFIED_UP_TO: list[tuple[float, list[PeerReply | None], float, float]] = [
     # replica verified at, replies of the peers, cancellations verified up to, leadership up to
     (90.0, [None, None], 90.0, 90.0),
-    (10.0, [A(99.0, 1.0, 1.0), None], 98.0, 10.0),  # a peer that reads the store reports them
-    (10.0, [A(99.0, 60.0, 2.0), None], 97.0, 10.0),  # or one that hears all of its own peers
-    # all peers replied, in an outage
+    (10.0, [A(99.0, 1.0, 1.0), None], 98.0, 10.0),  # a peer with access to the store reports them
+    (
+        10.0,
+        [A(99.0, 60.0, 2.0), None],
+        97.0,
+        10.0,
+    ),  # or a peer that gets replies from all of its peers
+    # all peers replied during a store outage
     (10.0, [A(99.0, 60.0, 60.0), A(98.0, 50.0, 50.0)], 98.0, 98.0),
-    # one has read nothing
+    # one peer has not read the store since it started
     (10.0, [A(99.0, NEVER_READ_AGE_S, NEVER_READ_AGE_S), A(98.0, 50.0, 50.0)], 48.0, 10.0),
-    (10.0, [A(99.0, 60.0, 60.0), A(20.0, 1.0, 1.0)], 39.0, 20.0),  # one has been silent since
+    (10.0, [A(99.0, 60.0, 60.0), A(20.0, 1.0, 1.0)], 39.0, 20.0),  # one peer has not replied since
     (95.0, [A(99.0, 60.0, 60.0), A(98.0, 50.0, 50.0)], 98.0, 98.0),
     (99.5, [A(99.0, 60.0, 60.0), A(98.0, 50.0, 50.0)], 99.5, 99.5),
     (10.0, [], 10.0, 10.0),  # the only controller
@@ -76,7 +85,7 @@
 
 @pytest.mark.parametrize("deployment", DEPLOYMENT_TIMES)
 def test_freshness_bound_and_lease_expiry_are_within_cancel_s(deployment: str) -> None:
-    """A leader without news renews a lease last at the freshness bound; then it must expire."""
+    """A lease that is last renewed at the freshness bound must expire within `cancel_s`."""
     times = DEPLOYMENT_TIMES[deployment]
     figures = policy.parse("", settings("n0", times))
     assert 0 < figures.max_evidence_age < max_freshness_bound(times)
--- a/tests/membership/test_heartbeat_order.py
+++ b/tests/membership/test_heartbeat_order.py
@@ -17,16 +17,16 @@
 
 
 HEARTBEATS: list[tuple[list[tuple[str, int, float | None]], str, list[bool]]] = [
-    # heartbeats (incarnation, number, requested at), incarnation in the state store, accepted
+    # (incarnation, number, request sent at) of each heartbeat, recorded incarnation, accepted
     ([("x", 1, 0.0), ("x", 2, None), ("x", 1, None)], "x", [True, True, False]),
     ([("x", 5, None), ("x", 4, 0.5)], "x", [True, False]),
-    # the next incarnation, and a delayed heartbeat of the last one
+    # the next incarnation, then a delayed heartbeat of the previous one
     ([("x", 9, 0.0), ("y", 1, 0.5), ("x", 10, None)], "y", [True, True, False]),
     ([("x", 9, 0.0), ("y", 1, None), ("y", 2, 1.5)], "x", [True, False, True]),
     ([("x", 9, 0.0), ("y", 1, None), ("x", 10, None)], "y", [True, True, False]),
-    # a reply of the last one, requested before the next one was known
+    # a reply of the previous incarnation, requested before the next one was accepted
     ([("y", 1, None), ("x", 9, -1.0), ("y", 2, 1.5)], "y", [True, False, True]),
-    # accepted wrongly, since the replica lagged as well; the next reply corrects it
+    # an old incarnation is accepted since the replica lags too; the next reply corrects it
     ([("y", 1, None), ("x", 9, None), ("y", 2, 2.5)], "x", [True, True, True]),
 ]
 
--- a/tests/membership/test_mismatched_replies.py
+++ b/tests/membership/test_mismatched_replies.py
@@ -42,7 +42,7 @@
     answer_calls(monkeypatch, answer)
     config = settings("n0")
     membership = Controller(config, policy.parse("", config)).membership
-    membership.transport._last_call_number = 40  # some calls were made before
+    membership.transport._last_call_number = 40  # numbers of earlier calls
     return membership
 
 
@@ -62,7 +62,11 @@
 def test_reply_to_another_message_is_rejected(
     reply: Reply, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An older heartbeat would refresh stale data; another job's ranges or status are worse."""
+    """Guards against replies to earlier calls.
+
+    An older heartbeat would make stale data count as fresh; another job's ranges or status would
+    be wrong altogether.
+    """
 
     async def main() -> None:
         membership = _membership(monkeypatch, reply)
@@ -104,7 +108,7 @@
 def test_unnumbered_reply_of_an_earlier_version_is_accepted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It numbers no calls; controllers of two versions must hear each other."""
+    """Earlier versions do not number calls; both versions must accept each other's replies."""
 
     async def main() -> None:
         membership = _membership(monkeypatch, lambda request: Ack())
--- a/tests/membership/test_shards.py
+++ b/tests/membership/test_shards.py
@@ -1,4 +1,4 @@
-"""Which shard a machine belongs to, and which nodes lead a shard first."""
+"""Assignment of machines to shards, and the order of a shard's preferred leaders."""
 
 from __future__ import annotations
 
@@ -15,5 +15,5 @@
     assert shard_of(name, 3) == shard
 
 
-def test_preference_starts_at_home() -> None:
+def test_leader_preference_starts_at_the_home_node() -> None:
     assert leader_preference(["a", "b", "c"], 1) == ["b", "c", "a"]
