--- a/pitchtally/membership/peers/peer.py
+++ b/pitchtally/membership/peers/peer.py
@@ -24,7 +24,7 @@
         self.statuses_sent_at = LONG_AGO  # send time of the last heartbeat that it answered
         self.failure = ""  # error of the last call; empty if it succeeded
         self.incarnation = ""
-        self.incarnation_known_at = LONG_AGO
+        self.incarnation_accepted_at = LONG_AGO
         self.heartbeat_number = _NO_HEARTBEAT  # number of the newest accepted heartbeat
         self.revision = -1  # revision that the peer's replica covers
 
@@ -45,12 +45,14 @@
         next reply.
         """
         if heartbeat.incarnation != self.incarnation:
-            requested_since = requested_at is not None and requested_at > self.incarnation_known_at
+            requested_since = (
+                requested_at is not None and requested_at > self.incarnation_accepted_at
+            )
             in_state_store = heartbeat.incarnation == listed_incarnation
             if self.incarnation and not requested_since and not in_state_store:
                 return False
             self.incarnation = heartbeat.incarnation
-            self.incarnation_known_at = trio.current_time()
+            self.incarnation_accepted_at = trio.current_time()
         elif heartbeat.number <= self.heartbeat_number:
             return False
         self.heartbeat_number, self.revision = heartbeat.number, heartbeat.revision
