--- a/pitchtally/state_store/__init__.py
+++ b/pitchtally/state_store/__init__.py
@@ -1,11 +1,11 @@
-"""The consensus-backed key-value store: its client, the replica that a watch feeds, rate limits.
+"""Access to the consensus-backed key-value store: client, local replica, and rate limits.
 
-State: the replica's keys with their versions (`replica`), the permits left of the store's rate
-limits (`rate_limits`, kept by `client`). Only replies of the store, own commits and what peers
-have seen committed change the replica, and always by way of it; other components subscribe to
-key prefixes. Every key is built and parsed in `keys`.
+State: the keys in the replica with their versions (`replica`), and the permits left under the
+store's rate limits (`rate_limits`, owned by `client`). Only replies of the store, this node's own
+commits and commits reported by peers change the replica, and only through its methods; other
+components subscribe to key prefixes. All keys are built and parsed in `keys`.
 
-Invariant: a key's version in the replica only grows until the key is removed, and the replica
-holds all that the store had committed by `Replica.verified_at`. Every write is conditional on
-versions that were read, so a write executed late changes nothing.
+Invariant: a key's version in the replica only increases until the key is removed, and the replica
+holds everything that the store had committed by `Replica.verified_at`. Every write has a
+precondition on versions that were read, so a write executed late changes nothing.
 """
--- a/pitchtally/state_store/client.py
+++ b/pitchtally/state_store/client.py
@@ -1,8 +1,8 @@
-"""The client of the state store: compare-and-swap transactions, reads, watches and leases.
+"""Client of the state store: compare-and-swap transactions, reads, watches and leases.
 
-A transaction ends in one of four ways, and callers must tell them apart (see `errors`):
-committed, refused by a precondition, not executed, or unknown. An unknown one is read back
-before anything rests on it; if it is executed late it changes nothing, since every write has
+A transaction has one of four outcomes, which callers must distinguish (see `errors`): committed,
+failed precondition, not executed, or unknown. After an unknown outcome the keys are read before
+anything depends on it; a transaction that is executed late changes nothing, since every write has
 a precondition.
 """
 
@@ -34,7 +34,8 @@
 
 T = TypeVar("T")
 
-# Of the limits, for all nodes together: their clocks and our own bursts never quite agree.
+# Share of the store's limits that all nodes together use: the store's clock and the nodes' bursts
+# never match exactly.
 _USED_LIMIT_SHARE = 0.9
 _MAX_IDLE_CONNECTIONS = 8
 _KEYS_PER_PAGE = 500
@@ -44,10 +45,10 @@
 
 @dataclass(slots=True)
 class Write:
-    """A write, or a removal, within a transaction."""
+    """A write or a removal of one key within a transaction."""
 
     key: str
-    value: bytes | None  # None: remove
+    value: bytes | None  # None removes the key
     lease: int | None = None
 
 
@@ -76,21 +77,21 @@
     """One node's client of the state store."""
 
     def __init__(self, address: str, limits: StateLimits, nodes: int, timeout: float):
-        """`nodes` share the store's limits at first; `timeout`: seconds for a reply."""
+        """Initialise; `nodes` share the limits at first, `timeout` for a reply is in seconds."""
         self.limits = limits
         share = _USED_LIMIT_SHARE / nodes
         self.request_limit = TokenBucket(limits.rps * share, limits.rps * share)
         self.write_limit = TokenBucket(limits.write_rps * share, limits.write_rps * share)
-        # Since when requests have failed, as they were sent; None while the store replies.
+        # Send time of the first failed request since the last reply; None while the store replies.
         self.failing_since: float | None = None
         self._address = host_port(address)
         self._timeout = timeout
         self._client = Client(max_idle_per_address=_MAX_IDLE_CONNECTIONS)
-        self._replied_at = LONG_AGO  # when the newest request that was replied to was sent
-        self._logged_causes: set[str] = set()  # of unusable replies, each logged once
+        self._replied_at = LONG_AGO  # send time of the newest answered request
+        self._logged_causes: set[str] = set()  # causes of unusable replies, each logged once
 
     def share_limits(self, nodes: int) -> None:
-        """Share the limits, which are for all nodes together, with those that live."""
+        """Change the number of live nodes among which the store's limits are divided."""
         share = _USED_LIMIT_SHARE / max(1, nodes)
         self.request_limit.resize(self.limits.rps * share)
         self.write_limit.resize(self.limits.write_rps * share)
@@ -105,7 +106,7 @@
         timeout: float | None = None,
         on_dispatched: Callable[[], None] | None = None,
     ) -> Response:
-        """Send a request once the limits allow it; raises `StoreUnavailable`."""
+        """Send a request once the rate limits permit it; raises `StoreUnavailable`."""
         await self.request_limit.acquire(priority)
         if on_dispatched is not None:
             on_dispatched()
@@ -122,7 +123,7 @@
             self.request_limit.penalize()
             if method == "POST" and target == _COMMIT_PATH:
                 self.write_limit.penalize()
-            raise StoreUnavailable("over its limit")
+            raise StoreUnavailable("rate limit exceeded (status 429)")
         if response.status >= 500:
             self._note_failure(dispatched_at)
             raise StoreUnavailable(f"status {response.status}")
@@ -135,7 +136,10 @@
             self.failing_since = dispatched_at
 
     async def read_page(self, prefix: str, after: str | None) -> state_store_api.StoredPage:
-        """Read a page of the keys with a prefix, after a key; raises `StoreUnavailable`."""
+        """Read a page of the keys with a prefix, starting after a key.
+
+        Raises `StoreUnavailable`.
+        """
         since = f"&since={after}" if after else ""
         response = await self._call(
             "GET",
@@ -154,10 +158,11 @@
         priority: Priority,
         on_dispatched: Callable[[], None] | None = None,
     ) -> int:
-        """Compare-and-swap: write all if every key has its expected version (0: absent).
+        """Execute all writes if every key has its expected version (0: absent).
 
         Returns the revision of the commit. Raises `CompareFailed`, `LeaseExpired`, or
-        `StoreUnavailable` and its subclasses. `on_sent` is called as the request goes out.
+        `StoreUnavailable` and its subclasses. `on_dispatched` is called just before the request
+        is sent.
         """
         body = _encode_transaction(expected_versions, writes)
         if writes:
@@ -177,7 +182,10 @@
         raise StoreUnavailable(cause)
 
     async def grant_lease(self, ttl: float) -> int:
-        """A new lease that lives `ttl` seconds without a renewal; raises `StoreUnavailable`."""
+        """Return a new lease that expires `ttl` seconds after its last renewal.
+
+        Raises `StoreUnavailable`.
+        """
         body = _encode(state_store_api.LeaseRequest(int(ttl * 1000)))
         response = await self._call("POST", "/leases", body, priority=Priority.LEASES)
         if response.status != 200:
@@ -202,11 +210,11 @@
         timeout: float | None = None,
         on_dispatched: Callable[[], None] | None = None,
     ) -> state_store_api.Events | None:
-        """Changes after a revision; None if that is too old and keys must be read again.
+        """Return changes after a revision; None if the store no longer has all of them.
 
-        Without a change the store replies after `wait` seconds; with 0 at once. `timeout`
-        is for the reply, in seconds besides `wait`. Raises `StoreUnavailable`, also for a
-        reply that is older than its request.
+        In the latter case all keys must be read again. Without a change the store replies after
+        `wait` seconds, at once if that is 0. `timeout` for the reply is in seconds, added to
+        `wait`. Raises `StoreUnavailable`, also for a reply whose revision is below `after`.
         """
         response = await self._call(
             "GET",
@@ -221,9 +229,9 @@
             raise StoreUnavailable(f"status {response.status}")
         events = self._decode(_events_decoder, response.body)
         if events.revision < after:
-            # The caller knew more already: this was the reply to another request.
+            # The caller has seen a newer revision: this is the reply to another request.
             self._log_once("older than its request")
-            raise StoreUnavailable("answer older than its question")
+            raise StoreUnavailable(f"revision {events.revision} of the reply is below {after}")
         return events
 
     def _log_once(self, cause: str) -> None:
@@ -236,4 +244,4 @@
             return decoder.decode(body)
         except msgspec.MsgspecError as error:
             self._log_once("not decodable")
-            raise OutcomeUnknown(f"rubbish: {error}") from None
+            raise OutcomeUnknown(f"reply cannot be decoded: {error}") from None
--- a/pitchtally/state_store/errors.py
+++ b/pitchtally/state_store/errors.py
@@ -1,8 +1,8 @@
-"""How a request to the state store can fail, one type for each outcome.
+"""Errors of requests to the state store, one type for each outcome.
 
-Callers must tell the outcomes apart. After `StoreUnavailable` nothing was executed, but for its
-subclass `OutcomeUnknown`: the transaction may have been executed, or may still be, so nothing
-may rest on either until the key has been settled by a further compare-and-swap.
+Callers must distinguish the outcomes. After `StoreUnavailable` nothing was executed, except for
+its subclass `OutcomeUnknown`: the transaction may have been executed, or may still be. Nothing may
+depend on either until a further compare-and-swap has settled the key.
 """
 
 from __future__ import annotations
@@ -13,19 +13,19 @@
 
 
 class StoreUnavailable(StateStoreError):
-    """The request was not executed, or (`OutcomeUnknown`) nobody can tell."""
+    """The request was not executed, or its outcome is unknown (`OutcomeUnknown`)."""
 
 
 class OutcomeUnknown(StoreUnavailable):
-    """The request may have been executed: no usable answer to it came back."""
+    """The request may have been executed: no usable reply was received."""
 
 
 class NoResponse(OutcomeUnknown):
-    """Nothing came back: the connection failed, or the timeout passed."""
+    """No reply was received: the connection failed, or the request timed out."""
 
 
 class InvalidTransaction(StoreUnavailable):
-    """The store will not execute such a request: a value or a transaction is too large."""
+    """The store rejected the request as invalid: a value or the transaction is too large."""
 
 
 class CompareFailed(StateStoreError):
@@ -37,4 +37,4 @@
 
 
 class LeaseExpired(StateStoreError):
-    """The lease has ended: a new one is needed."""
+    """The lease has expired: a new one must be granted."""
--- a/pitchtally/state_store/identifiers.py
+++ b/pitchtally/state_store/identifiers.py
@@ -1,12 +1,12 @@
-"""Names for the two numbers that every component exchanges with the state store's records."""
+"""Type aliases for the numbers that identify shards and their leaders."""
 
 from __future__ import annotations
 
 from typing import TypeAlias
 
-# Which shard: 0 up to the deployment's number of shards, that not included.
+# The number of a shard, from 0 to the deployment's number of shards minus 1.
 ShardId: TypeAlias = int
 
-# The version of the shard leader's record. Each failover writes that record anew, so of two
-# leaders the later one holds the larger token; agents and the store compare them.
+# The version of a shard leader's record. Each failover writes the record anew, so of two leaders
+# the later one holds the larger token; agents and the store compare tokens.
 FencingToken: TypeAlias = int
--- a/pitchtally/state_store/keys.py
+++ b/pitchtally/state_store/keys.py
@@ -1,7 +1,7 @@
-"""Every key of ours in the state store: built here, and parsed here.
+"""Construction and parsing of all keys in the state store.
 
-All keys begin with `ROOT`. A `..._PREFIX` is what a listener of the replica subscribes to; it
-is then called with the rest of the key, which the `parse_...` functions read. The texts are a
+All keys begin with `ROOT`. A listener of the replica subscribes to a `..._PREFIX` and is called
+with the rest of the key after it, which the `parse_...` functions read. Keys are part of the
 stored format: neighbouring versions read the same keys.
 """
 
@@ -31,21 +31,24 @@
 
 
 class MachineChunk(NamedTuple):
-    """A chunk of the record of a shard's machines."""
+    """The parsed key of a chunk of a shard's machine record."""
 
     shard: ShardId
     chunk: int
 
 
 class FinishedChunk(NamedTuple):
-    """A chunk of a job's finished tasks: its first task, or its number in the legacy layout."""
+    """The parsed key of a chunk of a job's finished tasks.
+
+    `number` is the chunk's first task, or the chunk's number in the legacy layout.
+    """
 
     job: str
     number: int
 
 
 class TextChunk(NamedTuple):
-    """A chunk of a job's description that is too long for its record."""
+    """The parsed key of a chunk of a job spec that is too long for the job's record."""
 
     job: str
     digest: str
@@ -53,68 +56,68 @@
 
 
 def absolute(prefix: str, rest: str) -> str:
-    """The whole key of which a listener to `prefix` was given the rest."""
+    """Return the whole key from a prefix and the rest that a listener received."""
     return f"{ROOT}{prefix}{rest}"
 
 
 def node(name: str) -> str:
-    """The record of a living controller, bound to its session lease."""
+    """Return the key of a node record, which is bound to the node's session lease."""
     return f"{ROOT}{NODE_PREFIX}{name}"
 
 
 def shard(shard_id: ShardId) -> str:
-    """The record of a shard's leader; its version is the leader's fencing token."""
+    """Return the key of a shard leader's record, whose version is the leader's fencing token."""
     return f"{ROOT}{SHARD_PREFIX}{shard_id}"
 
 
 def job(job_id: str) -> str:
-    """The record of a job."""
+    """Return the key of a job's record."""
     return f"{ROOT}{JOB_PREFIX}{job_id}"
 
 
 def machines(shard_id: ShardId, chunk: int) -> str:
-    """A chunk of the record of a shard's machines."""
+    """Return the key of a chunk of a shard's machine record."""
     return f"{ROOT}{MACHINES_PREFIX}{shard_id}/{chunk}"
 
 
 def parse_machines(rest: str) -> MachineChunk:
-    """Read the rest of a key below `MACHINES_PREFIX`."""
+    """Parse the rest of a key below `MACHINES_PREFIX`."""
     shard_id, _, chunk = rest.partition("/")
     return MachineChunk(int(shard_id), int(chunk))
 
 
 def finished_tasks(job_id: str, first: int) -> str:
-    """The finished tasks of a job from the task `first` on."""
+    """Return the key of the chunk of a job's finished tasks that starts at task `first`."""
     return f"{ROOT}{FINISHED_PREFIX}{job_id}/{first}"
 
 
 def legacy_finished_tasks(job_id: str, number: int) -> str:
-    """The chunk of this number of a job's finished tasks, as 0.5.1 stored it."""
+    """Return the key of a numbered chunk of a job's finished tasks in the layout of 0.5.1."""
     return f"{ROOT}{LEGACY_FINISHED_PREFIX}{job_id}/{number}"
 
 
 def parse_finished_tasks(rest: str) -> FinishedChunk:
-    """Read the rest of a key below `FINISHED_PREFIX` or `LEGACY_FINISHED_PREFIX`."""
+    """Parse the rest of a key below `FINISHED_PREFIX` or `LEGACY_FINISHED_PREFIX`."""
     job_id, _, number = rest.partition("/")
     return FinishedChunk(job_id, int(number))
 
 
 def text_chunk(job_id: str, digest: str, number: int) -> str:
-    """A chunk of a job's description."""
+    """Return the key of a chunk of a job spec."""
     return f"{ROOT}{TEXT_PREFIX}{job_id}/{digest}/{number}"
 
 
 def parse_text_chunk(rest: str) -> TextChunk:
-    """Read the rest of a key below `TEXT_PREFIX`."""
+    """Parse the rest of a key below `TEXT_PREFIX`."""
     job_id, digest, number = rest.split("/")
     return TextChunk(job_id, digest, int(number))
 
 
 def quota_shares(team: str) -> str:
-    """A team's quota shares, by shard; teams may have any name, so it is quoted."""
+    """Return the key of a team's quota shares; the name is quoted, as it may hold any character."""
     return f"{QUOTA_SHARES}/{quote(team, safe='')}"
 
 
 def machine_types_page(number: int) -> str:
-    """A page of the machine catalog that is too long for one value."""
+    """Return the key of a page of a machine catalog that is too long for one value."""
     return f"{MACHINE_TYPES}/{number}"
--- a/pitchtally/state_store/rate_limits.py
+++ b/pitchtally/state_store/rate_limits.py
@@ -1,8 +1,8 @@
 """Token buckets with priorities, for calls to the state store and the cloud.
 
-The limits are for all nodes together, so each node fills its bucket at its share. Callers are
-served by priority, then in order of arrival. A caller can also ask how long it would wait, and
-so refuse a user at once instead of holding the request.
+A limit applies to all nodes together, so each node's bucket is refilled at the node's share.
+Callers are served by priority, then in order of arrival. The expected wait can be queried, so that
+a user's request can be refused at once instead of being held.
 """
 
 from __future__ import annotations
@@ -16,23 +16,23 @@
 
 
 class Priority(IntEnum):
-    """What a call is for; lower values are served first."""
+    """Priority of a call by its purpose; lower values are served first."""
 
-    LEASES = 0  # session leases, failover, and the watch
-    COMPLETIONS = 1  # what completes or cancels a job
-    SUBMISSIONS = 2  # what accepts a job
-    PROGRESS = 3  # what nobody waits for
+    LEASES = 0  # session leases, failover, the watch
+    COMPLETIONS = 1  # completing or cancelling a job
+    SUBMISSIONS = 2  # accepting a job
+    PROGRESS = 3  # calls that no user waits for
 
 
-# Of a burst: what `PROGRESS` leaves to calls that users wait for.
+# Share of a burst that `PROGRESS` calls leave for calls that users wait for.
 _PROGRESS_RESERVE_SHARE = 0.4
 
-# Timers fire in steps of a few milliseconds, so finer waits gain nothing; seconds.
+# Timers have a resolution of a few milliseconds, so shorter sleeps gain nothing.
 _MIN_SLEEP_S = 0.004
 
 
 class _Waiter(NamedTuple):
-    """A caller that waits for permits, in the order in which it is served."""
+    """A caller that waits for permits; waiters sort in the order in which they are served."""
 
     priority: Priority
     arrival: int
@@ -43,7 +43,7 @@
     """A token bucket whose callers are served by priority, then in order of arrival."""
 
     def __init__(self, rate: float, burst: float, now: Callable[[], float] = trio.current_time):
-        """`rate`: permits per second; `burst`: the most that can be saved up."""
+        """Initialise; `rate` is in permits per second, `burst` the bucket's capacity in permits."""
         self.rate = rate
         self.burst = max(1.0, burst)
         self._now = now
@@ -59,24 +59,24 @@
         self._refilled_at = now
 
     def resize(self, rate: float) -> None:
-        """Change the rate, and the burst with it."""
+        """Change the rate, and set the burst to one second's permits (at least 1)."""
         self._refill()
         self.rate = rate
         self.burst = max(1.0, rate)
 
     def wait_time(self, priority: Priority, permits: float = 1.0) -> float:
-        """Seconds until a call of this priority could go, as things stand."""
+        """Return the seconds until a new call of this priority would get its permits."""
         self._refill()
         ahead = sum(waiter.permits for waiter in self._waiters if waiter.priority <= priority)
         return max(0.0, (ahead + permits - self._available) / self.rate)
 
     def penalize(self, permits: float = 1.0) -> None:
-        """Go short: the other side, which knows better, says that we are over its limit."""
+        """Empty the bucket and charge permits, after the server reported an exceeded limit."""
         self._refill()
         self._available = min(self._available, 0.0) - permits
 
     async def acquire(self, priority: Priority, permits: float = 1.0) -> None:
-        """Wait for permits, and use them."""
+        """Wait for permits and consume them."""
         self._arrivals += 1
         waiter = _Waiter(priority, self._arrivals, permits)
         heapq.heappush(self._waiters, waiter)
@@ -98,11 +98,11 @@
         return True
 
     def _required_permits(self, waiter: _Waiter) -> float:
-        """The permits that the bucket must hold before this caller may go.
+        """Return the permits that the bucket must hold before this caller is served.
 
-        More than a burst at once is paid for afterwards: those that follow wait longer. Worked
-        out anew each time: a bucket that was made smaller under a waiter would never hold
-        what it waited for, and nobody else would go.
+        A call that costs more than a burst is served from a full bucket and charged in full, so
+        later callers wait longer. The result is computed anew for each attempt: a bucket resized
+        while a caller waits might never hold the former amount, which would block all callers.
         """
         reserve = (
             self.burst * _PROGRESS_RESERVE_SHARE if waiter.priority >= Priority.PROGRESS else 0.0
--- a/pitchtally/state_store/replica.py
+++ b/pitchtally/state_store/replica.py
@@ -1,8 +1,8 @@
-"""This controller's replica of its keys in the state store, kept up to date by a watch.
+"""The controller's replica of the keys in the state store, kept up to date by a watch.
 
-Besides the watch, any caller may bring the replica up to the store's present by a read of its
-own (`Replica.refresh`). Replies may come in any order, long after newer ones: what a reply
-holds is taken in by revision, never by when it came.
+Besides the watch, any caller may bring the replica up to date with a read of its own
+(`Replica.refresh`). Replies may arrive in any order, even long after newer ones, so changes are
+applied by revision, never by time of arrival.
 """
 
 from __future__ import annotations
@@ -26,29 +26,29 @@
 ReplicaListener = Callable[[str, bytes | None, int], None]
 
 _NOT_LOADED = -1
-_MAX_RETRY_PAUSE_S = 1.0  # seconds between two failed watches
+_MAX_RETRY_PAUSE_S = 1.0  # between two failed watches
 
 
 @dataclass(frozen=True, slots=True)
 class Refresh:
-    """A read of the store that the replica covers."""
+    """A read of the store whose result the replica includes; times are of the steady clock."""
 
-    revision: int  # the store's, as it replied
-    requested_at: float  # steady clock, seconds
+    revision: int  # revision of the store when it replied
+    requested_at: float  # seconds
     replied_at: float
 
 
 class Replica:
-    """A replica of all our keys, fed by one watch.
+    """A replica of all keys below `ROOT`, fed by one watch.
 
-    `revision` is the one up to which the replica is complete, -1 before the first load. Own
-    commits are applied at once, ahead of the watch; a version for each key keeps the order
-    right. `verified_at` is the newest time at which the store had nothing that the replica
-    lacks: what is read from the replica is at most as old as that.
+    The replica is complete up to `revision`, which is -1 before the first load. This node's own
+    commits are applied at once, ahead of the watch; the version kept for each key prevents an
+    older value from replacing a newer one. `verified_at` is the newest time at which the store
+    held nothing that the replica lacks: data read from the replica is at most as old as that.
     """
 
     def __init__(self, state_store: StateStoreClient, pause: float, wait: float):
-        """`pause`: seconds between two watches; `wait`: how long one waits for a change."""
+        """Initialise; `pause` between watches and `wait` of a watch for changes are in seconds."""
         self.revision = _NOT_LOADED
         self.verified_at = LONG_AGO
         self._state_store = state_store
@@ -58,11 +58,11 @@
         self._listeners: list[tuple[str, ReplicaListener]] = []
 
     def listen(self, prefix: str, listener: ReplicaListener) -> None:
-        """Have a listener told of every change below a prefix."""
+        """Subscribe a listener to all changes of keys with a prefix."""
         self._listeners.append((keys.ROOT + prefix, listener))
 
     def version(self, key: str) -> int:
-        """A key's version in the replica, 0 if absent."""
+        """Return a key's version in the replica, 0 if absent."""
         return self._versions.get(key, 0)
 
     def _apply(self, key: str, value: bytes | None, version: int) -> None:
@@ -82,7 +82,7 @@
                     log.exception("listener failed key=%s", key)
 
     def apply_own_commit(self, writes: Sequence[Write], revision: int) -> None:
-        """Apply a commit of ours; one that the watch has passed already is left alone."""
+        """Apply the writes of a commit by this node, unless the replica covers its revision."""
         if revision <= self.revision:
             return
         for write in writes:
@@ -90,19 +90,19 @@
                 self._apply(write.key, write.value, revision)
 
     def apply_committed(self, key: str, value: bytes, version: int) -> None:
-        """Apply a write that the store has committed, as a peer's replica shows it."""
+        """Apply a write that a peer reported as committed."""
         self._apply(key, value, version)
 
     async def refresh(
         self, timeout: float | None = None, on_dispatched: Callable[[], None] | None = None
     ) -> Refresh:
-        """Bring the replica up to the store's present by one read of its own.
+        """Bring the replica up to date with one read.
 
-        The read is apart from the watch, whose reply may be late. `timeout` is in seconds;
-        `on_sent` is called as the request goes out. Raises `StoreUnavailable`.
+        The read is independent of the watch, whose reply may be late. `timeout` is in seconds;
+        `on_dispatched` is called just before the request is sent. Raises `StoreUnavailable`.
         """
         if self.revision < 0:
-            raise StoreUnavailable("nothing is loaded yet")
+            raise StoreUnavailable("the replica is not loaded yet")
         requested_at = trio.current_time()
 
         def note_dispatched() -> None:
@@ -120,15 +120,17 @@
             on_dispatched=note_dispatched,
         )
         if events is None:
-            raise StoreUnavailable("the copy is too old to be refreshed")
+            raise StoreUnavailable(
+                f"the store no longer has all changes after revision {self.revision}"
+            )
         self._apply_events(events, requested_at)
         return Refresh(events.revision, requested_at, trio.current_time())
 
     def _apply_events(self, events: state_store_api.Events, requested_at: float) -> None:
         """Apply a reply to a request that was sent at `requested_at`.
 
-        Several requests may be under way. A change that the replica covers already is left
-        out: a put that came late would bring a key back that was removed since.
+        Several requests may be in flight. Changes that the replica covers already are skipped: a
+        put that arrives late would restore a key that has been removed since.
         """
         for event in events.events:
             if event.version <= self.revision:
@@ -139,18 +141,19 @@
                 if self._versions.get(event.delete, 0) <= event.version:
                     self._apply(event.delete, None, event.version)
         self._advance(events.revision)
-        # A reply after a wait without changes vouches for its end, not its start;
-        # only the sending time is certain.
+        # A reply after a wait without changes reflects the end of the wait, not its start, but
+        # only the time at which the request was sent is certain.
         self.verified_at = max(self.verified_at, requested_at)
 
     async def load(self) -> None:
-        """Read every key; those that vanished meanwhile are dropped."""
+        """Read all keys, and remove from the replica those that the store no longer holds."""
         listed_keys: set[str] = set()
         after: str | None = None
         revision: int | None = None
         while True:
             page = await self._state_store.read_page(keys.ROOT, after)
-            # The watch continues from the first page: later changes are seen again.
+            # The watch continues from the revision of the first page, so later changes are received
+            # again.
             revision = page.revision if revision is None else revision
             for item in page.items:
                 listed_keys.add(item.key)
@@ -171,7 +174,7 @@
         self.revision = max(self.revision, revision)
 
     async def run(self) -> None:
-        """Watch for ever, reading every key again whenever the store has forgotten since when."""
+        """Watch forever, and read all keys again when the store no longer has older changes."""
         pause = self._pause
         while True:
             try:
@@ -189,6 +192,6 @@
             if events is not None:
                 self._apply_events(events, requested_at)
                 return
-            log.info("watch too old, loading all keys")
+            log.info("watch revision no longer available; loading all keys")
         await self.load()
         self.verified_at = max(self.verified_at, requested_at)
