--- a/pitchtally/state_store/client.py
+++ b/pitchtally/state_store/client.py
@@ -135,15 +135,15 @@
         if self.failing_since is None and dispatched_at > self._replied_at:
             self.failing_since = dispatched_at
 
-    async def read_page(self, prefix: str, after: str | None) -> state_store_api.StoredPage:
+    async def read_page(self, prefix: str, after_key: str | None) -> state_store_api.StoredPage:
         """Read a page of the keys with a prefix, starting after a key.
 
         Raises `StoreUnavailable`.
         """
-        since = f"&since={after}" if after else ""
+        since_parameter = f"&since={after_key}" if after_key else ""
         response = await self._call(
             "GET",
-            f"/store?starts={prefix}{since}&limit={_KEYS_PER_PAGE}",
+            f"/store?starts={prefix}{since_parameter}&limit={_KEYS_PER_PAGE}",
             priority=Priority.LEASES,
         )
         if response.status != 200:
@@ -203,7 +203,7 @@
     async def watch(
         self,
         prefix: str,
-        after: int,
+        after_revision: int,
         wait: float,
         *,
         priority: Priority = Priority.LEASES,
@@ -214,11 +214,12 @@
 
         In the latter case all keys must be read again. Without a change the store replies after
         `wait` seconds, at once if that is 0. `timeout` for the reply is in seconds, added to
-        `wait`. Raises `StoreUnavailable`, also for a reply whose revision is below `after`.
+        `wait`. Raises `StoreUnavailable`, also for a reply with a revision below
+        `after_revision`.
         """
         response = await self._call(
             "GET",
-            f"/follow?starts={prefix}&since={after}&waitMs={int(wait * 1000)}",
+            f"/follow?starts={prefix}&since={after_revision}&waitMs={int(wait * 1000)}",
             priority=priority,
             timeout=wait + (timeout or self._timeout),
             on_dispatched=on_dispatched,
@@ -228,10 +229,12 @@
         if response.status != 200:
             raise StoreUnavailable(f"status {response.status}")
         events = self._decode(_events_decoder, response.body)
-        if events.revision < after:
+        if events.revision < after_revision:
             # The caller has seen a newer revision: this is the reply to another request.
             self._log_once("older than its request")
-            raise StoreUnavailable(f"revision {events.revision} of the reply is below {after}")
+            raise StoreUnavailable(
+                f"revision {events.revision} of the reply is below {after_revision}"
+            )
         return events
 
     def _log_once(self, cause: str) -> None:
--- a/pitchtally/state_store/keys.py
+++ b/pitchtally/state_store/keys.py
@@ -1,7 +1,7 @@
 """Construction and parsing of all keys in the state store.
 
 All keys begin with `ROOT`. A listener of the replica subscribes to a `..._PREFIX` and is called
-with the rest of the key after it, which the `parse_...` functions read. Keys are part of the
+with the suffix of the key, which the `parse_...` functions read. Keys are part of the
 stored format: neighbouring versions read the same keys.
 """
 
@@ -55,9 +55,9 @@
     number: int
 
 
-def absolute(prefix: str, rest: str) -> str:
-    """Return the whole key from a prefix and the rest that a listener received."""
-    return f"{ROOT}{prefix}{rest}"
+def absolute(prefix: str, suffix: str) -> str:
+    """Return the key with a prefix and the suffix that a listener received."""
+    return f"{ROOT}{prefix}{suffix}"
 
 
 def node(name: str) -> str:
@@ -80,9 +80,9 @@
     return f"{ROOT}{MACHINES_PREFIX}{shard_id}/{chunk}"
 
 
-def parse_machines(rest: str) -> MachineChunk:
-    """Parse the rest of a key below `MACHINES_PREFIX`."""
-    shard_id, _, chunk = rest.partition("/")
+def parse_machines(suffix: str) -> MachineChunk:
+    """Parse the suffix of a key below `MACHINES_PREFIX`."""
+    shard_id, _, chunk = suffix.partition("/")
     return MachineChunk(int(shard_id), int(chunk))
 
 
@@ -96,9 +96,9 @@
     return f"{ROOT}{LEGACY_FINISHED_PREFIX}{job_id}/{number}"
 
 
-def parse_finished_tasks(rest: str) -> FinishedChunk:
-    """Parse the rest of a key below `FINISHED_PREFIX` or `LEGACY_FINISHED_PREFIX`."""
-    job_id, _, number = rest.partition("/")
+def parse_finished_tasks(suffix: str) -> FinishedChunk:
+    """Parse the suffix of a key below `FINISHED_PREFIX` or `LEGACY_FINISHED_PREFIX`."""
+    job_id, _, number = suffix.partition("/")
     return FinishedChunk(job_id, int(number))
 
 
@@ -107,9 +107,9 @@
     return f"{ROOT}{TEXT_PREFIX}{job_id}/{digest}/{number}"
 
 
-def parse_text_chunk(rest: str) -> TextChunk:
-    """Parse the rest of a key below `TEXT_PREFIX`."""
-    job_id, digest, number = rest.split("/")
+def parse_text_chunk(suffix: str) -> TextChunk:
+    """Parse the suffix of a key below `TEXT_PREFIX`."""
+    job_id, digest, number = suffix.split("/")
     return TextChunk(job_id, digest, int(number))
 
 
--- a/pitchtally/state_store/replica.py
+++ b/pitchtally/state_store/replica.py
@@ -148,10 +148,10 @@
     async def load(self) -> None:
         """Read all keys, and remove from the replica those that the store no longer holds."""
         listed_keys: set[str] = set()
-        after: str | None = None
+        last_key: str | None = None
         revision: int | None = None
         while True:
-            page = await self._state_store.read_page(keys.ROOT, after)
+            page = await self._state_store.read_page(keys.ROOT, last_key)
             # The watch continues from the revision of the first page, so later changes are received
             # again.
             revision = page.revision if revision is None else revision
@@ -160,7 +160,7 @@
                 self._apply(item.key, bytes(item.value), item.version)
             if not page.more or not page.items:
                 break
-            after = page.items[-1].key
+            last_key = page.items[-1].key
         removed_keys = [
             key
             for key, version in self._versions.items()
