--- a/pitchtally/formats/gate.py
+++ b/pitchtally/formats/gate.py
@@ -1,10 +1,11 @@
-"""The feature gate of stored formats: one durable record that is written once.
-
-Each controller tells in its own record, which is bound to its session lease, the newest format
-that it reads (`membership.nodes.NodeRecord.reads`). Once every configured member has told that it
-reads the present one, the cluster leader writes `pt/format`. The versions of those records are
-preconditions of the write, so it fails if one of the members was replaced meanwhile. It is never
-undone: from then on, versions that read only the old format cannot be run any more.
+"""The feature gate for stored formats: one durable record that is written once.
+
+Each controller's node record, which is bound to its session lease, holds the newest format that
+the controller reads (`membership.nodes.NodeRecord.reads`). Once the records of all configured
+members say that they read the current format, the cluster leader writes `pt/format`. The versions
+of those records are preconditions of the write, so it fails if a member was replaced meanwhile.
+The gate is never closed again: afterwards, versions that read only the old format can no longer
+be run.
 """
 
 from __future__ import annotations
@@ -22,31 +23,32 @@
 
 log = logging.getLogger(__name__)
 
-# The format of 0.5.1, which tells nothing.
+# The format of 0.5.1, whose node records name no format.
 FIRST_FORMAT = 1
-# Finished tasks by task number, long specs in chunks, quota shares by team: since 0.6.0.
+# Since 0.6.0: chunks of finished tasks keyed by task number, long specs in chunks, and a key for
+# each team's quota shares.
 CURRENT_FORMAT = 2
 
 KEY = keys.FORMAT
 
 
 class FormatRecord(Struct, frozen=True):
-    """The durable record: the format that may be written, and what old layouts rest on."""
+    """The gate's record: the format that may be written, and the chunk size of old bitmaps."""
 
     format: int
     legacy_chunk_tasks: int
 
 
 class Reader(Protocol):
-    """A member as its record in the state store shows it."""
+    """The part of a member's node record that the gate depends on."""
 
     @property
     def incarnation(self) -> str:
-        """Which process of the member it is."""
+        """Identifies the member's process."""
 
     @property
     def reads(self) -> int:
-        """The newest format that the process reads."""
+        """Newest format that the process reads."""
 
 
 _decode = msgspec.json.Decoder(FormatRecord).decode
@@ -54,10 +56,10 @@
 
 
 class FormatGate:
-    """Which format this controller may write, as its replica shows."""
+    """The format that this controller may write, according to its replica."""
 
     def __init__(self, replica: Replica, value_kb: float):
-        """`value_kb`: today's limit of a value in KiB, on which format 1 rests its layouts."""
+        """Initialise; `value_kb` is today's limit of a value in KiB, used by layouts of format 1."""
         self.format = FIRST_FORMAT
         self.value_kb = value_kb
         self.legacy_chunk_tasks = format_1.tasks_per_chunk(value_kb)
@@ -69,27 +71,27 @@
         record = _decode(value)
         self.legacy_chunk_tasks = record.legacy_chunk_tasks
         if record.format > self.format:
-            log.info("format in force format=%d", record.format)
+            log.info("stored format changed format=%d", record.format)
             self.format = record.format
 
     @property
     def open(self) -> bool:
-        """Whether the present format may be written."""
+        """Whether the current format may be written."""
         return self.format >= CURRENT_FORMAT
 
     def record(self) -> bytes:
-        """The record that opens the gate."""
+        """Return the encoded record that opens the gate."""
         return _encode(FormatRecord(CURRENT_FORMAT, self.legacy_chunk_tasks))
 
 
 def all_members_read_format(
     members: Iterable[str], records: Mapping[str, Reader], replying_incarnations: Mapping[str, str]
 ) -> bool:
-    """Whether every configured member is known to read the present format.
+    """Return whether every configured member is known to read the current format.
 
-    `replying_incarnations` names the incarnation of each member that has answered of late. A record
-    outlives its process for a moment: only one of the process that answers counts, so what
-    a predecessor read, or did not read, says nothing of its successor.
+    `replying_incarnations` holds the incarnation of each member that replied recently. A record
+    may outlive its process for a short time, so it counts only if it belongs to the incarnation
+    that replies: the formats read by a previous process prove nothing about its successor.
     """
     return all(
         (record := records.get(name)) is not None
--- a/pitchtally/formats/text_chunks.py
+++ b/pitchtally/formats/text_chunks.py
@@ -1,8 +1,8 @@
-"""A text that one value cannot hold, cut into chunks that are found by their content.
+"""Texts that exceed the size of one value, split into content-addressed chunks.
 
-A key names a digest of the whole text, so chunks of different texts never mix, and writing
-one again changes nothing: no precondition is needed. The chunks are written first; what refers
-to them follows once all are there.
+A key contains a digest of the whole text, so chunks of different texts never mix, and writing a
+chunk again changes nothing: no precondition is needed. The record that refers to the chunks is
+written after all of them.
 """
 
 from __future__ import annotations
@@ -16,39 +16,40 @@
 from ..state_store import keys
 
 _DIGEST_BYTES = 8
-# Of a value. JSON may escape a character to several bytes, which `split` counts.
+# Share of a value's size limit. `split` counts characters as encoded, since JSON may escape one
+# to several bytes.
 CHUNK_SHARE = 3 / 4
 _QUOTE_BYTES = 2
 
 
 class TextRef(NamedTuple):
-    """What finds a text again; stored as an array."""
+    """Reference to a text; stored as an array."""
 
     digest: str
     chunks: int
 
 
 class ChunkId(NamedTuple):
-    """Which chunk of which text."""
+    """Identifies a chunk of a text."""
 
-    digest: str  # of the whole text
+    digest: str  # digest of the whole text
     number: int
 
 
 class EncodedText(NamedTuple):
-    """A text as values of the state store."""
+    """A text encoded as values of the state store."""
 
     ref: TextRef
     values: list[bytes]
 
 
 def key(job: str, ref: TextRef, number: int) -> str:
-    """The key of one chunk of a job's text."""
+    """Return the key of a chunk of a job's text."""
     return keys.text_chunk(job, ref.digest, number)
 
 
 def split(text: str, value_bytes: int) -> EncodedText:
-    """Cut a text into chunks, each of them encoded within the limit of a value."""
+    """Split a text into chunks, each within a value's size limit when encoded."""
     max_chunk_bytes = max(1, int(value_bytes * CHUNK_SHARE))
     chunks: list[str] = []
     size = max_chunk_bytes
@@ -65,7 +66,7 @@
 
 
 def join(ref: TextRef, chunks: Mapping[ChunkId, str]) -> str | None:
-    """The text again, None while some of its chunks are missing."""
+    """Return the text joined from its chunks, None while some are missing."""
     collected = []
     for number in range(ref.chunks):
         chunk = chunks.get(ChunkId(ref.digest, number))
