--- a/pitchtally/formats/gate.py
+++ b/pitchtally/formats/gate.py
@@ -59,7 +59,7 @@
     """The format that this controller may write, according to its replica."""
 
     def __init__(self, replica: Replica, value_kb: float):
-        """Initialise; `value_kb` is today's limit of a value in KiB, used by layouts of format 1."""
+        """Initialise; `value_kb` is the present limit of a value in KiB, used by format 1."""
         self.format = FIRST_FORMAT
         self.value_kb = value_kb
         self.legacy_chunk_tasks = format_1.tasks_per_chunk(value_kb)
@@ -71,7 +71,7 @@
         record = _decode(value)
         self.legacy_chunk_tasks = record.legacy_chunk_tasks
         if record.format > self.format:
-            log.info("stored format changed format=%d", record.format)
+            log.info("format in force format=%d", record.format)
             self.format = record.format
 
     @property
--- a/pitchtally/formats/quota_shares.py
+++ b/pitchtally/formats/quota_shares.py
@@ -67,7 +67,7 @@
         return {key: self._replica.version(key) for key in read_keys}
 
     def unchanged(self, key: str, team: str, shares: list[ShardQuotaShare]) -> bytes:
-        """Return the value that leaves a team's shares as they are; `shares` if it has no record."""
+        """Return the value that keeps a team's shares unchanged; `shares` if it has no record."""
         return self._value(key, team, self.of(team) or shares)
 
     def _value(self, key: str, team: str, shares: Sequence[tuple[float, float]]) -> bytes:
--- a/tests/state_store/test_rate_limits.py
+++ b/tests/state_store/test_rate_limits.py
@@ -1,4 +1,4 @@
-"""The rate limit of calls to the state store."""
+"""Token buckets with priorities for calls to the state store."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
     async def main() -> None:
         bucket = TokenBucket(10, 2)
 
-        async def one(priority: Priority) -> None:
+        async def acquire(priority: Priority) -> None:
             await bucket.acquire(priority)
             served.append((trio.current_time() - start, priority))
 
         start = trio.current_time()
         async with trio.open_nursery() as nursery:
             for _ in range(6):
-                nursery.start_soon(one, Priority.PROGRESS)
+                nursery.start_soon(acquire, Priority.PROGRESS)
             await trio.sleep(0.05)
             assert bucket.wait_time(Priority.LEASES) < bucket.wait_time(Priority.PROGRESS)
             for _ in range(3):
-                nursery.start_soon(one, Priority.LEASES)
+                nursery.start_soon(acquire, Priority.LEASES)
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
-    assert [p for _, p in served[1:4]] == [Priority.LEASES] * 3
+    assert [priority for _, priority in served[1:4]] == [Priority.LEASES] * 3
     assert served[-1][0] == pytest.approx(0.78, abs=0.1)
 
 
 def test_progress_leaves_tokens_to_acceptances() -> None:
-    """Under a flood of submissions, progress writes once took the tokens they needed."""
+    """Guards against progress writes that take the permits of a flood of submissions."""
 
     async def main() -> None:
         bucket = TokenBucket(1, 10)
@@ -47,14 +47,14 @@
 
 
 def test_cost_above_the_burst_is_charged_in_full() -> None:
-    """Batches charged as one burst would exceed the limit of all controllers together."""
+    """If a batch were charged at most one burst, all controllers together would exceed the limit."""
 
     async def main() -> None:
         bucket = TokenBucket(4.0, 4.0)
         await bucket.acquire(Priority.SUBMISSIONS, 8)
-        at = trio.current_time()
+        started_at = trio.current_time()
         await bucket.acquire(Priority.SUBMISSIONS, 1)
-        assert trio.current_time() - at == pytest.approx(5 / 4, abs=0.02)
+        assert trio.current_time() - started_at == pytest.approx(5 / 4, abs=0.02)
         assert bucket.wait_time(Priority.SUBMISSIONS, 5) == pytest.approx(5 / 4, abs=0.02)
         bucket.resize(8.0)
         assert bucket.wait_time(Priority.SUBMISSIONS, 5) == pytest.approx(5 / 8, abs=0.02)
@@ -63,18 +63,22 @@
 
 
 def test_bucket_shrunk_below_a_waiting_cost_still_grants_it() -> None:
-    """A controller's share shrinks when others are back; a larger cost that waits is granted."""
+    """Guards against a blocked bucket after a resize.
+
+    A controller's share shrinks when others return; a call that waits and costs more than the new
+    burst must still be served.
+    """
 
     async def main() -> None:
         bucket = TokenBucket(12.0, 12.0)
         await bucket.acquire(Priority.SUBMISSIONS, 12)
-        at = trio.current_time()
+        started_at = trio.current_time()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(bucket.acquire, Priority.COMPLETIONS, 12)
             await trio.sleep(0.1)
             bucket.resize(4.0)
             nursery.start_soon(bucket.acquire, Priority.SUBMISSIONS, 1)
-        assert trio.current_time() - at < 4
+        assert trio.current_time() - started_at < 4
 
     async def limited() -> None:
         with trio.fail_after(60):
--- a/tests/state_store/test_size_limits.py
+++ b/tests/state_store/test_size_limits.py
@@ -1,4 +1,7 @@
-"""Sizes of stored values, pages and messages: 930 machines, 1,500 open jobs, 100,000 tasks."""
+"""Size limits of stored values, pages and messages.
+
+The controllers hold 930 machines, 1,500 open jobs, and jobs of up to 100,000 tasks.
+"""
 
 from __future__ import annotations
 
@@ -33,7 +36,7 @@
 from ..harness.simulation import job, settings
 
 KIB = 1024
-LONG = "x" * 60  # no name of a type, zone, image or team is longer
+LONG = "x" * 60  # the longest name of a type, zone, image or team
 
 
 def _job_spec(tasks: int) -> user_api.JobSpec:
@@ -54,7 +57,7 @@
 
 
 def _open_job(controller: Controller, tasks: int, spec: user_api.JobSpec) -> Job:
-    """Return a new job as the state store then holds it."""
+    """Return a new job, read from the records laid out for it."""
     first, record = controller.layout.lay_out_new("wk-1", JobRecord(OPEN, tasks, spec, 1.7e9))
     value = encode(record)
     controller.replica.apply_own_commit([*first, Write("pt/jobs/wk-1", value)], 10**6)
@@ -62,7 +65,7 @@
 
 
 def job_record(controller: Controller) -> int:
-    """Return the size of a wide job's record with many ranges, its task bitmap inside."""
+    """Return the size of a job's record with many ranges and the largest inline task bitmap."""
     tasks = controller.layout.inline_tasks
     if not controller.gate.open:
         tasks = controller.gate.legacy_chunk_tasks
@@ -84,17 +87,17 @@
 
 
 def long_spec(controller: Controller) -> int:
-    """Return the size of a submission with as many and as long names as are accepted."""
+    """Return the largest value of a submission with the most and longest names accepted."""
     types = [f"{number:03d}" + "x" * 97 for number in range(100)]
     body = job(1, rows=100_000, vintage="v" * 200, crew="c" * 200, cask='"' * 200, presses=types)
     spec = parse_job(json.dumps(body).encode())
     first, record = controller.layout.lay_out_new(spec.id, JobRecord(OPEN, spec.tasks, spec))
     if not controller.gate.open:
-        # The old layout can't hold it: it is not accepted, but may be retried later.
+        # The old layout cannot hold the spec: it is refused, but may be submitted again later.
         assert not controller.layout.record_fits(encode(record))
         return 1
     writes = [*first, Write(f"pt/jobs/{spec.id}", encode(record))]
-    for number, change in enumerate(reversed(writes)):  # a full read may find the record first
+    for number, change in enumerate(reversed(writes)):  # a full read may return the record first
         controller.replica.apply_own_commit([change], 10**6 + number)
     assert controller.job_index.jobs[spec.id].spec == spec
     return max(len(change.value or b"") for change in writes)
@@ -113,24 +116,24 @@
 
 def catalog(controller: Controller) -> int:
     zones = [f"{LONG[:20]}{i}" for i in range(8)]
-    found = [cloud_api.MachineType(f"{LONG[:20]}{i}", 1.5, 2.5, zones=zones) for i in range(15)]
-    changes = controller.autoscaler.catalog.lay_out(found)
+    types = [cloud_api.MachineType(f"{LONG[:20]}{i}", 1.5, 2.5, zones=zones) for i in range(15)]
+    changes = controller.autoscaler.catalog.lay_out(types)
     controller.replica.apply_own_commit(changes, 10**6)
-    assert controller.autoscaler.types == {kind.name: kind for kind in found}
+    assert controller.autoscaler.types == {kind.name: kind for kind in types}
     return max(len(change.value or b"") for change in changes)
 
 
 def submission_batcher(controller: Controller) -> int:
-    """Return the size of a transaction with as many submissions as are batched."""
-    found = SubmissionBatcher(controller.state_store, controller.replica)
+    """Return the size of a transaction with the largest batch of submissions."""
+    batcher = SubmissionBatcher(controller.state_store, controller.replica)
     controller.state_store.write_limit.resize(1000.0)
     for number in range(1000):
         value = encode(JobRecord(OPEN, 800, _job_spec(800), 1.7e9, [TaskRange(0, 800, 1)]))
         key = f"pt/jobs/wk-{number:018d}"
-        found.queued.append(
+        batcher.queued.append(
             PendingSubmission(key, Write(key, value), {key: 0, "pt/parts/1": 10**12})
         )
-    batch = found.take_batch()
+    batch = batcher.take_batch()
     assert 0 < len(batch) <= controller.state_store.limits.txn_ops
     conditions = [
         state_store_api.Precondition(k, v) for p in batch for k, v in p.preconditions.items()
@@ -142,7 +145,7 @@
 
 
 def commands(controller: Controller) -> int:
-    """Return the size of a heartbeat response with 500 commands, the most it may hold."""
+    """Return the size of a heartbeat response with 500 commands, the maximum."""
     command = agent_api.Command(agent_api.STOP, "wk-" + "9" * 18 + "/99999", 2**63, 10.0)
     return len(msgspec.json.encode(agent_api.HeartbeatResponse(2**40, [command] * 500)))
 
@@ -177,8 +180,8 @@
     (commands, 64 * KIB),
     (heartbeat, 4 * KIB * KIB),
 ]
-# Today's limits alone, and with lower ones announced: while a member of an earlier version
-# is left (values as today), and once the format gate is open.
+# Today's limits alone, and with lower limits announced, each with the format gate closed (a member
+# runs an earlier version, so today's limit of a value applies) and open.
 TODAY = StateLimits(rps=300, write_rps=100, value_kb=8, txn_ops=16)
 ANNOUNCED = StateLimits(
     rps=300, write_rps=100, value_kb=8, txn_ops=16, next=NextStateLimits(value_kb=2, txn_ops=4)
