--- a/tests/state_store/test_rate_limits.py
+++ b/tests/state_store/test_rate_limits.py
@@ -33,8 +33,8 @@
     assert served[-1][0] == pytest.approx(0.78, abs=0.1)
 
 
-def test_progress_leaves_tokens_to_acceptances() -> None:
-    """Guards against progress writes that take the permits of a flood of submissions."""
+def test_progress_leaves_permits_to_submissions() -> None:
+    """Guards against progress writes taking permits that a flood of submissions needs."""
 
     async def main() -> None:
         bucket = TokenBucket(1, 10)
@@ -47,7 +47,7 @@
 
 
 def test_cost_above_the_burst_is_charged_in_full() -> None:
-    """If a batch were charged at most one burst, all controllers together would exceed the limit."""
+    """Charged as one burst, batches would exceed the limit of all controllers together."""
 
     async def main() -> None:
         bucket = TokenBucket(4.0, 4.0)
