--- a/tests/formats/test_golden.py
+++ b/tests/formats/test_golden.py
@@ -1,8 +1,8 @@
-"""Everything that others read, as it is now: messages, stored records, printed texts.
+"""Golden tests of all external formats: messages, stored records, printed texts.
 
-Neighbouring versions, agents, the cloud, the state store and operators rely on these forms,
-so a change of one is a change of format and never a side effect of a renaming. The expected
-values are literals; `golden_forms` holds the longer ones.
+Neighbouring versions, agents, the cloud, the state store and operators depend on these formats,
+so any change is a format change and must not be a side effect of a rename. The expected values
+are literals; `golden_forms` holds the longer ones.
 """
 
 from __future__ import annotations
@@ -113,7 +113,7 @@
 
 PROTOCOL_MODULES = [agent_api, cloud_api, state_store_api, user_api]
 
-# By the labels of `golden_forms`, which stay when a type is renamed.
+# Types by the labels of `golden_forms`, which do not change when a type is renamed.
 PROTOCOL_TYPES: dict[str, type[Any]] = {
     "JobSpec": JobSpec,
     "TaskReport": TaskStatus,
@@ -165,30 +165,30 @@
 LABELS = [*PROTOCOL, *RECORDS]
 
 
-def plain(value: Any) -> Any:
-    """A value with its structs as tuples, so that field names don't matter."""
+def as_tuples(value: Any) -> Any:
+    """Return a value with structs replaced by tuples, to compare it without field names."""
     if isinstance(value, msgspec.Raw):
         return bytes(value)
     if isinstance(value, msgspec.Struct):
-        return tuple(plain(each) for each in msgspec.structs.astuple(value))
+        return tuple(as_tuples(item) for item in msgspec.structs.astuple(value))
     if isinstance(value, tuple):
-        return tuple(plain(each) for each in value)
+        return tuple(as_tuples(item) for item in value)
     if isinstance(value, list):
-        return [plain(each) for each in value]
+        return [as_tuples(item) for item in value]
     if isinstance(value, dict):
-        return {key: plain(each) for key, each in value.items()}
+        return {key: as_tuples(item) for key, item in value.items()}
     return value
 
 
 def fields_left_at_default(value: msgspec.Struct) -> list[str]:
-    """Fields of an example that tell nothing, as the default would look the same."""
+    """Return the fields of an example that equal their default, so that they test nothing."""
     left = []
-    for each in msgspec.structs.fields(value):
-        default = each.default
-        if each.default_factory is not msgspec.NODEFAULT:
-            default = each.default_factory()
-        if getattr(value, each.name) == default:
-            left.append(each.name)
+    for field in msgspec.structs.fields(value):
+        default = field.default
+        if field.default_factory is not msgspec.NODEFAULT:
+            default = field.default_factory()
+        if getattr(value, field.name) == default:
+            left.append(field.name)
     return left
 
 
@@ -197,22 +197,22 @@
 
 @pytest.mark.parametrize(("kind", "form"), JSON_FORMS, ids=LABELS)
 def test_full_json_example(kind: type[Any], form: JsonForm) -> None:
-    found = msgspec.json.decode(form.full, type=kind)
-    assert msgspec.json.encode(found) == form.full
-    assert plain(found) == form.fields
-    assert not fields_left_at_default(found)
+    decoded = msgspec.json.decode(form.full, type=kind)
+    assert msgspec.json.encode(decoded) == form.full
+    assert as_tuples(decoded) == form.fields
+    assert not fields_left_at_default(decoded)
 
 
 @pytest.mark.parametrize(("kind", "form"), JSON_FORMS, ids=LABELS)
-def test_least_json_example(kind: type[Any], form: JsonForm) -> None:
-    found = msgspec.json.decode(form.least, type=kind)
-    assert plain(found) == form.least_fields
-    assert msgspec.json.encode(found) == form.least_encoded
-    assert msgspec.json.decode(form.least_encoded, type=kind) == found
+def test_minimal_json_example(kind: type[Any], form: JsonForm) -> None:
+    decoded = msgspec.json.decode(form.least, type=kind)
+    assert as_tuples(decoded) == form.least_fields
+    assert msgspec.json.encode(decoded) == form.least_encoded
+    assert msgspec.json.decode(form.least_encoded, type=kind) == decoded
 
 
 def test_transaction() -> None:
-    """It is only sent: no decoder could tell a write from a removal."""
+    """Transactions are only encoded: a decoder could not distinguish a write from a removal."""
     sent = Transaction(
         [Precondition("pt/a", 3), Precondition("pt/b", 0)],
         [Put("pt/a", msgspec.Raw(b'{"x":1}'), 7), Put("pt/b", msgspec.Raw(b"2")), Delete("pt/c")],
@@ -223,7 +223,7 @@
     )
 
 
-def test_every_type_of_the_protocol_is_here() -> None:
+def test_every_protocol_type_has_a_golden_form() -> None:
     defined = {
         each
         for module in PROTOCOL_MODULES
@@ -235,7 +235,7 @@
     assert list(PROTOCOL_TYPES) == list(PROTOCOL)
 
 
-def test_words_of_the_protocol() -> None:
+def test_constants_of_the_protocol() -> None:
     assert RANKS == ("production", "urgent", "standard", "idle")
     assert (ARRAY, GANG, SERVICE) == ("sweep", "gang", "standing")
     assert (START, STOP, ACKNOWLEDGE) == ("start", "kill", "forget")
@@ -278,19 +278,19 @@
 
 @pytest.mark.parametrize(("kind", "form"), PACKED_FORMS, ids=MESSAGES)
 def test_full_message(kind: type[Any], form: PackedForm) -> None:
-    found = decode_message(bytes.fromhex(form.full))
-    assert type(found) is kind
-    assert encode_message(found).hex() == form.full
-    assert plain(found) == form.fields
-    assert not fields_left_at_default(found)
+    decoded = decode_message(bytes.fromhex(form.full))
+    assert type(decoded) is kind
+    assert encode_message(decoded).hex() == form.full
+    assert as_tuples(decoded) == form.fields
+    assert not fields_left_at_default(decoded)
 
 
 @pytest.mark.parametrize(("kind", "form"), PACKED_FORMS, ids=MESSAGES)
-def test_least_message(kind: type[Any], form: PackedForm) -> None:
-    found = decode_message(bytes.fromhex(form.least))
-    assert type(found) is kind
-    assert plain(found) == form.least_fields
-    assert encode_message(found).hex() == form.least_encoded
+def test_minimal_message(kind: type[Any], form: PackedForm) -> None:
+    decoded = decode_message(bytes.fromhex(form.least))
+    assert type(decoded) is kind
+    assert as_tuples(decoded) == form.least_fields
+    assert encode_message(decoded).hex() == form.least_encoded
 
 
 def test_flags_of_a_machine() -> None:
@@ -317,13 +317,13 @@
 
 def controller_of(gate_open: bool) -> Controller:
     config = settings(NODE, state=STATE)
-    found = Controller(config, policy_module.parse("", config))
+    controller = Controller(config, policy_module.parse("", config))
     if gate_open:
-        found.replica.apply_committed("pt/format", FORMAT_RECORD, 9)
-    return found
+        controller.replica.apply_committed("pt/format", FORMAT_RECORD, 9)
+    return controller
 
 
-def on_clock(body: Callable[[], None]) -> None:
+def run_on_mock_clock(body: Callable[[], None]) -> None:
     async def run() -> None:
         body()
 
@@ -349,7 +349,7 @@
         assert (GATE_KEY, CURRENT_FORMAT) == ("pt/format", 2)
         assert controller_of(False).gate.record() == FORMAT_RECORD
 
-    on_clock(body)
+    run_on_mock_clock(body)
 
 
 def test_keys_of_a_job() -> None:
@@ -360,7 +360,7 @@
 
 
 def test_layout_widths() -> None:
-    """Where records of each size are cut; under 0.5.1 they depend on the width alone."""
+    """Chunk sizes by the size limit of a value; those of 0.5.1 depend on that limit alone."""
     kilobytes = (1, 2, 8, 64)
     assert [finished_tasks.max_inline_tasks(kb * 1024) for kb in kilobytes] == [
         1536,
@@ -377,7 +377,7 @@
     assert [legacy.tasks_per_chunk(kb) for kb in kilobytes] == [3072, 6144, 24576, 196608]
     assert [legacy.machines_per_chunk(kb) for kb in kilobytes] == [5, 10, 40, 327]
     assert [machine_layout.machines_per_chunk(kb * 1024) for kb in kilobytes] == [7, 15, 61, 491]
-    assert [machine_layout.chunk_of(place, 7) for place in (0, 6, 7, 120)] == [
+    assert [machine_layout.chunk_of(position, 7) for position in (0, 6, 7, 120)] == [
         7000000000,
         7000000000,
         7000000001,
@@ -385,13 +385,13 @@
     ]
 
 
-def test_pieces_of_a_text() -> None:
+def test_chunks_of_a_text() -> None:
     ref, values = text_chunks.split('one "two" \\ three\nกข', 16)
     assert ref == ("49593c2b2478f341", 3)
     assert values == [b'"one \\"two\\" "', b'"\\\\ three\\n"', b'"\xe0\xb8\x81\xe0\xb8\x82"']
 
 
-def test_packed_tasks() -> None:
+def test_encoded_task_bitmap() -> None:
     bits = TaskBitmap(20)
     for task in (0, 2, 9, 19):
         bits.add(task)
@@ -404,7 +404,7 @@
     def body() -> None:
         assert controller_of(gate_open).agents.records.chunk_of("i-000360") == chunk
 
-    on_clock(body)
+    run_on_mock_clock(body)
 
 
 @pytest.mark.parametrize(
@@ -420,12 +420,12 @@
         controller.replica.apply_committed("pt/shares", b'{"other":[[1.0,0.0],[2.0,0.5]]}', 10)
         shares = controller.scheduler.quotas.shares
         assert shares.of("other") == [(1.0, 0.0), (2.0, 0.5)]
-        rows = [(4.0, 0.0), (2.5, 1.0)]
-        assert stored([shares.change("a b/c", rows)]) == [(key, value)]
+        new_shares = [(4.0, 0.0), (2.5, 1.0)]
+        assert stored([shares.change("a b/c", new_shares)]) == [(key, value)]
         controller.replica.apply_committed(key, value, 11)
-        assert shares.of("a b/c") == rows
+        assert shares.of("a b/c") == new_shares
 
-    on_clock(body)
+    run_on_mock_clock(body)
 
 
 def machine_type(name: str) -> bytes:
@@ -437,11 +437,11 @@
 
 @pytest.mark.parametrize("gate_open", [False, True])
 def test_machine_types(gate_open: bool) -> None:
-    """Ten of them are more than the 1 KiB that a value may have."""
+    """Ten machine types exceed the limit of 1 KiB for a value."""
     names = [f"type-{number}" for number in range(10)]
 
-    def page(of: list[str]) -> bytes:
-        return b"[" + b",".join(machine_type(name) for name in of) + b"]"
+    def page(page_names: list[str]) -> bytes:
+        return b"[" + b",".join(machine_type(name) for name in page_names) + b"]"
 
     expected: list[tuple[str, bytes | None]] = [("pt/types", page(names))]
     if gate_open:
@@ -453,16 +453,16 @@
 
     def body() -> None:
         controller = controller_of(gate_open)
-        kinds = controller.autoscaler.catalog
+        catalog = controller.autoscaler.catalog
         controller.replica.apply_committed("pt/types", page(names), 10)
-        assert stored(kinds.lay_out(list(kinds.known.values()))) == expected
+        assert stored(catalog.lay_out(list(catalog.known.values()))) == expected
 
-    on_clock(body)
+    run_on_mock_clock(body)
 
 
 @pytest.mark.parametrize("gate_open", [False, True])
 def test_new_job(gate_open: bool) -> None:
-    """Many tasks: format 2 keeps what is done in keys of its own."""
+    """The job has many tasks: format 2 stores its finished tasks in separate keys."""
 
     def body() -> None:
         controller = controller_of(gate_open)
@@ -475,11 +475,11 @@
         assert not first
         assert msgspec.json.encode(record) == open_record(5000, more)
 
-    on_clock(body)
+    run_on_mock_clock(body)
 
 
 LONG_IMAGE = b"i" * 900
-SPEC_PIECES: list[tuple[str, bytes | None]] = [
+SPEC_CHUNKS: list[tuple[str, bytes | None]] = [
     (
         "pt/text/wk-000001/f29b476e0a94946c/0",
         b'"{\\"ref\\":\\"wk-000001\\",\\"vintage\\":\\"c\\",\\"crew\\":\\"free\\",\\"cut\\":\\"sweep\\",'
@@ -499,30 +499,30 @@
         controller = controller_of(True)
         spec = msgspec.json.decode(SPEC % (6, LONG_IMAGE), type=JobSpec)
         first, record = controller.layout.lay_out_new("wk-000001", JobRecord(OPEN, 6, spec, 2.5))
-        assert stored(first) == SPEC_PIECES
+        assert stored(first) == SPEC_CHUNKS
         assert msgspec.json.encode(record) == (
             b'{"stage":"open","tasks":6,"at":2.5,"spec_text":%s}' % SPEC_REF
         )
 
-    on_clock(body)
+    run_on_mock_clock(body)
 
 
-def test_long_spec_is_read_from_its_pieces() -> None:
+def test_long_spec_is_read_from_its_chunks() -> None:
     def body() -> None:
         controller = controller_of(True)
-        for number, (key, value) in enumerate(SPEC_PIECES):
+        for number, (key, value) in enumerate(SPEC_CHUNKS):
             controller.replica.apply_committed(key, value or b"", 10 + number)
         value = b'{"stage":"open","tasks":6,"at":2.5,"spec_text":%s}' % SPEC_REF
         controller.replica.apply_committed("pt/jobs/wk-000001", value, 20)
-        found = controller.job_index.jobs["wk-000001"]
-        assert msgspec.json.encode(found.spec) == SPEC % (6, LONG_IMAGE)
-        assert controller.layout.encode_record(found, found.record) == value
+        job_ = controller.job_index.jobs["wk-000001"]
+        assert msgspec.json.encode(job_.spec) == SPEC % (6, LONG_IMAGE)
+        assert controller.layout.encode_record(job_, job_.record) == value
 
-    on_clock(body)
+    run_on_mock_clock(body)
 
 
 def test_conversion_of_a_job_of_the_old_format() -> None:
-    """Its finished tasks go into keys of their own, its spec into pieces."""
+    """Finished tasks are moved to separate keys, and the spec is split into chunks."""
 
     def body() -> None:
         controller = controller_of(True)
@@ -531,9 +531,9 @@
         more = b',"at":2.5,"ranges":[[0,9000,0]]'
         old = open_record(9000, more, LONG_IMAGE)
         controller.replica.apply_committed("pt/jobs/wk-000001", old, 12)
-        found = controller.job_index.jobs["wk-000001"]
-        assert controller.layout.needs_conversion(found)
-        first, record = controller.layout.convert(found)
+        job_ = controller.job_index.jobs["wk-000001"]
+        assert controller.layout.needs_conversion(job_)
+        first, record = controller.layout.convert(job_)
         assert [write.key for write in first[2:]] == [
             "pt/text/wk-000001/ffd3fd853c0ec1a0/0",
             "pt/text/wk-000001/ffd3fd853c0ec1a0/1",
@@ -542,9 +542,9 @@
             ("pt/done/wk-000001/0", b'"BQ%s"' % (b"A" * 510)),
             ("pt/done/wk-000001/6144", b'"Ag%s"' % (b"A" * 474)),
         ]
-        assert controller.layout.encode_record(found, record) == CONVERTED
+        assert controller.layout.encode_record(job_, record) == CONVERTED
 
-    on_clock(body)
+    run_on_mock_clock(body)
 
 
 CONVERTED = (
@@ -566,14 +566,14 @@
     def body() -> None:
         controller = controller_of(False)
         controller.replica.apply_committed("pt/jobs/wk-000001", open_record(tasks, more), 10)
-        found = controller.job_index.jobs["wk-000001"]
+        job_ = controller.job_index.jobs["wk-000001"]
         joined = TaskBitmap(tasks)
         for task in (1, 5):
-            found.local.add(task)
+            job_.local.add(task)
             joined.add(task)
-        assert stored(controller.layout.progress(found, joined)) == [expected]
+        assert stored(controller.layout.progress(job_, joined)) == [expected]
 
-    on_clock(body)
+    run_on_mock_clock(body)
 
 
 def test_keys_removed_after_a_job() -> None:
@@ -585,10 +585,10 @@
         controller.replica.apply_committed("pt/jobs/wk-000001", b'{"stage":"done","tasks":6}', 20)
         assert controller.cleanup.left_over(10) == keys
 
-    on_clock(body)
+    run_on_mock_clock(body)
 
 
-def test_cancellation_told_by_a_peer() -> None:
+def test_cancellation_received_from_a_peer() -> None:
     def body() -> None:
         controller = controller_of(True)
         values: list[tuple[str, bytes | None, int]] = []
@@ -598,10 +598,10 @@
             ("jobs/wk-000001", b'{"stage":"withdrawn","tasks":6,"count":2}', 12),
         ]
 
-    on_clock(body)
+    run_on_mock_clock(body)
 
 
-# What three controllers leave behind; process names are random, each is <incarnation>.
+# All keys stored by three controllers; random incarnations are replaced by <incarnation>.
 STORED = {
     "pt/fleet/0/61000000000": '{"i-000003":["big","a",false,"10.1.0.1:9003"],'
     '"i-000006":["big","a",true,"10.1.0.1:9006"]}',
@@ -629,29 +629,29 @@
 
 
 def test_all_that_is_stored(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Three controllers: a job that ends, one that is cancelled, a service that goes on."""
-    found: dict[str, tuple[Any, int, int | None]] = {}
+    """Run three controllers with a finished job, a cancelled job and a running service."""
+    items: dict[str, tuple[Any, int, int | None]] = {}
 
-    async def body(at: Simulation) -> None:
-        await at.submit(job(1))
-        await at.submit(job(2, realS=100.0, ripenS=100.0))
-        await at.submit(job(3, cut="standing", rows=1))
+    async def body(sim: Simulation) -> None:
+        await sim.submit(job(1))
+        await sim.submit(job(2, realS=100.0, ripenS=100.0))
+        await sim.submit(job(3, cut="standing", rows=1))
         await trio.sleep(5)
-        await at.cancel("wk-000002")
-        await at.finish(["wk-000001", "wk-000002"])
+        await sim.cancel("wk-000002")
+        await sim.finish(["wk-000001", "wk-000002"])
         await trio.sleep(3)
-        found.update(at.state_store.items)
+        items.update(sim.state_store.items)
 
     simulation.run(monkeypatch, body)
     values = {
-        key: re.sub('"[0-9a-f]{16}"', '"<incarnation>"', json.dumps(row[0], separators=(",", ":")))
-        for key, row in sorted(found.items())
+        key: re.sub('"[0-9a-f]{16}"', '"<incarnation>"', json.dumps(item[0], separators=(",", ":")))
+        for key, item in sorted(items.items())
     }
     assert values == STORED
-    assert sorted(key for key, row in found.items() if row[2] is not None) == LEASED
+    assert sorted(key for key, item in items.items() if item[2] is not None) == LEASED
     for node, shard in (("n0", "0"), ("n1", "1"), ("n2", "2")):
-        leader = found[f"pt/parts/{shard}"][0]["incarnation"]
-        assert found[f"pt/nodes/{node}"][0]["incarnation"] == leader
+        leader = items[f"pt/parts/{shard}"][0]["incarnation"]
+        assert items[f"pt/nodes/{node}"][0]["incarnation"] == leader
 
 
 # --- what operators write and read --------------------------------------------------------------
@@ -739,7 +739,7 @@
 mem_mb = 512
 max_connections = 900
 """
-LEAST_SETTINGS = """\
+MINIMAL_SETTINGS = """\
 node_name = "c-0"
 public_addr = "10.0.0.1:8080"
 peer_bind = "10.0.0.1:8081"
@@ -786,7 +786,7 @@
 state.value_kb = 4 (today 16)
 state.txn_ops = 6 (today 12)
 """
-CHECKED_LEAST = """\
+CHECKED_MINIMAL = """\
 admit_wait = 0.75
 bound = 2
 call_timeout = 2.1
@@ -884,16 +884,16 @@
 
 
 @pytest.fixture(autouse=True)
-def no_policy_of_the_machine(monkeypatch: pytest.MonkeyPatch) -> None:
+def clear_environment(monkeypatch: pytest.MonkeyPatch) -> None:
     for name in ("PITCHTALLY_POLICY", "PITCHTALLY_NODE", "COLUMNS"):
         monkeypatch.delenv(name, raising=False)
 
 
-def checked(folder: Path, text: str, *more: str) -> tuple[int, str, str]:
+def checked(folder: Path, settings_text: str, *more: str) -> tuple[int, str, str]:
     file = folder / "settings.toml"
-    file.write_text(text)
-    found = CliRunner().invoke(main, ["check", "--config", str(file), *more])
-    return found.exit_code, found.stdout, found.stderr.replace(str(folder), "FOLDER")
+    file.write_text(settings_text)
+    result = CliRunner().invoke(main, ["check", "--config", str(file), *more])
+    return result.exit_code, result.stdout, result.stderr.replace(str(folder), "FOLDER")
 
 
 def test_check_with_every_setting(tmp_path: Path) -> None:
@@ -902,11 +902,11 @@
     assert checked(tmp_path, SETTINGS, "--policy", str(policy)) == (0, CHECKED, "")
 
 
-def test_check_with_the_least_settings(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A policy file of the deployment's own would show here: none is part of the project."""
+def test_check_with_minimal_settings(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The project contains no default policy file, so only the settings take effect."""
     assert DEFAULT_POLICY_FILE.parts[-2:] == ("deploy", "policy.conf")
     assert not DEFAULT_POLICY_FILE.exists()
-    assert checked(tmp_path, LEAST_SETTINGS) == (0, CHECKED_LEAST, "")
+    assert checked(tmp_path, MINIMAL_SETTINGS) == (0, CHECKED_MINIMAL, "")
     policy = tmp_path / "policy.conf"
     policy.write_text(POLICY)
     monkeypatch.setenv("PITCHTALLY_POLICY", str(policy))
@@ -931,9 +931,9 @@
     ],
 )
 def test_check_of_wrong_settings(tmp_path: Path, old: str, new: str, message: str) -> None:
-    text = LEAST_SETTINGS.replace(old, new)
-    assert text != LEAST_SETTINGS
-    assert checked(tmp_path, text) == (2, "", f"pitchtally: {message}\n")
+    settings_text = MINIMAL_SETTINGS.replace(old, new)
+    assert settings_text != MINIMAL_SETTINGS
+    assert checked(tmp_path, settings_text) == (2, "", f"pitchtally: {message}\n")
 
 
 @pytest.mark.parametrize(
@@ -947,15 +947,15 @@
 def test_check_of_a_wrong_policy(tmp_path: Path, line: str, message: str) -> None:
     policy = tmp_path / "policy.conf"
     policy.write_text(line)
-    found = checked(tmp_path, LEAST_SETTINGS, "--policy", str(policy))
-    assert found == (2, "", f"pitchtally: {message}\n")
+    result = checked(tmp_path, MINIMAL_SETTINGS, "--policy", str(policy))
+    assert result == (2, "", f"pitchtally: {message}\n")
 
 
 def test_help() -> None:
-    for command, text in HELP.items():
+    for command, expected in HELP.items():
         arguments = [*command.split(), "--help"]
-        found = CliRunner().invoke(main, arguments, prog_name="pitchtally")
-        assert (found.exit_code, found.output) == (0, text), command
+        result = CliRunner().invoke(main, arguments, prog_name="pitchtally")
+        assert (result.exit_code, result.output) == (0, expected), command
     assert len(HELP) == 6
     assert sorted(main.commands) == ["cancel", "check", "serve", "status", "submit"]
 
@@ -971,5 +971,5 @@
 @pytest.mark.parametrize(("earlier", "name"), POLICY_ALIASES)
 def test_earlier_policy_name_is_accepted(earlier: str, name: str) -> None:
     config = settings(NODE)
-    given = policy_module.parse(f"{earlier} = 2.5", config)
-    assert dict(given.items())[name] == 2.5
+    accepted = policy_module.parse(f"{earlier} = 2.5", config)
+    assert dict(accepted.items())[name] == 2.5
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -1,4 +1,4 @@
-"""The feature gate and the stored formats: each version reads what the other writes."""
+"""The format gate, and stored formats: each version reads what the other writes."""
 
 from __future__ import annotations
 
@@ -41,9 +41,9 @@
     ({"n0": NEW, "n1": NEW}, {"n0": "a1", "n1": "a1"}, True),
     ({"n0": NEW, "n1": OLD}, {"n0": "a1", "n1": "a1"}, False),
     ({"n0": NEW}, {"n0": "a1", "n1": "a1"}, False),  # a member without a session lease
-    ({"n0": NEW, "n1": NEW}, {"n0": "a1"}, False),  # its process may have ended since
+    ({"n0": NEW, "n1": NEW}, {"n0": "a1"}, False),  # its process may have ended
     ({"n0": NEW, "n1": NEW}, {"n0": "a1", "n1": "b2"}, False),  # a predecessor's record
-    # restarted with the old version
+    # a member restarted with the old version
     ({"n0": NEW, "n1": NodeRecord("b2")}, {"n0": "a1", "n1": "b2"}, False),
     ({"n0": NEW, "n1": NEW, "n2": OLD}, {"n0": "a1", "n1": "a1"}, True),  # not configured
     ({"n0": NEW, "n1": NodeRecord("a1", reads=CURRENT_FORMAT + 1)}, {"n0": "a1", "n1": "a1"}, True),
@@ -59,7 +59,7 @@
 
 # --- records of 0.5.1, and how it reads the present ones --------------------------------------
 
-# As 0.5.1 stores and sends them: recorded, not made by the code under test.
+# Records as stored by 0.5.1; literals, not produced by the code under test.
 SPEC = (
     '{"ref":"wk-000001","vintage":"c","crew":"free","cut":"sweep","rank":"standard","rows":6,'
     '"vcpus":2.0,"cards":0.0,"memGb":1.0,"cask":"i","pullGb":0.1,"gleaning":true,"ripenS":4.0}'
@@ -124,10 +124,10 @@
     _run(body)
 
 
-def test_what_is_written_while_the_gate_is_closed_is_read_by_earlier_versions(
+def test_earlier_versions_read_records_written_while_the_gate_is_closed(
     earlier: EarlierVersion,
 ) -> None:
-    """Each record is decoded and encoded by the new version, and read by the earlier one."""
+    """The new version decodes and encodes each record, and the earlier one reads it."""
 
     def body() -> None:
         new = _controller()
@@ -162,7 +162,7 @@
     _run(body)
 
 
-def test_messages_are_read_in_both_directions(earlier: EarlierVersion) -> None:
+def test_both_versions_read_each_others_messages(earlier: EarlierVersion) -> None:
     their_messages = earlier.module("control.messages")
     spec = parse_job(json.dumps(submission(job(1))).encode())
     heartbeat = messages.PeerHeartbeat(
@@ -195,14 +195,14 @@
 def test_version_in_production_writes_its_own_chunks_before_it_empties_others(
     production: EarlierVersion,
 ) -> None:
-    """It reads chunks of any width, and writes in the order of their numbers."""
+    """It reads chunks of any width, and writes chunks in the order of their numbers."""
 
     def body() -> None:
         old = production.controller(settings("n2", state=STATE), "")
         width = machine_layout.machines_per_chunk(1024)
-        row = 123
-        their_chunk = old.workers.records.chunk_of(f"i-{row * 3:06d}")
-        our_chunk = machine_layout.chunk_of(row, width)
+        position = 123
+        their_chunk = old.workers.records.chunk_of(f"i-{position * 3:06d}")
+        our_chunk = machine_layout.chunk_of(position, width)
         assert sorted([our_chunk, their_chunk]) == [their_chunk, our_chunk]
         _apply_records(with_present_names(old), {f"fleet/0/{our_chunk}": RECORDS["fleet/0/3"]})
         assert "i-000360" in old.workers.records.of(0)
@@ -210,8 +210,8 @@
     _run(body)
 
 
-def _write_in_present_format(writer: Any, task_ranges: list[Any]) -> dict[str, str | bytes]:
-    """Return the records above as a controller of either version with an open gate writes them."""
+def _write_in_current_format(writer: Any, task_ranges: list[Any]) -> dict[str, str | bytes]:
+    """Return `RECORDS` as written by a controller of either version with an open gate."""
     _apply_records(writer, RECORDS)
     job_ = writer.job_index.jobs["wk-000001"]
     before, record = writer.layout.convert(job_)
@@ -228,7 +228,7 @@
 
 
 @pytest.mark.parametrize("new_writes", [True, False], ids=["new writes", "old writes"])
-def test_what_is_written_with_an_open_gate_is_read_in_both_directions(
+def test_both_versions_read_each_others_records_written_with_an_open_gate(
     new_writes: bool, version_0_6_0: EarlierVersion
 ) -> None:
     def body() -> None:
@@ -239,7 +239,7 @@
         _apply_records(writer, {"format": writer.gate.record()})
         assert writer.gate.open
         assert not reader.gate.open
-        written = _write_in_present_format(writer, [(0, 4, 0), (4, 6, 1)])
+        written = _write_in_current_format(writer, [(0, 4, 0), (4, 6, 1)])
         assert written["jobs/wk-000001"] != RECORDS["jobs/wk-000001"]
         _apply_records(reader, {key: written[key] for key in RECORDS})
         _apply_records(reader, {key: written[key] for key in written if key not in RECORDS})
@@ -268,7 +268,7 @@
 def test_chunks_of_the_old_layout_are_read_at_their_offsets(
     bits_first: bool, next_value_kb: float
 ) -> None:
-    """The width of old chunks must not be derived from the reader's own limits."""
+    """Guards against deriving the width of old chunks from the reader's own limits."""
 
     def body() -> None:
         state = StateLimits(value_kb=2, next=NextStateLimits(value_kb=next_value_kb))
@@ -288,7 +288,7 @@
 
 
 def test_old_chunks_are_read_after_the_settings_have_the_lower_limit() -> None:
-    """The gate's record holds the width: by then `value_kb` itself is the lower limit."""
+    """The width is read from the gate's record, since `value_kb` is the lower limit already."""
 
     def body() -> None:
         upgraded = _controller()
@@ -309,7 +309,7 @@
 @pytest.mark.parametrize("tasks", CONVERTED)
 @pytest.mark.parametrize("steps", [0, 1, 3, 1000], ids=lambda n: f"{n} writes")
 def test_conversion_may_be_interrupted_after_any_write(tasks: int, steps: int) -> None:
-    """Another controller reads the same after any of the writes, and resumes the conversion."""
+    """After any of the writes another controller reads the same tasks and resumes."""
 
     def body() -> None:
         first = _controller(gate_open=True)
@@ -379,10 +379,10 @@
         for n, v in enumerate(values)
     }
     assert text_chunks.join(ref, chunks) == text
-    other, more = text_chunks.split(text + "b", value_bytes)
+    other_ref, other_values = text_chunks.split(text + "b", value_bytes)
     chunks |= {
-        text_chunks.ChunkId(other.digest, n): msgspec.json.decode(v, type=str)
-        for n, v in enumerate(more)
+        text_chunks.ChunkId(other_ref.digest, n): msgspec.json.decode(v, type=str)
+        for n, v in enumerate(other_values)
     }
     assert text_chunks.join(ref, chunks) == text
     if values:
@@ -393,8 +393,11 @@
 # --- team shares --------------------------------------------------------------------------------
 
 
-def test_late_write_of_the_old_shares_does_not_change_a_team_with_its_own() -> None:
-    """It would raise a share that nobody lowers any more, beyond the team's limit."""
+def test_late_write_in_the_old_format_does_not_change_a_team_with_its_own_key() -> None:
+    """Guards against a late write that raises one share without lowering another.
+
+    The shares would then exceed the team's limit together.
+    """
 
     def body() -> None:
         controller = _controller(gate_open=True)
