--- a/pitchtally/membership/freshness.py
+++ b/pitchtally/membership/freshness.py
@@ -75,8 +75,8 @@
 def leadership_verified_until(replica_at: float, replies: Iterable[PeerReply | None]) -> float:
     """Return the time up to which only this node can have renewed leases in its shards.
 
-    Either the store showed this node as the shard's leader, or every peer reported the newest
-    fencing token it has received. That includes failovers by the peer's previous process, since
+    Either the store showed this node as the shard's leader, or every peer replied with the newest
+    fencing tokens in its replica. These include failovers by the peer's previous process, since
     the peer has read the store after that process ended.
     """
     requested_at = all_peers_requested_at(replies)
--- a/pitchtally/membership/session.py
+++ b/pitchtally/membership/session.py
@@ -75,7 +75,7 @@
             )
 
     async def _renew(self) -> bool:
-        """Renew the lease, and write the record if it changed.
+        """Grant or renew the lease, and write the record if it changed.
 
         Returns False if the replica is not loaded yet, so that the caller retries soon.
         """
@@ -84,7 +84,7 @@
         else:
             await self._state_store.renew_lease(self._lease)
         if self._replica.revision < 0:
-            # The version of the stored record is not known yet.
+            # Without a loaded replica there is no version for the compare-and-swap.
             return False
         if self._live_nodes.alive.get(self._identity.name) != self.own_record():
             await self._write_record(self._lease)
--- a/pitchtally/state_store/keys.py
+++ b/pitchtally/state_store/keys.py
@@ -1,8 +1,8 @@
 """Construction and parsing of all keys in the state store.
 
 All keys begin with `ROOT`. A listener of the replica subscribes to a `..._PREFIX` and is called
-with the suffix of the key, which the `parse_...` functions read. Keys are part of the
-stored format: neighbouring versions read the same keys.
+with the suffix of the key, which the `parse_...` functions read. Keys are part of the stored
+format: neighbouring versions read the same keys.
 """
 
 from __future__ import annotations
--- a/pitchtally/state_store/replica.py
+++ b/pitchtally/state_store/replica.py
@@ -22,7 +22,7 @@
 
 log = logging.getLogger(__name__)
 
-# Called with the rest of a key after the prefix, its value (None: removed) and its version.
+# Called with the suffix of a key after the prefix, its value (None: removed) and its version.
 ReplicaListener = Callable[[str, bytes | None, int], None]
 
 _NOT_LOADED = -1
@@ -31,10 +31,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Refresh:
-    """A read of the store whose result the replica includes; times are of the steady clock."""
+    """A read of the store whose result the replica includes; times are steady-clock seconds."""
 
     revision: int  # revision of the store when it replied
-    requested_at: float  # seconds
+    requested_at: float
     replied_at: float
 
 
