--- a/pitchtally/jobs/layout.py
+++ b/pitchtally/jobs/layout.py
@@ -39,8 +39,8 @@
     def __init__(self, gate: FormatGate, limits: StateLimits):
         self.gate = gate
         self.value_bytes = int(limits.value_kb * 1024)
-        self.inline_tasks = finished_tasks.inline_tasks(self.value_bytes)
-        self.chunk_tasks = finished_tasks.chunk_tasks(self.value_bytes)
+        self.inline_tasks = finished_tasks.max_inline_tasks(self.value_bytes)
+        self.chunk_tasks = finished_tasks.tasks_per_chunk(self.value_bytes)
 
     @property
     def max_value_bytes(self) -> int:
@@ -71,7 +71,7 @@
 
     def _move_spec_out(self, id: str, record: JobRecord) -> LaidOutJob:
         """The record without its spec, which goes into chunks of its own."""
-        ref, values = text_chunks.cut(_encode(record.spec).decode(), self.value_bytes)
+        ref, values = text_chunks.split(_encode(record.spec).decode(), self.value_bytes)
         writes = [
             Write(keys.text_chunk(id, ref.digest, number), value)
             for number, value in enumerate(values)
