--- a/pitchtally/protocol/user_api.py
+++ b/pitchtally/protocol/user_api.py
@@ -40,7 +40,9 @@
     spread: bool = field(name="spread", default=False)  # at most half of the tasks in a zone
     spot: bool = field(name="gleaning", default=False)  # spot instances are allowed
     estimate: float = field(name="ripenS", default=1.0)  # seconds that a task runs
-    checkpoint: float = field(name="rackS", default=0.0)  # seconds between checkpoints, 0: none
+    checkpoint_interval: float = field(
+        name="rackS", default=0.0
+    )  # seconds between checkpoints, 0: none
     save: float = field(name="bottleS", default=0.0)  # seconds of grace to write a checkpoint
     deadline: float | None = field(name="harvestS", default=None)  # seconds after acceptance
 
--- a/pitchtally/scheduling/placement/preemption.py
+++ b/pitchtally/scheduling/placement/preemption.py
@@ -228,7 +228,7 @@
             return 0.0
         spec = placement.spec
         lost_s = now - placement.running_since
-        if spec.checkpoint:
+        if spec.checkpoint_interval:
             lost_s = min(lost_s, spec.save)
         tasks = spec.tasks if spec.kind == user_api.GANG else 1  # a gang stops as a whole
         return lost_s * max(placement.resources.cpus, MIN_LOSS_CPUS) * tasks + BASE_LOSS
