--- a/pitchtally/api/validation.py
+++ b/pitchtally/api/validation.py
@@ -25,7 +25,15 @@
 # Field of `JobSpec` -> its name on the wire.
 _WIRE_NAMES = {f.name: f.encode_name for f in msgspec.structs.fields(user_api.JobSpec)}
 _OPTIONAL = {"types", "zone", "deadline"}
-_AMOUNTS = ("cpus", "gpus", "memory", "image_gb", "estimate", "checkpoint_interval", "save")
+_AMOUNTS = (
+    "cpus",
+    "gpus",
+    "memory",
+    "image_gb",
+    "estimate",
+    "checkpoint_interval",
+    "checkpoint_grace",
+)
 
 
 class InvalidSubmission(Exception):
--- a/pitchtally/protocol/user_api.py
+++ b/pitchtally/protocol/user_api.py
@@ -43,7 +43,9 @@
     checkpoint_interval: float = field(
         name="rackS", default=0.0
     )  # seconds between checkpoints, 0: none
-    save: float = field(name="bottleS", default=0.0)  # seconds of grace to write a checkpoint
+    checkpoint_grace: float = field(
+        name="bottleS", default=0.0
+    )  # seconds of grace to write a checkpoint
     deadline: float | None = field(name="harvestS", default=None)  # seconds after acceptance
 
     @property
--- a/pitchtally/scheduling/gangs/range_return.py
+++ b/pitchtally/scheduling/gangs/range_return.py
@@ -79,7 +79,7 @@
         begun = bool(job.finished.count or job.local)
         if job.record.attempt and not is_fully_assigned(job) and not begun:
             for placement in list(allocation.placed.values()):
-                self.agents.stop(placement, job.spec.save)
+                self.agents.stop(placement, job.spec.checkpoint_grace)
 
     def _should_return(self, state: ShardState, allocation: ShardAllocation) -> bool:
         """Whether a job has been pending here for too long, or its attempt has failed."""
--- a/pitchtally/scheduling/placement/draining.py
+++ b/pitchtally/scheduling/placement/draining.py
@@ -47,4 +47,6 @@
                 if ends_in_time and not spec.is_service:
                     continue
                 for each in state.with_gang(placement):
-                    self.agents.stop(each, each.spec.save if each.spec.checkpoint_interval else 0.0)
+                    self.agents.stop(
+                        each, each.spec.checkpoint_grace if each.spec.checkpoint_interval else 0.0
+                    )
--- a/pitchtally/scheduling/placement/preemption.py
+++ b/pitchtally/scheduling/placement/preemption.py
@@ -149,8 +149,8 @@
         victims = [victim for step in chosen for victim in step.victims]
         for victim in victims:
             for each in state.with_gang(victim):
-                self.agents.stop(each, each.spec.save)
-        grace_s = max(victim.spec.save for victim in victims)
+                self.agents.stop(each, each.spec.checkpoint_grace)
+        grace_s = max(victim.spec.checkpoint_grace for victim in victims)
         id = allocation.job.id
         until = now + grace_s + self.agent_heartbeat_s * RESERVATION_INTERVALS
         for step in chosen:
@@ -229,7 +229,7 @@
         spec = placement.spec
         lost_s = now - placement.running_since
         if spec.checkpoint_interval:
-            lost_s = min(lost_s, spec.save)
+            lost_s = min(lost_s, spec.checkpoint_grace)
         tasks = spec.tasks if spec.kind == user_api.GANG else 1  # a gang stops as a whole
         return lost_s * max(placement.resources.cpus, MIN_LOSS_CPUS) * tasks + BASE_LOSS
 
--- a/pitchtally/scheduling/shards/shard_states.py
+++ b/pitchtally/scheduling/shards/shard_states.py
@@ -236,5 +236,5 @@
         if job.spec.kind == user_api.GANG and not job.is_finished(placement.task):
             # The other tasks can't go on; the next attempt starts once all are stopped.
             for other in list(allocation.placed.values()):
-                self.agents.stop(other, job.spec.save)
+                self.agents.stop(other, job.spec.checkpoint_grace)
         self.planning_trigger.set()
