--- a/pitchtally/autoscaling/machine_health.py
+++ b/pitchtally/autoscaling/machine_health.py
@@ -194,4 +194,4 @@
 
     def _boot_seconds(self, machine_type: str) -> float:
         catalog_entry = self._machine_types().get(machine_type)
-        return catalog_entry.boot if catalog_entry else DEFAULT_BOOT_S
+        return catalog_entry.boot_time if catalog_entry else DEFAULT_BOOT_S
--- a/pitchtally/autoscaling/scale_in.py
+++ b/pitchtally/autoscaling/scale_in.py
@@ -121,7 +121,7 @@
             machine_type = types.get(status.type)
             if machine_type is None or status.flag or status.name in self._draining:
                 continue
-            if slack > machine_type.boot * READY_BOOTS:
+            if slack > machine_type.boot_time * READY_BOOTS:
                 continue
             group = MachineGroupKey(status.type, status.zone, status.spot)
             fitting = tasks_per_machine(spec, group, types)
--- a/pitchtally/autoscaling/scale_out.py
+++ b/pitchtally/autoscaling/scale_out.py
@@ -168,7 +168,9 @@
             if fitting:
                 machine_type = types[group.type]
                 price = price_of(machine_type, spot=group.spot)
-                options.append(_LaunchOption(price / fitting, machine_type.boot, group, fitting))
+                options.append(
+                    _LaunchOption(price / fitting, machine_type.boot_time, group, fitting)
+                )
         return min(options, default=None)
 
     def _missing_tasks(self, demand: PendingDemand, machines: Collection[MachineStatus]) -> float:
--- a/pitchtally/protocol/cloud_api.py
+++ b/pitchtally/protocol/cloud_api.py
@@ -29,7 +29,9 @@
     fetch_rate: float = field(name="fetchGbPerS", default=1.0)  # of images
     price: float = field(name="rate", default=1.0)  # on demand
     spot_price: float | None = field(name="spotPrice", default=None)  # None: no spot instances
-    boot: float = field(name="readyS", default=30.0)  # usual seconds from launch to first heartbeat
+    boot_time: float = field(
+        name="readyS", default=30.0
+    )  # usual seconds from launch to first heartbeat
     zones: list[str] = field(name="parcels", default_factory=list)
 
 
--- a/tests/autoscaling/cluster_views.py
+++ b/tests/autoscaling/cluster_views.py
@@ -21,8 +21,8 @@
 
 from ..harness.simulation import job, settings, submission
 
-BIG = cloud_api.MachineType("big", 8.0, 32.0, price=1.0, spot_price=0.3, boot=3.0, zones=["a"])
-SMALL = cloud_api.MachineType("small", 4.0, 32.0, price=0.4, boot=3.0, zones=["a"])
+BIG = cloud_api.MachineType("big", 8.0, 32.0, price=1.0, spot_price=0.3, boot_time=3.0, zones=["a"])
+SMALL = cloud_api.MachineType("small", 4.0, 32.0, price=0.4, boot_time=3.0, zones=["a"])
 
 
 def config() -> AutoscalerConfig:
