--- a/pitchtally/agents/heartbeats/status_intake.py
+++ b/pitchtally/agents/heartbeats/status_intake.py
@@ -90,6 +90,14 @@
         if machine.lost:
             machine.lost = False
             machine.idle_since = now
-        if status.notice is not None and machine.preemption_at is None:
-            log.info("preemption notice machine=%s in=%.1f", machine.name, status.notice)
-        machine.preemption_at = None if status.notice is None else now + status.notice
+        if status.seconds_until_preemption is not None and machine.preemption_at is None:
+            log.info(
+                "preemption notice machine=%s in=%.1f",
+                machine.name,
+                status.seconds_until_preemption,
+            )
+        machine.preemption_at = (
+            None
+            if status.seconds_until_preemption is None
+            else now + status.seconds_until_preemption
+        )
--- a/pitchtally/protocol/agent_api.py
+++ b/pitchtally/protocol/agent_api.py
@@ -55,7 +55,9 @@
     type: str = field(name="press", default="")
     zone: str = field(name="parcel", default="")
     spot: bool = field(name="gleaning", default=False)
-    notice: float | None = field(name="recallS", default=None)  # seconds until its preemption
+    seconds_until_preemption: float | None = field(
+        name="recallS", default=None
+    )  # seconds until its preemption
     tasks: list[TaskStatus] = field(name="rows", default_factory=list)
 
 
