--- a/pitchtally/protocol/state_store_api.py
+++ b/pitchtally/protocol/state_store_api.py
@@ -42,7 +42,7 @@
     events: list[Event] = field(name="log", default_factory=list)
 
 
-class Revision(Struct):
+class TransactionResult(Struct):
     """The store's revision, and the keys whose preconditions failed."""
 
     revision: int = field(name="ledger")
--- a/pitchtally/state_store/client.py
+++ b/pitchtally/state_store/client.py
@@ -54,7 +54,7 @@
 
 _page_decoder = msgspec.json.Decoder(state_store_api.StoredPage)
 _events_decoder = msgspec.json.Decoder(state_store_api.Events)
-_revision_decoder = msgspec.json.Decoder(state_store_api.Revision)
+_result_decoder = msgspec.json.Decoder(state_store_api.TransactionResult)
 _lease_decoder = msgspec.json.Decoder(state_store_api.LeaseGrant)
 _encode = msgspec.json.encode
 
@@ -171,9 +171,9 @@
             "POST", _COMMIT_PATH, body, priority=priority, on_dispatched=on_dispatched
         )
         if response.status == 200:
-            return self._decode(_revision_decoder, response.body).revision
+            return self._decode(_result_decoder, response.body).revision
         if response.status == 409:
-            raise CompareFailed(self._decode(_revision_decoder, response.body).failed)
+            raise CompareFailed(self._decode(_result_decoder, response.body).failed)
         if response.status == 400 and b"lease" in response.body:
             raise LeaseExpired
         cause = f"status {response.status}: {response.body[:_LOGGED_REPLY_BYTES]!r}"
--- a/tests/formats/test_golden.py
+++ b/tests/formats/test_golden.py
@@ -90,10 +90,10 @@
     LeaseRequest,
     Precondition,
     Put,
-    Revision,
     StoredItem,
     StoredPage,
     Transaction,
+    TransactionResult,
 )
 from pitchtally.protocol.user_api import (
     ARRAY,
@@ -133,7 +133,7 @@
     "StoredPage": StoredPage,
     "Event": Event,
     "Events": Events,
-    "Revision": Revision,
+    "Revision": TransactionResult,
     "Condition": Precondition,
     "Put": Put,
     "Delete": Delete,
