--- a/pitchtally/autoscaling/cloud_client.py
+++ b/pitchtally/autoscaling/cloud_client.py
@@ -72,7 +72,9 @@
         after = ""
         while True:
             since = f"since={after}&" if after else ""
-            body = await self._call("GET", f"/machines?{since}limit={cloud_api.LIST_PAGE}")
+            body = await self._call(
+                "GET", f"/machines?{since}limit={cloud_api.MACHINES_PER_LIST_PAGE}"
+            )
             page = _decode(body, cloud_api.MachineList)
             found.update((machine.name, machine) for machine in page.machines)
             if not page.more or not page.machines:
--- a/pitchtally/autoscaling/scale_out.py
+++ b/pitchtally/autoscaling/scale_out.py
@@ -143,7 +143,9 @@
             missing = self._missing_tasks(demand, machines)
             if missing > 0:
                 count = int(missing / cheapest.tasks_per_machine + 0.999)
-                return MissingMachines(cheapest.group, max(1, min(count, cloud_api.MAX_LAUNCH)))
+                return MissingMachines(
+                    cheapest.group, max(1, min(count, cloud_api.MAX_MACHINES_PER_LAUNCH))
+                )
         return None
 
     def _groups(self) -> Iterable[MachineGroupKey]:
--- a/pitchtally/autoscaling/terminations.py
+++ b/pitchtally/autoscaling/terminations.py
@@ -63,7 +63,7 @@
         Raises `CloudUnavailable`; what is left is tried again by the next call.
         """
         while self._requested and is_verified():
-            names = list(self._requested)[: cloud_api.MAX_TERMINATE]
+            names = list(self._requested)[: cloud_api.MAX_MACHINES_PER_TERMINATION]
             await self._cloud.terminate(names)
             now = trio.current_time()
             for name in names:
--- a/pitchtally/protocol/cloud_api.py
+++ b/pitchtally/protocol/cloud_api.py
@@ -13,9 +13,9 @@
 FAILED = "failed"
 
 # Limits of the API: machines in one launch, in one termination, and on one page of the list.
-MAX_LAUNCH = 50
-MAX_TERMINATE = 100
-LIST_PAGE = 500
+MAX_MACHINES_PER_LAUNCH = 50
+MAX_MACHINES_PER_TERMINATION = 100
+MACHINES_PER_LIST_PAGE = 500
 
 
 class MachineType(Struct):
