--- a/pitchtally/api/status.py
+++ b/pitchtally/api/status.py
@@ -74,7 +74,7 @@
 
     def found(self, job: Job, read: Refresh | None = None) -> Response:
         """The answer for a job that exists; `read` may be None only if the job is over."""
-        decision = Decision.FOUND if job.open else Decision.FOUND_OVER
+        decision = Decision.FOUND if job.open else Decision.FOUND_FINISHED
         self._on_decision(decision, job.id, DecisionReason(version=job.version, read=read))
         return job_response(200, self._view(job))
 
--- a/pitchtally/observability/decision_log.py
+++ b/pitchtally/observability/decision_log.py
@@ -25,7 +25,7 @@
     """What was decided."""
 
     FOUND = "found"  # 200 for a job that goes on
-    FOUND_OVER = "found_over"  # 200 for a job that is done or cancelled
+    FOUND_FINISHED = "found_over"  # 200 for a job that is done or cancelled
     UNKNOWN_JOB = "unknown_job"  # 404
     CANCELLED = "cancelled"  # a cancellation was committed
     DONE = "done"  # a job's end was committed
