--- a/pitchtally/http/__init__.py
+++ b/pitchtally/http/__init__.py
@@ -8,11 +8,11 @@
 """
 
 from .client import Client
-from .messages import MAX_BODY, Address, Handler, HttpError, Request, Response, split_target
+from .messages import MAX_BODY_BYTES, Address, Handler, HttpError, Request, Response, split_target
 from .server import Server
 
 __all__ = [
-    "MAX_BODY",
+    "MAX_BODY_BYTES",
     "Address",
     "Client",
     "Handler",
--- a/pitchtally/http/messages.py
+++ b/pitchtally/http/messages.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-MAX_BODY = 64 * 1024  # bytes
+MAX_BODY_BYTES = 64 * 1024  # bytes
 
 # Host and port, as sockets take them.
 Address = tuple[str, int]
--- a/pitchtally/http/server.py
+++ b/pitchtally/http/server.py
@@ -10,7 +10,7 @@
 
 from .h11_exchange import REQUEST_TIMED_OUT, H11Exchange, send_in_time
 from .header_cache import HeaderCache
-from .messages import MAX_BODY, BadRequestError, Handler, Request, Response, error_response
+from .messages import MAX_BODY_BYTES, BadRequestError, Handler, Request, Response, error_response
 from .sockets import receive
 
 log = logging.getLogger(__name__)
@@ -47,7 +47,7 @@
         max_connections: int,
         idle_timeout: float,
         request_timeout: float,
-        max_body: int = MAX_BODY,
+        max_body: int = MAX_BODY_BYTES,
         priority_paths: frozenset[str] = frozenset(),
     ) -> None:
         """Timeouts are seconds; `max_body` is bytes."""
