--- a/pitchtally/http/__init__.py
+++ b/pitchtally/http/__init__.py
@@ -1,10 +1,10 @@
-"""HTTP over trio with h11: a small server, and a client that pools connections.
+"""HTTP/1.1 over trio with h11: a small server, and a client with a connection pool.
 
-Duty: carry requests and responses between processes. Every read and write is limited in time
-and size, because users, peers and machines hang, answer rubbish or come back late. A `Server`
-owns its inbound connections, a `Client` its pool; nobody else closes them. Invariants: an
-answer is matched to the request that it belongs to or dropped, and no exception of one
-connection ends another. Nothing here knows what the requests mean.
+This package carries requests and responses between processes and doesn't interpret them. Every
+read and write is limited in time and size, because users, peers and machines may hang, send
+malformed data or respond late. Only a `Server` closes its inbound connections, and only a
+`Client` those in its pool. Invariants: a response is either matched to its own request or
+discarded, and an exception on one connection doesn't end another.
 """
 
 from .client import Client
--- a/pitchtally/http/client.py
+++ b/pitchtally/http/client.py
@@ -1,4 +1,4 @@
-"""A client that reuses connections, with a time limit for every call."""
+"""HTTP client that reuses connections and limits the duration of every call."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class _RequestHead(NamedTuple):
-    """A request's head as h11 wrote it, round its target and its length."""
+    """A request's head as h11 wrote it, split at its target and its content length."""
 
     before_target: bytes
     before_length: bytes
     after_length: bytes
 
     def encode(self, target: str, length: int) -> bytes:
-        # The slash before the target is part of the head.
+        # `before_target` ends with the target's leading slash.
         return b"%b%b%b%d%b" % (
             self.before_target,
             target[1:].encode("ascii"),
@@ -42,14 +42,14 @@
 
 
 class _Exchange(NamedTuple):
-    """The outcome of one request."""
+    """A response, and the state in which it left the connection."""
 
     response: Response
-    reusable: bool  # whether the connection can carry another request
+    reusable: bool  # whether the connection can be used for another request
 
 
 class Client:
-    """Calls one kind of server; keeps idle connections for each address."""
+    """HTTP client that keeps idle connections for each server address."""
 
     def __init__(
         self,
@@ -59,10 +59,14 @@
         idle_timeout: float = 20.0,
         max_body: int = 4 * 1024 * 1024,
     ) -> None:
-        """Times are seconds, sizes bytes; `max_idle` is for all addresses together."""
+        """Create a client with an empty connection pool.
+
+        `max_idle_per_address` and `max_idle` limit the idle connections to one address and to all
+        addresses together. `idle_timeout` is in seconds, `max_body` in bytes.
+        """
         self.max_body = max_body
         self.pool = ConnectionPool(max_idle_per_address, max_idle, idle_timeout)
-        # As in `HeaderCache`: what h11 has written, and parsed, before.
+        # Heads that h11 has written or parsed before, as in `HeaderCache`.
         self._request_heads: dict[tuple[str, Address], _RequestHead] = {}
         self._response_heads: dict[bytes, _ResponseHead] = {}
 
@@ -75,10 +79,11 @@
         *,
         timeout: float,
     ) -> Response:
-        """Send one request; raises HttpError if there is no usable answer in time.
+        """Send one request and return its response; `timeout` is in seconds.
 
-        A request that went out on a reused connection is not sent again when the other side
-        had closed it: only the caller knows whether repeating is safe.
+        Raises HttpError if no valid response arrives in time. A request that failed because the
+        server had closed a reused connection is not retried: only the caller knows whether the
+        request is idempotent.
         """
         connection: Connection | None = None
         reusable = False
@@ -90,7 +95,7 @@
                 )
                 return response
         except trio.TooSlowError:
-            raise HttpError(f"no answer in {timeout:g} s") from None
+            raise HttpError(f"no response within {timeout:g} s") from None
         except (OSError, trio.ClosedResourceError, h11.ProtocolError) as error:
             raise HttpError(str(error) or type(error).__name__) from None
         finally:
@@ -101,7 +106,7 @@
                     connection.close()
 
     def drop(self, address: Address) -> None:
-        """Close idle connections, after a failure that the next call should not meet."""
+        """Close the idle connections to an address, so that the next call opens a new one."""
         self.pool.drop(address)
 
     async def _exchange(
@@ -124,7 +129,7 @@
     async def _read_with_h11(
         self, sock: socket.socket, method: str, address: Address, data: bytes, head_end: int
     ) -> _Exchange:
-        """Read an answer by way of h11, and keep its head if it is a plain one."""
+        """Read a response with h11, and cache its head if it qualifies."""
         connection = h11.Connection(h11.CLIENT)
         connection.send(_h11_request(method, address))
         connection.receive_data(data)
@@ -139,14 +144,16 @@
             elif isinstance(event, h11.Data):
                 body += event.data
                 if len(body) > self.max_body:
-                    raise h11.RemoteProtocolError("answer too long")
+                    raise h11.RemoteProtocolError(
+                        f"response body is longer than {self.max_body} bytes"
+                    )
             elif isinstance(event, h11.EndOfMessage) and head is not None:
                 break
             elif isinstance(event, h11.ConnectionClosed):
-                raise h11.RemoteProtocolError("connection closed")
+                raise h11.RemoteProtocolError("connection closed before the end of the response")
         headers = [(n.decode("latin-1"), v.decode("latin-1")) for n, v in head.headers]
-        # The request that h11 wrote here has another length than the one sent, but it isn't asked
-        # for more than the answer.
+        # This h11 connection holds a placeholder request, whose content length differs from that
+        # of the request sent; h11 is only used to parse the response.
         reusable = connection.their_state is h11.DONE and not connection.trailing_data[0]
         if reusable and 4 <= head_end <= HeaderCache.MAX_HEAD_BYTES:
             self._learn(head, headers, data[:head_end], len(body))
@@ -155,7 +162,7 @@
     def _learn(
         self, head: h11.Response, headers: list[tuple[str, str]], data: bytes, body_length: int
     ) -> None:
-        """Keep a response's head, if nothing about it is special."""
+        """Cache a response's head, unless its headers affect framing or connection reuse."""
         lengths = [int(value) for name, value in headers if name == "content-length"]
         special = any(name in ("connection", "transfer-encoding") for name, _ in headers)
         if head.http_version != b"1.1" or lengths != [body_length] or special:
@@ -198,20 +205,22 @@
     data = h11.Connection(h11.CLIENT).send(_h11_request(method, address)) or b""
     pieces = data.split(HeaderCache.PLACEHOLDER.encode())
     if len(pieces) != 3:
-        raise h11.LocalProtocolError(f"no head for {method} {address}")
+        raise h11.LocalProtocolError(
+            f"request head for {method} {address} has {len(pieces) - 1} placeholders instead of 2"
+        )
     return _RequestHead(*pieces)
 
 
 async def _read_body(
     sock: socket.socket, head: _ResponseHead, data: bytes, head_end: int, length: int
 ) -> _Exchange:
-    """Read the rest of an answer whose head is in the cache."""
+    """Read the rest of a response whose head is in the cache."""
     pieces, missing = [data], head_end + length - len(data)
     while missing > 0:
         pieces.append(await _receive_some(sock))
         missing -= len(pieces[-1])
     body = b"".join(pieces)[head_end : head_end + length]
-    # More than was asked for can't be matched to any request: the connection ends.
+    # Bytes beyond the response match no request, so the connection isn't reused.
     return _Exchange(Response(head.status, body, list(head.headers)), not missing)
 
 
@@ -220,6 +229,6 @@
         await trio.lowlevel.wait_readable(sock)
         data = receive(sock, CHUNK * 4)
         if data == b"" and not end_allowed:
-            raise h11.RemoteProtocolError("connection closed")
+            raise h11.RemoteProtocolError("connection closed before the end of the response")
         if data is not None:
             return data
--- a/pitchtally/http/connection_pool.py
+++ b/pitchtally/http/connection_pool.py
@@ -1,4 +1,4 @@
-"""A client's idle connections, by address."""
+"""Pool of a client's idle connections, by server address."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Connection:
-    """One connection to a server."""
+    """An open connection to a server."""
 
     __slots__ = ("sock", "used_at")
 
@@ -19,11 +19,11 @@
         self.used_at = trio.current_time()
 
     def has_no_input(self) -> bool:
-        """Whether the connection is open and nothing has arrived since the last answer.
+        """Return whether the connection is open and has no unread input.
 
-        HTTP/1.1 matches an answer to its request by the connection alone. What arrived
-        between two requests (a repeated answer, the late rest of one, the end of the stream)
-        would be read as the answer to the next.
+        HTTP/1.1 matches a response to its request only by the order on the connection. Bytes
+        that arrived between two requests (a duplicated response, the late end of one, the end of
+        the stream) would be read as the response to the next request.
         """
         try:
             self.sock.recv(1)
@@ -40,16 +40,16 @@
 
 
 class ConnectionPool:
-    """Keeps idle connections for reuse, a limited number for a limited time."""
+    """Idle connections kept for reuse, limited in number and in idle time."""
 
     def __init__(self, max_per_address: int, max_total: int, idle_timeout: float) -> None:
         self.max_per_address = max_per_address
         self.max_total = max_total
         self.idle_timeout = idle_timeout  # seconds
-        self.idle: dict[Address, list[Connection]] = {}  # least recently used address first
+        self.idle: dict[Address, list[Connection]] = {}  # in order of last use, oldest first
 
     def take(self, address: Address) -> Connection | None:
-        """Take a usable connection out of the pool, the one used last first."""
+        """Remove and return the most recently used open connection to an address, if any."""
         connections = self.idle.get(address)
         while connections:
             connection = connections.pop()
@@ -60,10 +60,14 @@
         return None
 
     def put(self, address: Address, connection: Connection) -> None:
-        """Keep a connection after use; those to hosts that are gone must not pile up."""
+        """Return a connection to the pool after use.
+
+        Closes surplus and expired connections to any address, so that those to terminated hosts
+        don't accumulate.
+        """
         connection.used_at = trio.current_time()
         connections = self.idle.pop(address, [])
-        self.idle[address] = connections  # now the last in order
+        self.idle[address] = connections  # reinserted as the most recently used address
         connections.append(connection)
         if len(connections) > self.max_per_address:
             connections.pop(0).close()
@@ -75,7 +79,7 @@
             connection.close()
 
     def _evict(self) -> None:
-        """Close connections that are too old or too many, from the least used address on."""
+        """Close expired and surplus connections, those of the least recently used address first."""
         oldest_use = trio.current_time() - self.idle_timeout
         while self.idle:
             address, connections = next(iter(self.idle.items()))
--- a/pitchtally/http/h11_exchange.py
+++ b/pitchtally/http/h11_exchange.py
@@ -1,4 +1,4 @@
-"""One request and its response by way of h11, for requests that the head cache can't read."""
+"""Serving one request with h11, for requests whose head isn't in the header cache."""
 
 from __future__ import annotations
 
@@ -11,22 +11,26 @@
 from .messages import BadRequestError, Request, Response, error_response, split_target
 from .sockets import receive, send_all
 
-MAX_INCOMPLETE_EVENT = 16 * 1024  # bytes of a head, or of a chunk's frame
+MAX_INCOMPLETE_EVENT = 16 * 1024  # for a message head or a chunk header
 BODY_TOO_LONG = "body: over 64 KiB"
 REQUEST_TIMED_OUT = "request timed out"
 
 
 class H11Exchange:
-    """Reads one request from a connection, and writes its response."""
+    """One request read from a connection, and its response."""
 
     def __init__(
         self, sock: socket.socket, data: bytes, *, max_body: int, request_timeout: float
     ) -> None:
-        """Begin with data that was read before; the limits are bytes and seconds."""
+        """Start an exchange.
+
+        `data` has already been read from the socket. `max_body` is in bytes, `request_timeout` in
+        seconds.
+        """
         self.sock = sock
         self.max_body = max_body
         self.request_timeout = request_timeout
-        self.head: h11.Request | None = None  # of the request, once it has been read
+        self.head: h11.Request | None = None  # set once the whole request has been read
         self._connection = h11.Connection(
             h11.SERVER, max_incomplete_event_size=MAX_INCOMPLETE_EVENT
         )
@@ -34,19 +38,20 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether request and response are over and the connection goes on."""
+        """Whether request and response are complete and the connection can be reused."""
         connection = self._connection
         return connection.our_state is h11.DONE and connection.their_state is h11.DONE
 
     @property
     def trailing_data(self) -> bytes:
-        """What has been read beyond the request."""
+        """Bytes that were read beyond the end of the request."""
         return bytes(self._connection.trailing_data[0])
 
     async def read_request(self) -> Request | None:
-        """Read the request; None if there is none, or not in time, which has been answered.
+        """Read the request; return None if the connection ends before it or time runs out.
 
-        Raises BadRequestError and h11.RemoteProtocolError, both for `refuse`.
+        A request that was begun but not completed in time gets a 408 response. Raises
+        BadRequestError and h11.RemoteProtocolError, which the caller passes to `refuse`.
         """
         request = None
         with trio.move_on_after(self.request_timeout):
@@ -63,7 +68,7 @@
         return request
 
     async def refuse(self, error: BadRequestError | h11.RemoteProtocolError) -> None:
-        """Answer a request that can't be read with the error's status, if it still can be."""
+        """Respond to an unreadable request with the error's status, if no response was begun."""
         if isinstance(error, BadRequestError):
             await self.respond(error_response(error.status, str(error)))
         elif self._connection.our_state in (h11.IDLE, h11.SEND_RESPONSE):
@@ -85,7 +90,7 @@
             if isinstance(event, h11.EndOfMessage):
                 break
             if not isinstance(event, h11.Data):
-                raise h11.RemoteProtocolError("connection ended inside a request")
+                raise h11.RemoteProtocolError("connection closed before the end of the request")
             body += event.data
             if len(body) > self.max_body:
                 raise BadRequestError(400, BODY_TOO_LONG)
@@ -113,7 +118,7 @@
 
 
 async def send_in_time(sock: socket.socket, data: bytes, timeout: float) -> None:
-    """Send all bytes; raises BrokenResourceError if that takes longer, in seconds."""
+    """Send all bytes; raises BrokenResourceError after `timeout` seconds."""
     with trio.move_on_after(timeout) as scope:
         await send_all(sock, data)
     if scope.cancelled_caught:
--- a/pitchtally/http/header_cache.py
+++ b/pitchtally/http/header_cache.py
@@ -1,4 +1,4 @@
-"""A cache of message heads that h11 has parsed or written, by their bytes."""
+"""Cache of message heads that h11 has parsed or written, by their bytes."""
 
 from __future__ import annotations
 
@@ -12,37 +12,37 @@
 K = TypeVar("K")
 V = TypeVar("V")
 
-# Method, path, offset of the body and its length. A plain tuple, since one is made for each
-# agent heartbeat.
+# Method, path, offset of the body and its length. A plain tuple, because one is created for each
+# agent heartbeat and a class would cost more.
 CachedRequest = tuple[str, str, int, int]
 
 
 class HeaderCache:
-    """Heads that h11 has parsed or written before, by their bytes.
+    """Message heads that h11 has parsed or written before, by their bytes.
 
-    An agent sends the same headers with each heartbeat, and most answers begin alike, while
-    h11 takes longer over them than all else that a heartbeat needs. What h11 made of some
-    bytes once holds for the same bytes ever after. Only plain heads are kept: HTTP/1.1, a
-    length or no body, and nothing that says how the connection goes on afterwards.
+    An agent sends the same headers with each heartbeat, and most responses have the same head,
+    but h11 takes longer to process them than the rest of a heartbeat does. Parsing depends on the
+    bytes alone, so that a cached result stays valid. Only simple heads are cached: HTTP/1.1, a
+    content length or no body, and no header that affects the connection after the message.
     """
 
     MAX_ENTRIES = 4096
     MAX_HEAD_BYTES = 1024
-    # Stands for a length or a target in a head that h11 has written, to be cut out of it.
+    # Replaces a length or a target in a head that h11 writes, so that the head can be split there.
     PLACEHOLDER = "7654321"
-    # Request lines about which no two parsers differ; any other goes through h11.
+    # Request lines that every parser reads alike; any other is parsed by h11.
     _REQUEST_LINE = re.compile(rb"(GET|POST|DELETE) (/[A-Za-z0-9/_.-]*) HTTP/1\.1")
     _LENGTH = re.compile(rb"\r\n[Cc]ontent-[Ll]ength: ([0-9]{1,9})\r\n")
     _SPECIAL = frozenset((b"connection", b"expect", b"transfer-encoding", b"upgrade"))
 
     def __init__(self) -> None:
-        self._request_headers: set[bytes] = set()  # without the digits of their length
+        self._request_headers: set[bytes] = set()  # without the digits of the content length
         self._response_heads: dict[
             tuple[int, str, tuple[tuple[str, str], ...]], tuple[bytes, bytes]
-        ] = {}  # what stands before and after the length
+        ] = {}  # bytes before and after the content length
 
     def learn(self, data: bytes, request: h11.Request) -> None:
-        """Keep the headers of a request that h11 has parsed, if nothing about them is special."""
+        """Cache the headers of a request that h11 has parsed, if they qualify."""
         line_end, head_end = data.find(b"\r\n"), data.find(b"\r\n\r\n") + 4
         if not 0 < line_end < head_end <= self.MAX_HEAD_BYTES or request.http_version != b"1.1":
             return
@@ -58,9 +58,10 @@
 
     @classmethod
     def without_length(cls, data: bytes, start: int, end: int) -> tuple[bytes, int | None]:
-        """Return headers without the digits of their length, and the length.
+        """Return the headers without the digits of the content length, and that length.
 
-        Nothing else in a head depends on the length. A plain tuple, as `CachedRequest`.
+        No other part of a head depends on the length. The result is a plain tuple for the same
+        reason as `CachedRequest`.
         """
         found = cls._LENGTH.search(data, start, end)
         if found is None:
@@ -68,7 +69,7 @@
         return data[start : found.start(1)] + data[found.end(1) : end], int(found[1])
 
     def lookup(self, data: bytes) -> CachedRequest | None:
-        """Return what a request's head says, if one with the same headers was learned."""
+        """Return the parsed head of a request, or None if its headers aren't in the cache."""
         line_end, head_end = data.find(b"\r\n"), data.find(b"\r\n\r\n") + 4
         if head_end < 4:
             return None
@@ -81,7 +82,7 @@
         return line[1].decode(), line[2].decode(), head_end, length or 0
 
     def encode_head(self, response: Response) -> bytes:
-        """Return the bytes of a response's head."""
+        """Return the encoded head of a response."""
         key = (response.status, response.type, tuple(response.headers))
         head = self._response_heads.get(key)
         if head is None:
@@ -100,7 +101,7 @@
 
 
 def h11_response(response: Response, length: str) -> h11.Response:
-    """Return a response's head as h11 takes it."""
+    """Return a response's head as an h11 event, with `length` as its content length."""
     headers = [
         ("Content-Type", response.type),
         ("Content-Length", length),
@@ -110,7 +111,7 @@
 
 
 def put_bounded(cache: dict[K, V], key: K, value: V) -> None:
-    """Add an entry; a full cache is emptied first, since what recurs is soon back."""
+    """Add an entry; a full cache is cleared first, since recurring keys are soon cached again."""
     if len(cache) >= HeaderCache.MAX_ENTRIES:
         cache.clear()
     cache[key] = value
--- a/pitchtally/http/messages.py
+++ b/pitchtally/http/messages.py
@@ -1,4 +1,4 @@
-"""Requests and responses, and the errors that they end in."""
+"""Requests, responses, and the errors of HTTP calls."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-MAX_BODY_BYTES = 64 * 1024  # bytes
+MAX_BODY_BYTES = 64 * 1024
 
-# Host and port, as sockets take them.
+# IPv4 host and port, as the socket functions expect them.
 Address = tuple[str, int]
 
 
 class HttpError(Exception):
-    """No usable answer: refused, timed out, reset, or not HTTP."""
+    """A call without a valid response: refused, timed out, reset, or not HTTP."""
 
 
 class BadRequestError(Exception):
-    """A request that is answered with an error status, and ends its connection."""
+    """A request that gets an error status and whose connection is then closed."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """A request, read whole."""
+    """A complete request."""
 
     method: str
     path: str
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class Response:
-    """A response, whole."""
+    """A complete response."""
 
     status: int
     body: bytes = b""
@@ -48,14 +48,14 @@
 
 
 class Target(NamedTuple):
-    """A request target, taken apart."""
+    """The path and the query parameters of a request target."""
 
     path: str
     query: dict[str, str]
 
 
 def split_target(target: bytes) -> Target:
-    """Return path and query of a request target; of a repeated name the last value counts."""
+    """Split a request target into path and query; the last value of a repeated name is used."""
     path, _, query_text = target.decode("latin-1").partition("?")
     query = {}
     for piece in query_text.split("&") if query_text else ():
@@ -67,6 +67,6 @@
 def error_response(
     status: int, reason: str, headers: list[tuple[str, str]] | None = None
 ) -> Response:
-    """Return a response whose JSON body holds the reason."""
+    """Return a response whose JSON body contains the reason."""
     text = reason.replace("\\", "/").replace('"', "'")
     return Response(status, f'{{"error":"{text}"}}'.encode(), headers or [])
--- a/pitchtally/http/server.py
+++ b/pitchtally/http/server.py
@@ -1,4 +1,4 @@
-"""A server for one listening socket: accepts, limits and serves its connections."""
+"""HTTP server for one listening socket: accepts, limits and serves its connections."""
 
 from __future__ import annotations
 
@@ -15,29 +15,29 @@
 
 log = logging.getLogger(__name__)
 
-# Hundreds of agents connect at once when another controller ends.
+# When another controller fails, hundreds of its agents connect at once.
 BACKLOG = 1024
-# After a failed accept, a share of the request timeout until the next one.
+# Pause after a failed accept, as a share of the request timeout.
 ACCEPT_PAUSE_SHARE = 1 / 200
 
 
 class InboundConnection:
-    """One accepted connection."""
+    """An accepted connection."""
 
     __slots__ = ("has_priority", "idle_since", "scope")
 
     def __init__(self, scope: trio.CancelScope) -> None:
         self.scope = scope
-        self.idle_since: float | None = trio.current_time()  # None: a request is under way
-        self.has_priority = False  # whether its last request was for a priority path
+        self.idle_since: float | None = trio.current_time()  # None while a request is in progress
+        self.has_priority = False  # whether the last request was for a priority path
 
 
 class Server:
-    """Serves one listening socket; each connection is one task.
+    """HTTP server for one listening socket; each connection is served by a task of its own.
 
-    When all places are taken the connection that has been idle longest is evicted, but none
-    that last carried a priority path: users' idle connections can't crowd out agents, and a
-    new caller, the load balancer's probe above all, gets in.
+    At the connection limit, a new connection evicts the one that has been idle longest, unless
+    its last request was for a priority path. Thus users' idle connections don't exhaust the limit
+    for agents, and a new client, above all the load balancer's health check, is still served.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         max_body: int = MAX_BODY_BYTES,
         priority_paths: frozenset[str] = frozenset(),
     ) -> None:
-        """Timeouts are seconds; `max_body` is bytes."""
+        """Create a server; timeouts are in seconds, `max_body` in bytes."""
         self.handler = handler
         self.max_connections = max_connections
         self.idle_timeout = idle_timeout
@@ -76,7 +76,7 @@
                     except BlockingIOError:
                         continue
                     except OSError as error:
-                        # Out of sockets, or the caller is gone already.
+                        # No file descriptors are left, or the client has disconnected.
                         log.debug("accept failed: %s", error)
                         self._evict_idle()
                         await trio.sleep(self.request_timeout * ACCEPT_PAUSE_SHARE)
@@ -85,16 +85,16 @@
             listener.close()
 
     async def handle(self, request: Request) -> Response:
-        """Let the handler answer; an exception of its own becomes a 503."""
+        """Call the handler; an exception in it becomes a 503 response."""
         try:
             return await self.handler(request)
         except Exception:
-            # A fault in one request must never end the process.
+            # An exception in one request must not end the process.
             log.exception("handler fault path=%s", request.path)
             return error_response(503, "internal fault", [("Retry-After", "1")])
 
     def _accept(self, listener: socket.socket, nursery: trio.Nursery) -> None:
-        """Accept every connection that waits; ends with BlockingIOError."""
+        """Accept all pending connections; raises BlockingIOError once none is left."""
         while True:
             sock, _ = listener.accept()
             if len(self.connections) >= self.max_connections and not self._evict_idle():
@@ -107,7 +107,7 @@
             nursery.start_soon(self._serve_connection, connection, sock)
 
     def _evict_idle(self) -> bool:
-        """End the connection that has been idle longest; False if all are needed."""
+        """Evict the longest idle connection without priority; return whether there was one."""
         idle = [
             (connection.idle_since, id(connection), connection)
             for connection in self.connections
@@ -134,10 +134,14 @@
             sock.close()
 
     async def _serve_requests(self, connection: InboundConnection, sock: socket.socket) -> None:
-        """Serve requests until the connection ends; the path of every agent heartbeat."""
+        """Serve requests until the connection ends.
+
+        Every agent heartbeat is read here, so this path is kept fast.
+        """
         data: bytes | None = b""
         while data is not None:
-            # Moved only when half of it is over: setting a deadline costs more than a look.
+            # The deadline is extended only once less than half of the timeout is left, because
+            # setting a deadline costs more than reading it.
             now = trio.current_time()
             scope, timeout = connection.scope, self.idle_timeout
             if scope.deadline - now < timeout / 2 or scope.deadline > now + timeout:
@@ -166,7 +170,7 @@
                 await send_in_time(sock, out[accepted:], self.request_timeout)
 
     async def _read_cached(self, sock: socket.socket, data: bytes) -> Request | None:
-        """Read a request whose head is in the cache; None if h11 has to read it."""
+        """Read a request whose head is in the cache; return None if it must be read with h11."""
         cached = self._heads.lookup(data)
         if cached is None or cached[3] > self.max_body:
             return None
@@ -174,11 +178,11 @@
         if len(data) < head_end + length:
             data = await self._receive_rest(sock, data, head_end + length)
         elif len(data) > head_end + length:
-            return None  # pipelined, which h11 sorts out
+            return None  # pipelined requests are read with h11
         return Request(method, path, {}, data[head_end:])
 
     async def _receive_rest(self, sock: socket.socket, data: bytes, size: int) -> bytes:
-        """Return the whole request, of which the first bytes have been read."""
+        """Return all `size` bytes of a request whose first bytes, `data`, have been read."""
         pieces = [data]
         missing = size - len(data)
         with trio.move_on_after(self.request_timeout) as scope:
@@ -186,7 +190,7 @@
                 await trio.lowlevel.wait_readable(sock)
                 more = receive(sock, missing)
                 if more == b"":
-                    raise h11.RemoteProtocolError("connection ended inside a request")
+                    raise h11.RemoteProtocolError("connection closed before the end of the request")
                 if more:
                     pieces.append(more)
                     missing -= len(more)
@@ -200,9 +204,9 @@
     async def _serve_with_h11(
         self, connection: InboundConnection, sock: socket.socket, data: bytes
     ) -> bytes | None:
-        """Serve one request by way of h11.
+        """Serve one request with h11.
 
-        Returns what has been read beyond it, or None once the connection is over.
+        Returns the bytes read beyond the request, or None if the connection must be closed.
         """
         exchange = H11Exchange(
             sock, data, max_body=self.max_body, request_timeout=self.request_timeout
--- a/pitchtally/http/sockets.py
+++ b/pitchtally/http/sockets.py
@@ -6,11 +6,11 @@
 
 import trio
 
-CHUNK = 16 * 1024  # bytes that one read takes at most
+CHUNK = 16 * 1024  # limit for one read
 
 
 async def send_all(sock: socket.socket, data: bytes) -> None:
-    """Send all bytes; waits only if the socket doesn't take them at once."""
+    """Send all bytes; waits only while the socket's send buffer is full."""
     offset = 0
     while True:
         try:
@@ -23,7 +23,7 @@
 
 
 def receive(sock: socket.socket, max_bytes: int = CHUNK) -> bytes | None:
-    """Return what has arrived: b"" at the end of the stream, None if there is nothing yet."""
+    """Return the available bytes: b"" at the end of the stream, None if none have arrived."""
     try:
         return sock.recv(max_bytes)
     except BlockingIOError:
--- a/pitchtally/observability/__init__.py
+++ b/pitchtally/observability/__init__.py
@@ -1,7 +1,7 @@
-"""What operators see: logfmt lines, the decision log, counters, supervised loops.
+"""Observability: logfmt output, the decision log, counters, and loop supervision.
 
-Duty: report what the components decide and how often their loops fail, without taking part in
-any decision. `DecisionLog` owns its counts and `LoopSupervisor` its failure counts; each alone
-changes them. Invariant: nothing here raises into the component that reports, and at `info` the
-number of lines doesn't grow with the number of requests.
+This package reports the components' decisions and the failures of their loops; it takes no
+decisions itself. Only `DecisionLog` changes the decision counts, and only `LoopSupervisor` the
+failure counts. Invariants: no exception is raised into a reporting component, and at level `info`
+the number of lines doesn't grow with the number of requests.
 """
--- a/pitchtally/observability/decision_log.py
+++ b/pitchtally/observability/decision_log.py
@@ -1,8 +1,8 @@
-"""The decision log: what a controller decided, and what it knew when it did.
+"""The decision log: a controller's decisions, and the data on which it based them.
 
-An incident is explained by what a controller knew at the moment of a decision. At `debug` each
-decision is one line with its reason and context; at `info` one line a period holds the counts
-since the last, so that a flood of requests is no flood of lines.
+The analysis of an incident needs the controller's state at the time of each decision. At level
+`debug` each decision is logged as one line with its reason and context. At level `info` one line
+per period holds the counts since the previous one, so that the log doesn't grow with the load.
 """
 
 from __future__ import annotations
@@ -22,53 +22,53 @@
 
 
 class Decision(StrEnum):
-    """What was decided."""
+    """The kinds of decisions that are logged and counted."""
 
-    FOUND = "found"  # 200 for a job that goes on
-    FOUND_FINISHED = "found_over"  # 200 for a job that is done or cancelled
-    UNKNOWN_JOB = "unknown_job"  # 404
+    FOUND = "found"  # status 200 for an unfinished job
+    FOUND_FINISHED = "found_over"  # status 200 for a job that is done or cancelled
+    UNKNOWN_JOB = "unknown_job"  # status 404
     CANCELLED = "cancelled"  # a cancellation was committed
-    DONE = "done"  # a job's end was committed
-    START = "start"  # an agent is commanded to start a task
-    STOP = "stop"  # an agent is commanded to stop a task
+    DONE = "done"  # the completion of a job was committed
+    START = "start"  # a command to start a task, sent to an agent
+    STOP = "stop"  # a command to stop a task, sent to an agent
 
 
 @dataclass(frozen=True, slots=True)
 class DecisionReason:
-    """What a decision rests on, where it applies."""
+    """The data that a decision is based on; None where it doesn't apply."""
 
-    version: int | None = None  # of the job's record
-    read: Refresh | None = None  # the read that verified the replica
-    token: int | None = None  # fencing token under which a command is given
-    machine: str | None = None  # that gets the command
+    version: int | None = None  # version of the job's record in the state store
+    read: Refresh | None = None  # the state store read that verified the replica
+    token: int | None = None  # fencing token of the command
+    machine: str | None = None  # machine whose agent receives the command
 
 
 NO_REASON = DecisionReason()
 
 
 class DecisionListener(Protocol):
-    """Is told of each decision, about one job or task."""
+    """Callback for each decision about a job or task."""
 
     def __call__(self, decision: Decision, subject: str, reason: DecisionReason, /) -> None:
-        """Take note of a decision; must return at once and not raise."""
+        """Handle a decision; must neither block nor raise."""
 
 
 def ignore_decision(decision: Decision, subject: str, reason: DecisionReason) -> None:
-    """Drop a decision: the listener of components that run on their own, as in tests."""
+    """Ignore a decision; the listener of components that run without a controller, as in tests."""
 
 
 @dataclass(frozen=True, slots=True)
 class DecisionContext:
-    """What a controller knows at the moment of a decision."""
+    """A controller's state at the time of a decision."""
 
     replica_revision: int
-    cancellations_verified_at: float  # steady clock, seconds
-    cluster_leader: str | None  # as far as the replica shows
+    cancellations_verified_at: float  # monotonic clock, seconds
+    cluster_leader: str | None  # node that leads the cluster according to the replica
     cluster_leader_token: int
 
 
 class DecisionLog:
-    """Logs each decision at `debug`, and the counts of all once a period at `info`."""
+    """Log of each decision at level `debug`, and of their counts once per period at `info`."""
 
     def __init__(
         self,
@@ -77,13 +77,13 @@
         last_read: Callable[[], Refresh | None],
     ) -> None:
         self._context = context
-        self._counters = counters  # totals of other components: read barrier, loop faults
+        self._counters = counters  # returns other components' totals, such as loop faults
         self._last_read = last_read
         self._counts: Counter[str] = Counter()
-        self._summarized: dict[str, int] = {}  # totals that the last summary covered
+        self._summarized: dict[str, int] = {}  # totals at the last summary
 
     def on_decision(self, decision: Decision, subject: str, reason: DecisionReason) -> None:
-        """Count a decision, and log it with its reason and context at `debug`."""
+        """Count a decision, and log it with its reason and context at level `debug`."""
         self._counts[decision] += 1
         if log.isEnabledFor(logging.DEBUG):
             log.debug(self._line(decision, subject, reason))
@@ -111,7 +111,7 @@
         return " ".join(fields)
 
     def summary(self) -> str:
-        """Return the counts since the last summary, and who leads, as one line."""
+        """Return the cluster leader and the counts since the last summary, as one line."""
         context = self._context()
         totals = {**self._counts, **self._counters()}
         new = {name: total - self._summarized.get(name, 0) for name, total in totals.items()}
@@ -123,12 +123,12 @@
         ).rstrip()
 
     async def run(self, period: float) -> None:
-        """Log a summary at `info` each period, in seconds."""
+        """Log a summary at level `info` every `period` seconds."""
         while True:
             await trio.sleep(period)
             log.info(self.summary())
 
 
 def _age(context: DecisionContext) -> float:
-    """Return for how many seconds cancellations may have gone unnoticed."""
+    """Return the seconds since the replica was last verified to hold all cancellations."""
     return trio.current_time() - context.cancellations_verified_at
--- a/pitchtally/observability/logfmt.py
+++ b/pitchtally/observability/logfmt.py
@@ -1,4 +1,4 @@
-"""Logging set-up: every record is one line of logfmt on standard error."""
+"""Logging configuration: each record is one logfmt line on standard error."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class LogfmtFormatter(logging.Formatter):
-    """Formats a log record as one line of logfmt."""
+    """Formatter that writes each log record as one logfmt line."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return level, component, message and, if there is one, the traceback, as one line."""
+        """Return level, component, message and traceback, if any, as one line."""
         text = record.getMessage().replace("\n", " ")
         line = f"level={record.levelname.lower()} component={record.name} msg={text!r}"
         if record.exc_info:
@@ -29,10 +29,10 @@
 
 
 def configure_logging() -> None:
-    """Log to standard error at the level that `LOG_LEVEL` names, `info` by default."""
+    """Log to standard error at the level in `LOG_LEVEL`, `info` by default."""
     level = LEVELS.get(os.environ.get(LEVEL_VARIABLE, "info").lower(), logging.INFO)
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(LogfmtFormatter())
     logging.basicConfig(level=level, handlers=[handler], force=True)
-    # No line shows these fields, and collecting them costs system calls for each record.
+    # The formatter doesn't use these fields, and collecting them takes system calls per record.
     logging.logThreads = logging.logProcesses = logging.logMultiprocessing = False
--- a/pitchtally/observability/supervision.py
+++ b/pitchtally/observability/supervision.py
@@ -1,4 +1,4 @@
-"""Supervision of the loops that run for as long as the process does."""
+"""Supervision of the loops that run for the lifetime of the process."""
 
 from __future__ import annotations
 
@@ -16,13 +16,16 @@
 
 
 class LoopSupervisor:
-    """Restarts a loop that ended by an exception; each such fault is counted and logged."""
+    """Supervisor that restarts failed loops, and counts and logs their exceptions."""
 
     def __init__(self) -> None:
-        self.faults: Counter[str] = Counter()  # by the loop's name
+        self.faults: Counter[str] = Counter()  # exceptions by loop name
 
     async def supervise(self, name: str, loop: Loop) -> None:
-        """Run a loop for ever: a fault in one must not end the process."""
+        """Run a loop forever, restarting it whenever it ends.
+
+        An exception in one loop must not end the process.
+        """
         while True:
             try:
                 await loop()
--- a/pitchtally/protocol/state_store_api.py
+++ b/pitchtally/protocol/state_store_api.py
@@ -1,7 +1,7 @@
-"""What the state store's API exchanges: pages, watch events, transactions, leases.
+"""The state store's API: pages, watch events, transactions, leases.
 
-Names on the wire (`ledger`, `stamp`, `permit`, ...) are mapped to the field's terms here, and
-nowhere else.
+Only this module maps the names on the wire (`ledger`, `stamp`, `permit`, ...) to the attribute
+names used in the code.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class StoredPage(Struct):
-    """A page of keys."""
+    """One page of a range read, at a revision of the store."""
 
     items: list[StoredItem]
     revision: int = field(name="ledger")
@@ -27,7 +27,7 @@
 
 
 class Event(Struct):
-    """One change seen by a watch: a write, or a removal."""
+    """A change reported by a watch: a write to the key `put`, or the removal of `delete`."""
 
     version: int = field(name="stamp")
     put: str | None = field(name="write", default=None)
@@ -36,28 +36,28 @@
 
 
 class Events(Struct):
-    """Changes after a revision."""
+    """The changes since the revision given to a watch, up to `revision`."""
 
     revision: int = field(name="ledger")
     events: list[Event] = field(name="log", default_factory=list)
 
 
 class TransactionResult(Struct):
-    """The store's revision, and the keys whose preconditions failed."""
+    """The store's revision after a transaction, and the keys whose preconditions failed."""
 
     revision: int = field(name="ledger")
     failed: list[str] = field(default_factory=list)
 
 
 class Precondition(Struct):
-    """The version that a key must have for a transaction to be executed; 0: absent."""
+    """The version that a key must have for a transaction to be executed; 0 if it must be absent."""
 
     key: str = field(name="path")
     version: int = field(name="stamp")
 
 
 class Put(Struct, omit_defaults=True):
-    """A write within a transaction."""
+    """A write in a transaction, bound to a lease if one is given."""
 
     key: str = field(name="write")
     value: msgspec.Raw = field(name="v")
@@ -65,25 +65,25 @@
 
 
 class Delete(Struct):
-    """A removal within a transaction."""
+    """The deletion of a key in a transaction."""
 
     key: str = field(name="remove")
 
 
 class Transaction(Struct):
-    """Preconditions and writes; all are executed, or none is."""
+    """Writes that are executed atomically if all preconditions hold."""
 
     preconditions: list[Precondition] = field(name="if")
     writes: list[Put | Delete]
 
 
 class LeaseGrant(Struct):
-    """A lease that the store has granted."""
+    """The response to a `LeaseRequest`."""
 
     lease: int = field(name="permit")
 
 
 class LeaseRequest(Struct):
-    """A request for a lease that lives so long without a renewal."""
+    """A request for a lease that expires after its TTL unless it is renewed."""
 
     ttl_ms: int = field(name="ttlMs")
--- a/pitchtally/protocol/user_api.py
+++ b/pitchtally/protocol/user_api.py
@@ -1,30 +1,31 @@
-"""What users send and receive: jobs and their states.
+"""The users' API: jobs and their states.
 
-Names on the wire (`vintage`, `crew`, ...) are mapped to the field's terms here, and nowhere else.
+Only this module maps the names on the wire (`vintage`, `crew`, ...) to the attribute names used in
+the code.
 """
 
 from __future__ import annotations
 
 from msgspec import Struct, field
 
-# Kinds of jobs, `JobSpec.kind`.
+# Values of `JobSpec.kind`.
 ARRAY = "sweep"  # independent tasks
 GANG = "gang"  # tasks that start together or not at all
 SERVICE = "standing"  # tasks that run until their user cancels the job
 
-# Values of `JobSpec.rank`, highest priority first.
+# Values of `JobSpec.rank`, a job's priority, from highest to lowest.
 RANKS = ("production", "urgent", "standard", "idle")
 
-# Values of `JobView.state` beside "running" (`agent_api.RUNNING`) and "done" (`jobs.job_record`).
+# Values of `JobView.state`; the others are `agent_api.RUNNING` and `jobs.job_record.DONE`.
 PENDING = "pending"  # no task is running
 WITHDRAWN = "withdrawn"  # cancelled
 
 
 class JobSpec(Struct, frozen=True, omit_defaults=True):
-    """A job as its user submits it; `cpus`, `gpus` and `memory` are for each task."""
+    """A job as submitted; `cpus`, `gpus` and `memory` are per task."""
 
     id: str = field(name="ref")
-    job_class: str = field(name="vintage")  # jobs with the same objectives, alike in length
+    job_class: str = field(name="vintage")  # jobs with the same objectives and similar runtimes
     team: str = field(name="crew")
     kind: str = field(name="cut")
     rank: str = field(name="rank")
@@ -35,27 +36,24 @@
     image: str = field(name="cask", default="")
     image_gb: float = field(name="pullGb", default=0.0)
     types: tuple[str, ...] | None = field(name="presses", default=None)  # None: any machine type
-    zone: str | None = field(name="parcel", default=None)  # None: any
+    zone: str | None = field(name="parcel", default=None)  # None: any zone
     one_zone: bool = field(name="oneZone", default=False)  # all tasks in the same zone
-    spread: bool = field(name="spread", default=False)  # at most half of the tasks in a zone
-    spot: bool = field(name="gleaning", default=False)  # spot instances are allowed
-    estimate: float = field(name="ripenS", default=1.0)  # seconds that a task runs
-    checkpoint_interval: float = field(
-        name="rackS", default=0.0
-    )  # seconds between checkpoints, 0: none
-    checkpoint_grace: float = field(
-        name="bottleS", default=0.0
-    )  # seconds of grace to write a checkpoint
+    # At most half of the tasks, rounded up, may run in the same zone.
+    spread: bool = field(name="spread", default=False)
+    spot: bool = field(name="gleaning", default=False)  # whether tasks may run on spot instances
+    estimate: float = field(name="ripenS", default=1.0)  # expected runtime of a task, in seconds
+    checkpoint_interval: float = field(name="rackS", default=0.0)  # seconds; 0: no checkpoints
+    checkpoint_grace: float = field(name="bottleS", default=0.0)  # seconds to write a checkpoint
     deadline: float | None = field(name="harvestS", default=None)  # seconds after acceptance
 
     @property
     def is_service(self) -> bool:
-        """Whether its tasks run until its user cancels the job."""
+        """Whether the job's tasks run until its user cancels it."""
         return self.kind == SERVICE
 
 
 class JobView(Struct, omit_defaults=True):
-    """A job's state as its user sees it."""
+    """A job's state as returned to users."""
 
     id: str = field(name="ref")
     state: str = field(name="stage")
