--- a/tests/http/test_connections.py
+++ b/tests/http/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections at the server's limit, idle connections of the client, and reused ones."""
+"""The server's connection limit, the client's idle connections, and reused connections."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def test_at_the_connection_limit_idle_users_are_closed_before_agents() -> None:
-    """At the limit a new client is still served, and no agent loses its connection."""
+    """At the connection limit a new client is still served, and no agent is disconnected."""
 
     async def main() -> None:
         server = Server(
@@ -56,7 +56,7 @@
                 late = await trio.open_tcp_stream("127.0.0.1", port)
                 assert (await _exchange(late, GET)).startswith(b"HTTP/1.1 200")
             with trio.fail_after(2):
-                assert await users[0].receive_some(10) == b""  # idle longest
+                assert await users[0].receive_some(10) == b""  # it has been idle longest
             for agent in agents:
                 assert (await _exchange(agent, HEARTBEAT)).startswith(b"HTTP/1.1 200")
             assert len(server.connections) <= 6
@@ -107,7 +107,7 @@
                 await sock.send(HEARTBEAT)
                 assert (await sock.recv(4096)).startswith(b"HTTP/1.1 200")
                 answered += 1
-                while answered < 300:  # all are open at the same time
+                while answered < 300:  # keeps all connections open at the same time
                     await trio.sleep(0.01)
 
         async with trio.open_nursery() as nursery:
@@ -123,7 +123,7 @@
 
 
 def test_idle_connections_to_many_hosts_are_bounded() -> None:
-    """The pool must not keep a connection to each machine that was ever called."""
+    """A client that calls ever new machines must not accumulate connections to all of them."""
 
     async def main() -> None:
         async with trio.open_nursery() as nursery:
@@ -140,10 +140,10 @@
     trio.run(main)
 
 
+# The data sent after a first request on the same connection, and the expected responses.
 LATER_REQUESTS = [
-    # what follows a plain request on the same connection, and the expected answers
     ([HEARTBEAT, HEARTBEAT], [b"200", b"200"]),
-    ([HEARTBEAT[:-1], b"k"], [b"200"]),  # the body in pieces, after a head seen before
+    ([HEARTBEAT[:-1], b"k"], [b"200"]),  # a body in two parts, after a cached head
     ([HEARTBEAT + HEARTBEAT], [b"200", b"200"]),  # pipelined
     ([HEARTBEAT + GET[:5], GET[5:]], [b"200", b"200"]),
     ([HEARTBEAT.replace(b"Host", b"Connection: close\r\nHost")], [b"200", b"closed"]),
--- a/tests/http/test_pooled_connections.py
+++ b/tests/http/test_pooled_connections.py
@@ -1,4 +1,4 @@
-"""A pooled connection never passes one call's response to another call."""
+"""A pooled connection never returns one call's response to another call."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 @pytest.mark.parametrize(
     "surplus",
     [
-        OLD,  # the response once more
-        b"HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\n\r\n",  # without a request
+        OLD,  # a duplicated response
+        b"HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\n\r\n",  # an unsolicited response
         b"\r\n",
     ],
 )
 def test_surplus_bytes_between_two_calls_answer_neither(surplus: bytes) -> None:
-    """A duplicated response in the connection must not be taken for the next call's response."""
+    """Surplus bytes on a reused connection would be read as the next call's response."""
 
     async def main() -> None:
         accepted = 0
@@ -32,7 +32,7 @@
             nonlocal accepted
             accepted += 1
             answer = OLD if accepted == 1 else NEW
-            with contextlib.suppress(trio.BrokenResourceError):  # the client closes it
+            with contextlib.suppress(trio.BrokenResourceError):  # the client closes the connection
                 while await stream.receive_some(4096):
                     await stream.send_all(answer)
                     if answer is OLD:
@@ -54,7 +54,7 @@
 
 
 def test_connection_closed_by_the_server_is_not_reused() -> None:
-    """Otherwise a call would fail whose request was never sent."""
+    """A call on such a connection would fail although the server is up."""
 
     async def main() -> None:
         async def serve(stream: trio.SocketStream) -> None:
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -1,4 +1,4 @@
-"""Server and client on real sockets: whatever arrives ends in an answer or a close."""
+"""Server and client on real sockets: any input leads to a response or a closed connection."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
         with trio.move_on_after(3):
             answer = await stream.receive_some(4096)
         assert answer.split(b" ")[1:2] == ([status] if status else [])
-        # Whatever arrived, the next caller is served.
+        # The next client is served whatever was sent before.
         good = await Client().call(("127.0.0.1", port), "POST", "/x", b"ok", timeout=1)
         assert (good.status, good.body) == (200, b"ok")
 
--- a/tests/observability/test_decision_log.py
+++ b/tests/observability/test_decision_log.py
@@ -1,4 +1,4 @@
-"""What a controller logs of its decisions, and loops that are restarted."""
+"""The decision log, and the restart of failed loops."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def test_debug_line_holds_reason_and_context(caplog: pytest.LogCaptureFixture) -> None:
-    """Enough to tell a stale read from an old answer and from a gap in the replica."""
+    """The fields distinguish a stale read from a late response and from a gap in the replica."""
 
     async def main() -> None:
         with caplog.at_level(logging.DEBUG, decision_log.__name__):
@@ -69,7 +69,7 @@
         _on_mock_clock(main)
     first, second = (record.getMessage().split() for record in caplog.records)
     assert {"leader=n0", "token=17", "found=1000", "confirmed=1000", "timed_out=3"} <= set(first)
-    assert "confirmed=1" in second  # since the last line
+    assert "confirmed=1" in second  # counted since the first line
     assert not any(field.startswith(("found=", "timed_out=")) for field in second)
 
 
@@ -103,7 +103,7 @@
 def test_answers_starts_stops_and_ends_are_logged(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """A controller whose components don't report their decisions would log nothing of them."""
+    """Each kind of decision is logged, which fails if a component doesn't report its decisions."""
 
     async def day(sim: Simulation) -> None:
         await sim.submit(job(1))
--- a/tests/observability/test_logfmt.py
+++ b/tests/observability/test_logfmt.py
@@ -1,4 +1,4 @@
-"""Log lines: one line of logfmt for each record, whatever it holds."""
+"""Each log record is written as exactly one logfmt line."""
 
 from __future__ import annotations
 
