--- a/pitchtally/http/client.py
+++ b/pitchtally/http/client.py
@@ -13,7 +13,7 @@
 from .connection_pool import Connection, ConnectionPool
 from .header_cache import HeaderCache, put_bounded
 from .messages import Address, HttpError, Response
-from .sockets import CHUNK, receive, send_all
+from .sockets import MAX_READ_BYTES, receive, send_all
 
 
 class _RequestHead(NamedTuple):
@@ -227,7 +227,7 @@
 async def _receive_some(sock: socket.socket, *, end_allowed: bool = False) -> bytes:
     while True:
         await trio.lowlevel.wait_readable(sock)
-        data = receive(sock, CHUNK * 4)
+        data = receive(sock, MAX_READ_BYTES * 4)
         if data == b"" and not end_allowed:
             raise h11.RemoteProtocolError("connection closed before the end of the response")
         if data is not None:
--- a/pitchtally/http/sockets.py
+++ b/pitchtally/http/sockets.py
@@ -6,7 +6,7 @@
 
 import trio
 
-CHUNK = 16 * 1024  # limit for one read
+MAX_READ_BYTES = 16 * 1024  # limit for one read
 
 
 async def send_all(sock: socket.socket, data: bytes) -> None:
@@ -22,7 +22,7 @@
         await trio.lowlevel.wait_writable(sock)
 
 
-def receive(sock: socket.socket, max_bytes: int = CHUNK) -> bytes | None:
+def receive(sock: socket.socket, max_bytes: int = MAX_READ_BYTES) -> bytes | None:
     """Return the available bytes: b"" at the end of the stream, None if none have arrived."""
     try:
         return sock.recv(max_bytes)
