--- a/pitchtally/http/h11_exchange.py
+++ b/pitchtally/http/h11_exchange.py
@@ -11,7 +11,7 @@
 from .messages import BadRequestError, Request, Response, error_response, split_target
 from .sockets import receive, send_all
 
-MAX_INCOMPLETE_EVENT = 16 * 1024  # for a message head or a chunk header
+MAX_INCOMPLETE_EVENT_BYTES = 16 * 1024  # for a message head or a chunk header
 BODY_TOO_LONG = "body: over 64 KiB"
 REQUEST_TIMED_OUT = "request timed out"
 
@@ -32,7 +32,7 @@
         self.request_timeout = request_timeout
         self.head: h11.Request | None = None  # set once the whole request has been read
         self._connection = h11.Connection(
-            h11.SERVER, max_incomplete_event_size=MAX_INCOMPLETE_EVENT
+            h11.SERVER, max_incomplete_event_size=MAX_INCOMPLETE_EVENT_BYTES
         )
         self._connection.receive_data(data)
 
