--- a/pitchtally/http/server.py
+++ b/pitchtally/http/server.py
@@ -16,7 +16,7 @@
 log = logging.getLogger(__name__)
 
 # When another controller fails, hundreds of its agents connect at once.
-BACKLOG = 1024
+LISTEN_BACKLOG_CONNECTIONS = 1024
 # Pause after a failed accept, as a share of the request timeout.
 ACCEPT_PAUSE_SHARE = 1 / 200
 
@@ -66,7 +66,7 @@
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.setblocking(False)
         listener.bind((host, port))
-        listener.listen(BACKLOG)
+        listener.listen(LISTEN_BACKLOG_CONNECTIONS)
         try:
             async with trio.open_nursery() as nursery:
                 while True:
