--- a/pitchtally/http/h11_exchange.py
+++ b/pitchtally/http/h11_exchange.py
@@ -80,7 +80,7 @@
         data = connection.send(h11_response(response, str(len(response.body)))) or b""
         data += connection.send(h11.Data(data=response.body)) or b""
         data += connection.send(h11.EndOfMessage()) or b""
-        await send_in_time(self.sock, data, self.request_timeout)
+        await send_with_timeout(self.sock, data, self.request_timeout)
 
     async def _read_body(self, head: h11.Request) -> Request:
         await self._check_headers(head)
@@ -104,7 +104,7 @@
             if name == b"expect" and value.lower() == b"100-continue":
                 go_on = h11.InformationalResponse(status_code=100, headers=[])
                 data = self._connection.send(go_on) or b""
-                await send_in_time(self.sock, data, self.request_timeout)
+                await send_with_timeout(self.sock, data, self.request_timeout)
 
     async def _next_event(self) -> object:
         while True:
@@ -117,7 +117,7 @@
                 self._connection.receive_data(data)
 
 
-async def send_in_time(sock: socket.socket, data: bytes, timeout: float) -> None:
+async def send_with_timeout(sock: socket.socket, data: bytes, timeout: float) -> None:
     """Send all bytes; raises BrokenResourceError after `timeout` seconds."""
     with trio.move_on_after(timeout) as scope:
         await send_all(sock, data)
--- a/pitchtally/http/server.py
+++ b/pitchtally/http/server.py
@@ -8,7 +8,7 @@
 import h11
 import trio
 
-from .h11_exchange import REQUEST_TIMED_OUT, H11Exchange, send_in_time
+from .h11_exchange import REQUEST_TIMED_OUT, H11Exchange, send_with_timeout
 from .header_cache import HeaderCache
 from .messages import MAX_BODY_BYTES, BadRequestError, Handler, Request, Response, error_response
 from .sockets import receive
@@ -167,7 +167,7 @@
             except BlockingIOError:
                 accepted = 0
             if accepted < len(out):
-                await send_in_time(sock, out[accepted:], self.request_timeout)
+                await send_with_timeout(sock, out[accepted:], self.request_timeout)
 
     async def _read_cached(self, sock: socket.socket, data: bytes) -> Request | None:
         """Read a request whose head is in the cache; return None if it must be read with h11."""
@@ -197,7 +197,7 @@
         if scope.cancelled_caught:
             response = error_response(408, REQUEST_TIMED_OUT, [("Connection", "close")])
             out = self._heads.encode_head(response) + response.body
-            await send_in_time(sock, out, self.request_timeout)
+            await send_with_timeout(sock, out, self.request_timeout)
             raise h11.RemoteProtocolError(REQUEST_TIMED_OUT)
         return b"".join(pieces)
 
