--- a/pitchtally/http/h11_exchange.py
+++ b/pitchtally/http/h11_exchange.py
@@ -51,7 +51,8 @@
         """Read the request; return None if the connection ends before it or time runs out.
 
         A request that was begun but not completed in time gets a 408 response. Raises
-        BadRequestError and h11.RemoteProtocolError, which the caller passes to `refuse`.
+        BadRequestError and h11.RemoteProtocolError, which the caller must pass to
+        `refuse`.
         """
         request = None
         with trio.move_on_after(self.request_timeout):
