--- a/pitchtally/http/h11_exchange.py
+++ b/pitchtally/http/h11_exchange.py
@@ -52,7 +52,7 @@
 
         A request that was begun but not completed in time gets a 408 response. Raises
         BadRequestError and h11.RemoteProtocolError, which the caller must pass to
-        `refuse`.
+        `respond_with_error`.
         """
         request = None
         with trio.move_on_after(self.request_timeout):
@@ -68,7 +68,7 @@
                 await self.respond(error_response(408, REQUEST_TIMED_OUT))
         return request
 
-    async def refuse(self, error: BadRequestError | h11.RemoteProtocolError) -> None:
+    async def respond_with_error(self, error: BadRequestError | h11.RemoteProtocolError) -> None:
         """Respond to an unreadable request with the error's status, if no response was begun."""
         if isinstance(error, BadRequestError):
             await self.respond(error_response(error.status, str(error)))
--- a/pitchtally/http/server.py
+++ b/pitchtally/http/server.py
@@ -220,7 +220,7 @@
             connection.has_priority = request.path in self.priority_paths
             response = await self.handle(request)
         except (BadRequestError, h11.RemoteProtocolError) as error:
-            await exchange.refuse(error)
+            await exchange.respond_with_error(error)
             return None
         await exchange.respond(response)
         return exchange.trailing_data if exchange.is_complete else None
