--- a/pitchtally/http/header_cache.py
+++ b/pitchtally/http/header_cache.py
@@ -41,7 +41,7 @@
             tuple[int, str, tuple[tuple[str, str], ...]], tuple[bytes, bytes]
         ] = {}  # bytes before and after the content length
 
-    def learn(self, data: bytes, request: h11.Request) -> None:
+    def add_request(self, data: bytes, request: h11.Request) -> None:
         """Cache the headers of a request that h11 has parsed, if they qualify."""
         line_end, head_end = data.find(b"\r\n"), data.find(b"\r\n\r\n") + 4
         if not 0 < line_end < head_end <= self.MAX_HEAD_BYTES or request.http_version != b"1.1":
--- a/pitchtally/http/server.py
+++ b/pitchtally/http/server.py
@@ -216,7 +216,7 @@
             if request is None:
                 return None
             if exchange.head is not None:
-                self._heads.learn(data, exchange.head)
+                self._heads.add_request(data, exchange.head)
             connection.has_priority = request.path in self.priority_paths
             response = await self.handle(request)
         except (BadRequestError, h11.RemoteProtocolError) as error:
