--- a/pitchtally/http/header_cache.py
+++ b/pitchtally/http/header_cache.py
@@ -86,11 +86,11 @@
         key = (response.status, response.type, tuple(response.headers))
         head = self._response_heads.get(key)
         if head is None:
-            head = self._written_by_h11(response)
+            head = self._encode_with_h11(response)
             put_bounded(self._response_heads, key, head)
         return b"%b%d%b" % (head[0], len(response.body), head[1])
 
-    def _written_by_h11(self, response: Response) -> tuple[bytes, bytes]:
+    def _encode_with_h11(self, response: Response) -> tuple[bytes, bytes]:
         connection = h11.Connection(h11.SERVER)
         connection.receive_data(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
         connection.next_event()
