--- a/pitchtally/http/header_cache.py
+++ b/pitchtally/http/header_cache.py
@@ -33,7 +33,7 @@
     # Request lines that every parser reads alike; any other is parsed by h11.
     _REQUEST_LINE = re.compile(rb"(GET|POST|DELETE) (/[A-Za-z0-9/_.-]*) HTTP/1\.1")
     _LENGTH = re.compile(rb"\r\n[Cc]ontent-[Ll]ength: ([0-9]{1,9})\r\n")
-    _SPECIAL = frozenset((b"connection", b"expect", b"transfer-encoding", b"upgrade"))
+    _UNCACHEABLE_HEADERS = frozenset((b"connection", b"expect", b"transfer-encoding", b"upgrade"))
 
     def __init__(self) -> None:
         self._request_headers: set[bytes] = set()  # without the digits of the content length
@@ -48,7 +48,7 @@
             return
         lengths = [int(value) for name, value in request.headers if name == b"content-length"]
         headers, length = self.without_length(data, line_end, head_end)
-        if any(name in self._SPECIAL for name, _ in request.headers) or (
+        if any(name in self._UNCACHEABLE_HEADERS for name, _ in request.headers) or (
             lengths != [length] and (lengths or length is not None)
         ):
             return
