--- a/pitchtally/http/client.py
+++ b/pitchtally/http/client.py
@@ -156,10 +156,10 @@
         # of the request sent; h11 is only used to parse the response.
         reusable = connection.their_state is h11.DONE and not connection.trailing_data[0]
         if reusable and 4 <= head_end <= HeaderCache.MAX_HEAD_BYTES:
-            self._learn(head, headers, data[:head_end], len(body))
+            self._cache_response_head(head, headers, data[:head_end], len(body))
         return _Exchange(Response(head.status_code, bytes(body), headers), reusable)
 
-    def _learn(
+    def _cache_response_head(
         self, head: h11.Response, headers: list[tuple[str, str]], data: bytes, body_length: int
     ) -> None:
         """Cache a response's head, unless its headers affect framing or connection reuse."""
