--- a/pitchtally/http/client.py
+++ b/pitchtally/http/client.py
@@ -89,7 +89,7 @@
         reusable = False
         try:
             with trio.fail_after(timeout):
-                connection = self.pool.take(address) or await _open(address)
+                connection = self.pool.take(address) or await _connect(address)
                 response, reusable = await self._exchange(
                     connection.sock, address, method, target, body
                 )
@@ -173,7 +173,7 @@
             put_bounded(self._response_heads, key, cached)
 
 
-async def _open(address: Address) -> Connection:
+async def _connect(address: Address) -> Connection:
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setblocking(False)
