--- a/pitchtally/http/client.py
+++ b/pitchtally/http/client.py
@@ -16,7 +16,7 @@
 from .sockets import MAX_READ_BYTES, receive, send_all
 
 
-class _RequestHead(NamedTuple):
+class _RequestHeadTemplate(NamedTuple):
     """A request's head as h11 wrote it, split at its target and its content length."""
 
     before_target: bytes
@@ -67,7 +67,7 @@
         self.max_body = max_body
         self.pool = ConnectionPool(max_idle_per_address, max_idle, idle_timeout)
         # Heads that h11 has written or parsed before, as in `HeaderCache`.
-        self._request_heads: dict[tuple[str, Address], _RequestHead] = {}
+        self._request_heads: dict[tuple[str, Address], _RequestHeadTemplate] = {}
         self._response_heads: dict[bytes, _ResponseHead] = {}
 
     async def call(
@@ -114,7 +114,7 @@
     ) -> _Exchange:
         head = self._request_heads.get((method, address))
         if head is None:
-            head = _request_head(method, address)
+            head = _request_head_template(method, address)
             put_bounded(self._request_heads, (method, address), head)
         await send_all(sock, head.encode(target, len(body)) + body)
         data = await _receive_some(sock)
@@ -201,14 +201,14 @@
     return h11.Request(method=method, target=target, headers=headers)
 
 
-def _request_head(method: str, address: Address) -> _RequestHead:
+def _request_head_template(method: str, address: Address) -> _RequestHeadTemplate:
     data = h11.Connection(h11.CLIENT).send(_h11_request(method, address)) or b""
     pieces = data.split(HeaderCache.PLACEHOLDER.encode())
     if len(pieces) != 3:
         raise h11.LocalProtocolError(
             f"request head for {method} {address} has {len(pieces) - 1} placeholders instead of 2"
         )
-    return _RequestHead(*pieces)
+    return _RequestHeadTemplate(*pieces)
 
 
 async def _read_body(
