--- a/pitchtally/http/client.py
+++ b/pitchtally/http/client.py
@@ -131,7 +131,7 @@
     ) -> _Exchange:
         """Read a response with h11, and cache its head if it qualifies."""
         connection = h11.Connection(h11.CLIENT)
-        connection.send(_h11_request(method, address))
+        connection.send(_placeholder_request(method, address))
         connection.receive_data(data)
         head: h11.Response | None = None
         body = bytearray()
@@ -191,7 +191,7 @@
     return Connection(sock)
 
 
-def _h11_request(method: str, address: Address) -> h11.Request:
+def _placeholder_request(method: str, address: Address) -> h11.Request:
     headers = [
         ("Host", f"{address[0]}:{address[1]}"),
         ("Content-Type", "application/json"),
@@ -202,7 +202,7 @@
 
 
 def _request_head_template(method: str, address: Address) -> _RequestHeadTemplate:
-    data = h11.Connection(h11.CLIENT).send(_h11_request(method, address)) or b""
+    data = h11.Connection(h11.CLIENT).send(_placeholder_request(method, address)) or b""
     pieces = data.split(HeaderCache.PLACEHOLDER.encode())
     if len(pieces) != 3:
         raise h11.LocalProtocolError(
