--- a/pitchtally/http/server.py
+++ b/pitchtally/http/server.py
@@ -154,7 +154,7 @@
                     return
                 data = received or b""
             connection.idle_since = None
-            request = await self._read_cached(sock, data)
+            request = await self._read_with_cached_head(sock, data)
             if request is None:
                 data = await self._serve_with_h11(connection, sock, data)
                 continue
@@ -169,7 +169,7 @@
             if accepted < len(out):
                 await send_with_timeout(sock, out[accepted:], self.request_timeout)
 
-    async def _read_cached(self, sock: socket.socket, data: bytes) -> Request | None:
+    async def _read_with_cached_head(self, sock: socket.socket, data: bytes) -> Request | None:
         """Read a request whose head is in the cache; return None if it must be read with h11."""
         cached = self._heads.lookup(data)
         if cached is None or cached[3] > self.max_body:
