--- a/pitchtally/http/connection_pool.py
+++ b/pitchtally/http/connection_pool.py
@@ -12,11 +12,11 @@
 class Connection:
     """An open connection to a server."""
 
-    __slots__ = ("sock", "used_at")
+    __slots__ = ("last_used_at", "sock")
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
-        self.used_at = trio.current_time()
+        self.last_used_at = trio.current_time()
 
     def has_no_input(self) -> bool:
         """Return whether the connection is open and has no unread input.
@@ -53,7 +53,7 @@
         connections = self.idle.get(address)
         while connections:
             connection = connections.pop()
-            fresh = trio.current_time() - connection.used_at < self.idle_timeout
+            fresh = trio.current_time() - connection.last_used_at < self.idle_timeout
             if fresh and connection.has_no_input():
                 return connection
             connection.close()
@@ -65,7 +65,7 @@
         Closes surplus and expired connections to any address, so that those to terminated hosts
         don't accumulate.
         """
-        connection.used_at = trio.current_time()
+        connection.last_used_at = trio.current_time()
         connections = self.idle.pop(address, [])
         self.idle[address] = connections  # reinserted as the most recently used address
         connections.append(connection)
@@ -84,7 +84,7 @@
         while self.idle:
             address, connections = next(iter(self.idle.items()))
             too_many = sum(len(others) for others in self.idle.values()) > self.max_total
-            if connections and not too_many and connections[0].used_at >= oldest_use:
+            if connections and not too_many and connections[0].last_used_at >= oldest_use:
                 return
             if connections:
                 connections.pop(0).close()
