--- a/pitchtally/http/connection_pool.py
+++ b/pitchtally/http/connection_pool.py
@@ -18,7 +18,7 @@
         self.sock = sock
         self.last_used_at = trio.current_time()
 
-    def has_no_input(self) -> bool:
+    def is_reusable(self) -> bool:
         """Return whether the connection is open and has no unread input.
 
         HTTP/1.1 matches a response to its request only by the order on the connection. Bytes
@@ -54,7 +54,7 @@
         while connections:
             connection = connections.pop()
             fresh = trio.current_time() - connection.last_used_at < self.idle_timeout
-            if fresh and connection.has_no_input():
+            if fresh and connection.is_reusable():
                 return connection
             connection.close()
         return None
