--- a/pitchtally/observability/decision_log.py
+++ b/pitchtally/observability/decision_log.py
@@ -80,7 +80,7 @@
         self._counters = counters  # returns other components' totals, such as loop faults
         self._last_read = last_read
         self._counts: Counter[str] = Counter()
-        self._summarized: dict[str, int] = {}  # totals at the last summary
+        self._last_totals: dict[str, int] = {}  # totals at the last summary
 
     def on_decision(self, decision: Decision, subject: str, reason: DecisionReason) -> None:
         """Count a decision, and log it with its reason and context at level `debug`."""
@@ -114,8 +114,8 @@
         """Return the cluster leader and the counts since the last summary, as one line."""
         context = self._context()
         totals = {**self._counts, **self._counters()}
-        new = {name: total - self._summarized.get(name, 0) for name, total in totals.items()}
-        self._summarized = totals
+        new = {name: total - self._last_totals.get(name, 0) for name, total in totals.items()}
+        self._last_totals = totals
         counts = " ".join(f"{name}={count}" for name, count in sorted(new.items()) if count)
         return (
             f"leader={context.cluster_leader} token={context.cluster_leader_token} "
