--- a/pitchtally/observability/decision_log.py
+++ b/pitchtally/observability/decision_log.py
@@ -86,9 +86,9 @@
         """Count a decision, and log it with its reason and context at level `debug`."""
         self._counts[decision] += 1
         if log.isEnabledFor(logging.DEBUG):
-            log.debug(self._line(decision, subject, reason))
+            log.debug(self._format_line(decision, subject, reason))
 
-    def _line(self, decision: Decision, subject: str, reason: DecisionReason) -> str:
+    def _format_line(self, decision: Decision, subject: str, reason: DecisionReason) -> str:
         context = self._context()
         read = reason.read or self._last_read()
         fields = [
