--- a/pitchtally/observability/decision_log.py
+++ b/pitchtally/observability/decision_log.py
@@ -96,7 +96,7 @@
             f"about={subject}",
             f"copy={context.replica_revision}",
             f"confirmed_here={reason.read is not None}",
-            f"evidence_age={_age(context):.3f}",
+            f"evidence_age={_evidence_age(context):.3f}",
         ]
         if read is not None:
             fields.append(
@@ -119,7 +119,7 @@
         counts = " ".join(f"{name}={count}" for name, count in sorted(new.items()) if count)
         return (
             f"leader={context.cluster_leader} token={context.cluster_leader_token} "
-            f"copy={context.replica_revision} evidence_age={_age(context):.1f} {counts}"
+            f"copy={context.replica_revision} evidence_age={_evidence_age(context):.1f} {counts}"
         ).rstrip()
 
     async def run(self, period: float) -> None:
@@ -129,6 +129,6 @@
             log.info(self.summary())
 
 
-def _age(context: DecisionContext) -> float:
+def _evidence_age(context: DecisionContext) -> float:
     """Return the seconds since the replica was last verified to hold all cancellations."""
     return trio.current_time() - context.cancellations_verified_at
