--- a/tests/observability/test_decision_log.py
+++ b/tests/observability/test_decision_log.py
@@ -21,7 +21,7 @@
 
 from ..harness.simulation import Simulation, job, run
 
-READ = Refresh(revision=431, requested_at=1.0, replied_at=1.25)
+REFRESH = Refresh(revision=431, requested_at=1.0, replied_at=1.25)
 
 
 def _log(counters: dict[str, int]) -> DecisionLog:
@@ -38,7 +38,7 @@
 
     async def main() -> None:
         with caplog.at_level(logging.DEBUG, decision_log.__name__):
-            _log({}).on_decision(Decision.UNKNOWN_JOB, "wk-000001", DecisionReason(read=READ))
+            _log({}).on_decision(Decision.UNKNOWN_JOB, "wk-000001", DecisionReason(read=REFRESH))
             _log({}).on_decision(Decision.START, "wk-000001/0", DecisionReason(5, token=17))
 
     _on_mock_clock(main)
@@ -58,7 +58,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(decisions.run, 5.0)
             for _ in range(1000):
-                decisions.on_decision(Decision.FOUND, "wk-000001", DecisionReason(read=READ))
+                decisions.on_decision(Decision.FOUND, "wk-000001", DecisionReason(read=REFRESH))
             counters["confirmed"], counters["timed_out"] = 1000, 3
             await trio.sleep(5.1)
             counters["confirmed"] = 1001
