--- a/pitchtally/http/client.py
+++ b/pitchtally/http/client.py
@@ -164,8 +164,8 @@
     ) -> None:
         """Cache a response's head, unless its headers affect framing or connection reuse."""
         lengths = [int(value) for name, value in headers if name == "content-length"]
-        special = any(name in ("connection", "transfer-encoding") for name, _ in headers)
-        if head.http_version != b"1.1" or lengths != [body_length] or special:
+        affects_framing = any(name in ("connection", "transfer-encoding") for name, _ in headers)
+        if head.http_version != b"1.1" or lengths != [body_length] or affects_framing:
             return
         key, length = HeaderCache.without_length(data, 0, len(data))
         if length == body_length:
@@ -178,12 +178,12 @@
     try:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        code = sock.connect_ex(address)
-        if code == errno.EINPROGRESS:
+        error_code = sock.connect_ex(address)
+        if error_code == errno.EINPROGRESS:
             await trio.lowlevel.wait_writable(sock)
-            code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        if code:
-            raise OSError(code, os.strerror(code))
+            error_code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        if error_code:
+            raise OSError(error_code, os.strerror(error_code))
     except BaseException:
         trio.lowlevel.notify_closing(sock)
         sock.close()
