--- a/pitchtally/http/connection_pool.py
+++ b/pitchtally/http/connection_pool.py
@@ -53,8 +53,8 @@
         connections = self.idle.get(address)
         while connections:
             connection = connections.pop()
-            fresh = trio.current_time() - connection.last_used_at < self.idle_timeout
-            if fresh and connection.is_reusable():
+            within_timeout = trio.current_time() - connection.last_used_at < self.idle_timeout
+            if within_timeout and connection.is_reusable():
                 return connection
             connection.close()
         return None
@@ -80,11 +80,11 @@
 
     def _evict(self) -> None:
         """Close expired and surplus connections, those of the least recently used address first."""
-        oldest_use = trio.current_time() - self.idle_timeout
+        oldest_allowed_use = trio.current_time() - self.idle_timeout
         while self.idle:
             address, connections = next(iter(self.idle.items()))
-            too_many = sum(len(others) for others in self.idle.values()) > self.max_total
-            if connections and not too_many and connections[0].last_used_at >= oldest_use:
+            too_many = sum(len(idle) for idle in self.idle.values()) > self.max_total
+            if connections and not too_many and connections[0].last_used_at >= oldest_allowed_use:
                 return
             if connections:
                 connections.pop(0).close()
