--- a/pitchtally/http/h11_exchange.py
+++ b/pitchtally/http/h11_exchange.py
@@ -63,8 +63,8 @@
             self.head = event
         if request is None:
             connection = self._connection
-            started = connection.their_state is not h11.IDLE
-            if connection.our_state is h11.SEND_RESPONSE and started:
+            request_begun = connection.their_state is not h11.IDLE
+            if connection.our_state is h11.SEND_RESPONSE and request_begun:
                 await self.respond(error_response(408, REQUEST_TIMED_OUT))
         return request
 
@@ -103,8 +103,8 @@
             if name == b"content-length" and value.isdigit() and int(value) > self.max_body:
                 raise BadRequestError(400, BODY_TOO_LONG)
             if name == b"expect" and value.lower() == b"100-continue":
-                go_on = h11.InformationalResponse(status_code=100, headers=[])
-                data = self._connection.send(go_on) or b""
+                interim_response = h11.InformationalResponse(status_code=100, headers=[])
+                data = self._connection.send(interim_response) or b""
                 await send_with_timeout(self.sock, data, self.request_timeout)
 
     async def _next_event(self) -> object:
