--- a/pitchtally/http/header_cache.py
+++ b/pitchtally/http/header_cache.py
@@ -63,10 +63,10 @@
         No other part of a head depends on the length. The result is a plain tuple for the same
         reason as `CachedRequest`.
         """
-        found = cls._LENGTH.search(data, start, end)
-        if found is None:
+        match = cls._LENGTH.search(data, start, end)
+        if match is None:
             return data[start:end], None
-        return data[start : found.start(1)] + data[found.end(1) : end], int(found[1])
+        return data[start : match.start(1)] + data[match.end(1) : end], int(match[1])
 
     def lookup(self, data: bytes) -> CachedRequest | None:
         """Return the parsed head of a request, or None if its headers aren't in the cache."""
