--- a/pitchtally/http/messages.py
+++ b/pitchtally/http/messages.py
@@ -58,8 +58,8 @@
     """Split a request target into path and query; the last value of a repeated name is used."""
     path, _, query_text = target.decode("latin-1").partition("?")
     query = {}
-    for piece in query_text.split("&") if query_text else ():
-        name, _, value = piece.partition("=")
+    for parameter in query_text.split("&") if query_text else ():
+        name, _, value = parameter.partition("=")
         query[name] = value
     return Target(path, query)
 
@@ -68,5 +68,5 @@
     status: int, reason: str, headers: list[tuple[str, str]] | None = None
 ) -> Response:
     """Return a response whose JSON body contains the reason."""
-    text = reason.replace("\\", "/").replace('"', "'")
-    return Response(status, f'{{"error":"{text}"}}'.encode(), headers or [])
+    escaped_reason = reason.replace("\\", "/").replace('"', "'")
+    return Response(status, f'{{"error":"{escaped_reason}"}}'.encode(), headers or [])
