--- a/pitchtally/http/server.py
+++ b/pitchtally/http/server.py
@@ -108,14 +108,14 @@
 
     def _evict_idle(self) -> bool:
         """Evict the longest idle connection without priority; return whether there was one."""
-        idle = [
+        candidates = [
             (connection.idle_since, id(connection), connection)
             for connection in self.connections
             if connection.idle_since is not None and not connection.has_priority
         ]
-        if not idle:
+        if not candidates:
             return False
-        connection = min(idle)[2]
+        connection = min(candidates)[2]
         connection.scope.cancel()
         self.connections.discard(connection)
         return True
@@ -161,13 +161,13 @@
             data = b""
             connection.has_priority = request.path in self.priority_paths
             response = await self.handle(request)
-            out = self._heads.encode_head(response) + response.body
+            encoded = self._heads.encode_head(response) + response.body
             try:
-                accepted = sock.send(out)
+                sent_bytes = sock.send(encoded)
             except BlockingIOError:
-                accepted = 0
-            if accepted < len(out):
-                await send_with_timeout(sock, out[accepted:], self.request_timeout)
+                sent_bytes = 0
+            if sent_bytes < len(encoded):
+                await send_with_timeout(sock, encoded[sent_bytes:], self.request_timeout)
 
     async def _read_with_cached_head(self, sock: socket.socket, data: bytes) -> Request | None:
         """Read a request whose head is in the cache; return None if it must be read with h11."""
@@ -188,16 +188,16 @@
         with trio.move_on_after(self.request_timeout) as scope:
             while missing > 0:
                 await trio.lowlevel.wait_readable(sock)
-                more = receive(sock, missing)
-                if more == b"":
+                received = receive(sock, missing)
+                if received == b"":
                     raise h11.RemoteProtocolError("connection closed before the end of the request")
-                if more:
-                    pieces.append(more)
-                    missing -= len(more)
+                if received:
+                    pieces.append(received)
+                    missing -= len(received)
         if scope.cancelled_caught:
             response = error_response(408, REQUEST_TIMED_OUT, [("Connection", "close")])
-            out = self._heads.encode_head(response) + response.body
-            await send_with_timeout(sock, out, self.request_timeout)
+            encoded = self._heads.encode_head(response) + response.body
+            await send_with_timeout(sock, encoded, self.request_timeout)
             raise h11.RemoteProtocolError(REQUEST_TIMED_OUT)
         return b"".join(pieces)
 
