--- a/pitchtally/observability/logfmt.py
+++ b/pitchtally/observability/logfmt.py
@@ -20,8 +20,8 @@
 
     def format(self, record: logging.LogRecord) -> str:
         """Return level, component, message and traceback, if any, as one line."""
-        text = record.getMessage().replace("\n", " ")
-        line = f"level={record.levelname.lower()} component={record.name} msg={text!r}"
+        message = record.getMessage().replace("\n", " ")
+        line = f"level={record.levelname.lower()} component={record.name} msg={message!r}"
         if record.exc_info:
             trace = self.formatException(record.exc_info).replace("\n", " | ")
             line += f" trace={trace!r}"
