--- a/pitchtally/observability/decision_log.py
+++ b/pitchtally/observability/decision_log.py
@@ -114,9 +114,11 @@
         """Return the cluster leader and the counts since the last summary, as one line."""
         context = self._context()
         totals = {**self._counts, **self._counters()}
-        new = {name: total - self._last_totals.get(name, 0) for name, total in totals.items()}
+        increments = {
+            name: total - self._last_totals.get(name, 0) for name, total in totals.items()
+        }
         self._last_totals = totals
-        counts = " ".join(f"{name}={count}" for name, count in sorted(new.items()) if count)
+        counts = " ".join(f"{name}={count}" for name, count in sorted(increments.items()) if count)
         return (
             f"leader={context.cluster_leader} token={context.cluster_leader_token} "
             f"copy={context.replica_revision} evidence_age={_evidence_age(context):.1f} {counts}"
