--- a/tests/http/test_connections.py
+++ b/tests/http/test_connections.py
@@ -53,8 +53,8 @@
             for user in users:
                 assert await _exchange(user, GET)
             for _ in range(5):
-                late = await trio.open_tcp_stream("127.0.0.1", port)
-                assert (await _exchange(late, GET)).startswith(b"HTTP/1.1 200")
+                late_client = await trio.open_tcp_stream("127.0.0.1", port)
+                assert (await _exchange(late_client, GET)).startswith(b"HTTP/1.1 200")
             with trio.fail_after(2):
                 assert await users[0].receive_some(10) == b""  # it has been idle longest
             for agent in agents:
@@ -72,14 +72,14 @@
         server = Server(_echo, max_connections=20, idle_timeout=30, request_timeout=2)
         async with trio.open_nursery() as nursery:
             port = await _start(nursery, server)
-            silent = [await trio.open_tcp_stream("127.0.0.1", port) for _ in range(60)]
+            idle_streams = [await trio.open_tcp_stream("127.0.0.1", port) for _ in range(60)]
             client = Client()
             for _ in range(3):
-                answer = await client.call(("127.0.0.1", port), "POST", "/x", b"1", timeout=1)
-                assert answer.status == 200
+                response = await client.call(("127.0.0.1", port), "POST", "/x", b"1", timeout=1)
+                assert response.status == 200
                 client.drop(("127.0.0.1", port))
             assert len(server.connections) <= 20
-            for stream in silent:
+            for stream in idle_streams:
                 await trio.aclose_forcefully(stream)
             nursery.cancel_scope.cancel()
 
@@ -97,17 +97,17 @@
             request_timeout=2,
             priority_paths=frozenset({"/v1/report"}),
         )
-        answered = 0
+        served = 0
 
         async def agent(port: int) -> None:
-            nonlocal answered
+            nonlocal served
             sock = trio.socket.socket()
             with sock:
                 await sock.connect(("127.0.0.1", port))
                 await sock.send(HEARTBEAT)
                 assert (await sock.recv(4096)).startswith(b"HTTP/1.1 200")
-                answered += 1
-                while answered < 300:  # keeps all connections open at the same time
+                served += 1
+                while served < 300:  # keeps all connections open at the same time
                     await trio.sleep(0.01)
 
         async with trio.open_nursery() as nursery:
@@ -116,7 +116,7 @@
                 async with trio.open_nursery() as agents:
                     for _ in range(300):
                         agents.start_soon(agent, port)
-            assert answered == 300
+            assert served == 300
             nursery.cancel_scope.cancel()
 
     trio.run(main)
@@ -153,9 +153,9 @@
 ]
 
 
-@pytest.mark.parametrize(("sent", "answers"), LATER_REQUESTS)
+@pytest.mark.parametrize(("sent", "expected"), LATER_REQUESTS)
 def test_cached_request_heads_are_parsed_as_h11_parses_them(
-    sent: list[bytes], answers: list[bytes]
+    sent: list[bytes], expected: list[bytes]
 ) -> None:
     async def main() -> None:
         server = Server(_echo, max_connections=6, idle_timeout=5, request_timeout=0.3)
@@ -164,16 +164,16 @@
             for _ in range(2):  # heads are cached on the first connection
                 stream = await trio.open_tcp_stream("127.0.0.1", port)
                 assert b"200" in await _exchange(stream, HEARTBEAT)
-                found = b""
+                received = b""
                 for piece in sent:
                     await stream.send_all(piece)
                     await trio.sleep(0.05)
                 with trio.move_on_after(0.6):
-                    while more := await stream.receive_some(4096):
-                        found += more
-                    found += b"HTTP/1.1 closed "
-                statuses = [line.split(b" ")[0] for line in found.split(b"HTTP/1.1 ")[1:]]
-                assert statuses == answers
+                    while chunk := await stream.receive_some(4096):
+                        received += chunk
+                    received += b"HTTP/1.1 closed "
+                statuses = [line.split(b" ")[0] for line in received.split(b"HTTP/1.1 ")[1:]]
+                assert statuses == expected
                 await trio.aclose_forcefully(stream)
             nursery.cancel_scope.cancel()
 
