--- a/tests/http/test_pooled_connections.py
+++ b/tests/http/test_pooled_connections.py
@@ -22,7 +22,7 @@
         b"\r\n",
     ],
 )
-def test_surplus_bytes_between_two_calls_answer_neither(surplus: bytes) -> None:
+def test_surplus_bytes_between_two_calls_are_discarded(surplus: bytes) -> None:
     """Surplus bytes on a reused connection would be read as the next call's response."""
 
     async def main() -> None:
@@ -31,11 +31,11 @@
         async def serve(stream: trio.SocketStream) -> None:
             nonlocal accepted
             accepted += 1
-            answer = OLD if accepted == 1 else NEW
+            response = OLD if accepted == 1 else NEW
             with contextlib.suppress(trio.BrokenResourceError):  # the client closes the connection
                 while await stream.receive_some(4096):
-                    await stream.send_all(answer)
-                    if answer is OLD:
+                    await stream.send_all(response)
+                    if response is OLD:
                         await trio.sleep(0.02)
                         await stream.send_all(surplus)
 
