--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -49,29 +49,29 @@
         (b"", b""),
     ],
 )
-def test_any_input_ends_in_an_answer_or_a_close(data: bytes, status: bytes) -> None:
+def test_any_input_gets_a_response_or_closes_the_connection(data: bytes, status: bytes) -> None:
     async def body(port: int) -> None:
         stream = await trio.open_tcp_stream("127.0.0.1", port)
         await stream.send_all(data)
-        answer = b""
+        response = b""
         with trio.move_on_after(3):
-            answer = await stream.receive_some(4096)
-        assert answer.split(b" ")[1:2] == ([status] if status else [])
+            response = await stream.receive_some(4096)
+        assert response.split(b" ")[1:2] == ([status] if status else [])
         # The next client is served whatever was sent before.
-        good = await Client().call(("127.0.0.1", port), "POST", "/x", b"ok", timeout=1)
-        assert (good.status, good.body) == (200, b"ok")
+        next_response = await Client().call(("127.0.0.1", port), "POST", "/x", b"ok", timeout=1)
+        assert (next_response.status, next_response.body) == (200, b"ok")
 
     trio.run(with_server, body)
 
 
-def test_client_gives_up_in_time_and_reuses() -> None:
-    async def never_answer(_stream: trio.SocketStream) -> None:
+def test_call_without_a_response_times_out() -> None:
+    async def never_respond(_stream: trio.SocketStream) -> None:
         await trio.sleep(10)
 
     async def main() -> None:
         async with trio.open_nursery() as nursery:
             listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
-            nursery.start_soon(trio.serve_listeners, never_answer, listeners)
+            nursery.start_soon(trio.serve_listeners, never_respond, listeners)
             port = listeners[0].socket.getsockname()[1]
             with pytest.raises(HttpError):
                 await Client().call(("127.0.0.1", port), "GET", "/", timeout=0.2)
