--- a/tests/observability/test_decision_log.py
+++ b/tests/observability/test_decision_log.py
@@ -24,7 +24,7 @@
 REFRESH = Refresh(revision=431, requested_at=1.0, replied_at=1.25)
 
 
-def _log(counters: dict[str, int]) -> DecisionLog:
+def _create_log(counters: dict[str, int]) -> DecisionLog:
     context = DecisionContext(430, 0.5, "n0", 17)
     return DecisionLog(lambda: context, lambda: counters, lambda: None)
 
@@ -38,23 +38,25 @@
 
     async def main() -> None:
         with caplog.at_level(logging.DEBUG, decision_log.__name__):
-            _log({}).on_decision(Decision.UNKNOWN_JOB, "wk-000001", DecisionReason(read=REFRESH))
-            _log({}).on_decision(Decision.START, "wk-000001/0", DecisionReason(5, token=17))
+            _create_log({}).on_decision(
+                Decision.UNKNOWN_JOB, "wk-000001", DecisionReason(read=REFRESH)
+            )
+            _create_log({}).on_decision(Decision.START, "wk-000001/0", DecisionReason(5, token=17))
 
     _on_mock_clock(main)
-    denied, started = (record.getMessage() for record in caplog.records)
+    lookup_line, start_line = (record.getMessage() for record in caplog.records)
     for field in ("decided=unknown_job", "copy=430", "read=431", "asked=1.000", "answered=1.250"):
-        assert field in denied.split()
+        assert field in lookup_line.split()
     for field in ("decided=start", "about=wk-000001/0", "version=5", "token=17"):
-        assert field in started.split()
+        assert field in start_line.split()
 
 
-def test_flood_of_decisions_is_one_line_a_period_at_info(
+def test_many_decisions_are_one_line_per_period_at_info(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def main() -> None:
         counters = {"confirmed": 0, "timed_out": 0}
-        decisions = _log(counters)
+        decisions = _create_log(counters)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(decisions.run, 5.0)
             for _ in range(1000):
@@ -77,35 +79,35 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def main() -> None:
-        begun = 0
+        starts = 0
 
         async def loop() -> None:
-            nonlocal begun
-            begun += 1
-            if begun <= 2:
+            nonlocal starts
+            starts += 1
+            if starts <= 2:
                 raise KeyError("i-000001")
             await trio.sleep_forever()
 
         loops = LoopSupervisor()
         with trio.move_on_after(10):
             await loops.supervise("records", loop)
-        assert begun == 3
+        assert starts == 3
         assert loops.faults == {"records": 2}
 
     with caplog.at_level(logging.ERROR, supervision.__name__):
         _on_mock_clock(main)
-    assert [r.getMessage() for r in caplog.records] == [
+    assert [record.getMessage() for record in caplog.records] == [
         "loop fault loop=records faults=1",
         "loop fault loop=records faults=2",
     ]
 
 
-def test_answers_starts_stops_and_ends_are_logged(
+def test_every_kind_of_decision_is_logged(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Each kind of decision is logged, which fails if a component doesn't report its decisions."""
 
-    async def day(sim: Simulation) -> None:
+    async def scenario(sim: Simulation) -> None:
         await sim.submit(job(1))
         await sim.submit(job(2, rows=2, realS=60.0))
         await trio.sleep(3)
@@ -115,7 +117,7 @@
         await sim.finish(["wk-000001", "wk-000002"])
 
     with caplog.at_level(logging.DEBUG, decision_log.__name__):
-        run(monkeypatch, day)
+        run(monkeypatch, scenario)
     logged = {
         field
         for record in caplog.records
