--- a/pitchtally/http/connection_pool.py
+++ b/pitchtally/http/connection_pool.py
@@ -46,7 +46,8 @@
         self.max_per_address = max_per_address
         self.max_total = max_total
         self.idle_timeout = idle_timeout  # seconds
-        self.idle: dict[Address, list[Connection]] = {}  # in order of last use, oldest first
+        # The addresses are in order of last use, the least recently used one first.
+        self.idle: dict[Address, list[Connection]] = {}
 
     def take(self, address: Address) -> Connection | None:
         """Remove and return the most recently used open connection to an address, if any."""
--- a/pitchtally/protocol/user_api.py
+++ b/pitchtally/protocol/user_api.py
@@ -57,5 +57,5 @@
 
     id: str = field(name="ref")
     state: str = field(name="stage")
-    done: int | None = None  # tasks
-    running: int | None = None  # tasks
+    done: int | None = None  # number of finished tasks
+    running: int | None = None  # number of running tasks
