--- a/pitchtally/scheduling/estimates.py
+++ b/pitchtally/scheduling/estimates.py
@@ -41,7 +41,7 @@
         self.horizon = horizon
         self.corrections: dict[str, Correction] = {}  # by job class
 
-    def learn(self, spec: user_api.JobSpec, ran: float) -> None:
+    def record_run_time(self, spec: user_api.JobSpec, ran: float) -> None:
         """Update the correction of a class: a task of the job finished after `ran` seconds."""
         if ran <= 0 or spec.estimate <= 0 or spec.is_service:
             return
--- a/pitchtally/scheduling/shards/shard_states.py
+++ b/pitchtally/scheduling/shards/shard_states.py
@@ -202,7 +202,7 @@
 
     def task_completed(self, placement: Placement, ran: float) -> None:
         """A task in one of our shards has finished after `ran` seconds."""
-        self.estimates.learn(placement.spec, ran)
+        self.estimates.record_run_time(placement.spec, ran)
         state = self.states.get(placement.machine.shard)
         allocation = state.allocations.get(placement.job.id) if state else None
         last = (
--- a/tests/scheduling/test_estimates.py
+++ b/tests/scheduling/test_estimates.py
@@ -17,5 +17,5 @@
     spec = parse_job(json.dumps(submission(service(1))).encode())
     figures = policy.parse("", settings("n0"))
     estimates = Estimates(figures.start_within)
-    estimates.learn(spec, 0.5)  # the end of a replica says nothing of its duration
+    estimates.record_run_time(spec, 0.5)  # the end of a replica says nothing of its duration
     assert estimates.task(spec) == figures.start_within
