--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -203,7 +203,7 @@
             running_tasks=scheduler.statuses.running,
             tasks_within_limit=scheduler.quotas.limit_left,
             slack=scheduler.priorities.slack,
-            task_seconds=scheduler.estimates.task,
+            task_seconds=scheduler.estimates.expected_run_s,
             recent_specs=lambda: scheduler.shards.recent_jobs.values(),
         )
         return Autoscaler(
--- a/pitchtally/scheduling/assignment/proportional_split.py
+++ b/pitchtally/scheduling/assignment/proportional_split.py
@@ -51,7 +51,9 @@
             machine_type = self.machine_types().get(type_)
             if machine_type is None or not allows_machine_type(spec, machine_type, zone, spot):
                 continue
-            task = self.estimates.task(spec) * dominant_share(resource_request(spec), machine_type)
+            task = self.estimates.expected_run_s(spec) * dominant_share(
+                resource_request(spec), machine_type
+            )
             total += cells[level][size][stretch.first_index_at_least(self.samples.tasks, task)]
             if unreported and total:
                 total -= math.ceil(unreported / max(task, _LEAST_TASK_WORK))
--- a/pitchtally/scheduling/estimates.py
+++ b/pitchtally/scheduling/estimates.py
@@ -52,7 +52,7 @@
         mean += (ratio - mean) / weight
         self.corrections[spec.job_class] = Correction(weight, mean)
 
-    def task(self, spec: user_api.JobSpec) -> float:
+    def expected_run_s(self, spec: user_api.JobSpec) -> float:
         """Expected seconds of one task; a few finished tasks hardly change the user's estimate."""
         if spec.is_service:
             return self.horizon
--- a/pitchtally/scheduling/gangs/reservations.py
+++ b/pitchtally/scheduling/gangs/reservations.py
@@ -179,7 +179,9 @@
             if placement.spec.is_service:
                 continue  # it never ends by itself
             ran = now - (placement.running_since or now)
-            ends.append((max(1.0, self.estimates.task(placement.spec) - ran), placement.resources))
+            ends.append(
+                (max(1.0, self.estimates.expected_run_s(placement.spec) - ran), placement.resources)
+            )
         for end, freed in sorted(ends):
             available = available.plus(freed)
             if fits(request, available):
--- a/pitchtally/scheduling/placement/draining.py
+++ b/pitchtally/scheduling/placement/draining.py
@@ -43,7 +43,9 @@
                 ran_s = (
                     now - placement.running_since if placement.running_since is not None else 0.0
                 )
-                ends_in_time = (self.estimates.task(spec) - ran_s) * NOTICE_MARGIN < left_s
+                ends_in_time = (
+                    self.estimates.expected_run_s(spec) - ran_s
+                ) * NOTICE_MARGIN < left_s
                 if ends_in_time and not spec.is_service:
                     continue
                 for each in state.with_gang(placement):
--- a/pitchtally/scheduling/placement/status_publisher.py
+++ b/pitchtally/scheduling/placement/status_publisher.py
@@ -131,7 +131,9 @@
         queued = 0.0
         for id, count in pending.items():
             allocation = state.allocations[id]
-            queued += count * self.estimates.task(allocation.spec) * allocation.resources[0]
+            queued += (
+                count * self.estimates.expected_run_s(allocation.spec) * allocation.resources[0]
+            )
         return queued
 
     def _matrices(self, state: ShardState, now: float) -> list[GroupMatrix]:
--- a/pitchtally/scheduling/placement/survey.py
+++ b/pitchtally/scheduling/placement/survey.py
@@ -75,7 +75,7 @@
         for id, allocation in state.allocations.items():
             self.deadlines.refresh(allocation)
             self.failures.reclassify(allocation)
-            task_seconds[id] = self.estimates.task(allocation.spec)
+            task_seconds[id] = self.estimates.expected_run_s(allocation.spec)
             if allocation.pending.count and not allocation.gang:
                 min_cpus = min(min_cpus, allocation.resources.cpus)
                 min_memory = min(min_memory, allocation.resources.memory)
--- a/pitchtally/scheduling/priorities.py
+++ b/pitchtally/scheduling/priorities.py
@@ -34,7 +34,7 @@
 
     def slack(self, spec: user_api.JobSpec) -> float:
         """Seconds that a job may be pending and still meet the tightest objective of its class."""
-        task = self.estimates.task(spec)
+        task = self.estimates.expected_run_s(spec)
         limits = [] if spec.deadline is None else [spec.deadline - task]
         limits.extend(
             objective.within_s - (0.0 if objective.kind == "wait" else task)
--- a/pitchtally/scheduling/rebalancing/queue_balancing.py
+++ b/pitchtally/scheduling/rebalancing/queue_balancing.py
@@ -106,7 +106,7 @@
         count = allocation.pending.count  # all, where no machine here may run it
         if width:
             amount = spec.gpus if spec.gpus > 0 else spec.cpus
-            task = max(_LEAST_TASK_WORK, amount * self.estimates.task(spec))
+            task = max(_LEAST_TASK_WORK, amount * self.estimates.expected_run_s(spec))
             count = min(count, int((here - shortest.seconds) / 2 * width / task))
         if count <= 0:
             return False
@@ -144,7 +144,7 @@
             if job is None or RANK[job.spec.rank] > RANK[spec.rank]:
                 continue
             amount = job.spec.gpus if by_gpus else job.spec.cpus
-            queued += count * amount * self.estimates.task(job.spec)
+            queued += count * amount * self.estimates.expected_run_s(job.spec)
         return DrainTime(queued / width, width)
 
     def _width(self, status: ShardStatus, spec: user_api.JobSpec, *, by_gpus: bool) -> float:
--- a/pitchtally/scheduling/shards/deadlines.py
+++ b/pitchtally/scheduling/shards/deadlines.py
@@ -47,7 +47,7 @@
 
     def job_size(self, spec: user_api.JobSpec) -> float:
         """Size of the whole job in task-seconds: w of the paper."""
-        return spec.tasks * self.estimates.task(spec)
+        return spec.tasks * self.estimates.expected_run_s(spec)
 
     def release_time(self, job: Job) -> float:
         """When the job was accepted, on the monotonic clock: r of the paper."""
@@ -77,7 +77,7 @@
         the objective. An objective that lets many jobs miss it is served best by that order and
         doesn't count here.
         """
-        task = self.estimates.task(spec)
+        task = self.estimates.expected_run_s(spec)
         found = [math.inf if spec.deadline is None else spec.deadline]
         found.extend(
             objective.within_s - task
@@ -114,7 +114,7 @@
     def lateness_penalty(self, job: Job, release: float) -> float:
         """Seconds that put a job behind others: for each objective that it can't meet any more."""
         spec = job.spec
-        task = self.estimates.task(spec)
+        task = self.estimates.expected_run_s(spec)
         now = trio.current_time()
         missed = 0
         for objective in self.objectives.get(spec.job_class, ()):
--- a/pitchtally/scheduling/shards/machine_queues.py
+++ b/pitchtally/scheduling/shards/machine_queues.py
@@ -17,7 +17,7 @@
 
     The estimate times the dominant share; the time to fetch the image is spread over all tasks.
     """
-    seconds = estimates.task(spec)
+    seconds = estimates.expected_run_s(spec)
     if spec.image:
         seconds += spec.image_gb / max(machine_type.fetch_rate, 1e-3) / max(1, spec.tasks)
     return seconds * dominant_share(resource_request(spec), machine_type)
--- a/pitchtally/scheduling/shards/shard_statuses.py
+++ b/pitchtally/scheduling/shards/shard_statuses.py
@@ -148,7 +148,7 @@
         ]
         if suitable:
             share = min(dominant_share(resource_request(spec), each) for each in suitable)
-            work = count * self.estimates.task(spec) * share
+            work = count * self.estimates.expected_run_s(spec) * share
             allocation = UnreportedAllocation(trio.current_time(), work)
             self.unreported.setdefault(shard, []).append(allocation)
 
--- a/tests/scheduling/test_estimates.py
+++ b/tests/scheduling/test_estimates.py
@@ -18,4 +18,4 @@
     figures = policy.parse("", settings("n0"))
     estimates = Estimates(figures.start_within)
     estimates.record_run_time(spec, 0.5)  # the end of a replica says nothing of its duration
-    assert estimates.task(spec) == figures.start_within
+    assert estimates.expected_run_s(spec) == figures.start_within
