--- a/pitchtally/scheduling/placement/status_publisher.py
+++ b/pitchtally/scheduling/placement/status_publisher.py
@@ -141,7 +141,7 @@
         matrices = []
         for key, group in state.machine_groups.items():
             queue = machine_queue(state, group, len(user_api.RANKS))
-            cells = stretch.matrix(
+            cells = stretch.availability_matrix(
                 [queue],
                 self.samples.stretches,
                 self.samples.sizes,
--- a/pitchtally/scheduling/stretch.py
+++ b/pitchtally/scheduling/stretch.py
@@ -145,7 +145,7 @@
     return len(samples) - 1
 
 
-def matrix(
+def availability_matrix(
     queues: Sequence[Sequence[QueueEntry]],
     stretches: Sequence[float],
     sizes: Sequence[float],
--- a/tests/scheduling/test_stretch.py
+++ b/tests/scheduling/test_stretch.py
@@ -75,7 +75,7 @@
     """Propositions 1 and 2, which the binary search of algorithm 4 rests on."""
     levels, sizes = [0.1, 0.3, 1.0, 3.0, 9.0], [1.0, 5.0, 25.0, 100.0]
     for queue in random_queues(20):
-        cells = stretch.matrix([queue], levels, sizes, [0.5, 2.0], 0.0)
+        cells = stretch.availability_matrix([queue], levels, sizes, [0.5, 2.0], 0.0)
         for a in range(2):
             for s, w in itertools.product(range(len(levels) - 1), range(len(sizes) - 1)):
                 assert cells[s][w][a] <= cells[s + 1][w][a]
