--- a/pitchtally/scheduling/range_writer.py
+++ b/pitchtally/scheduling/range_writer.py
@@ -115,16 +115,16 @@
         None if no layout holds it, or if the assignment changed during the conversion: the
         tasks then stay where they are.
         """
-        value = self.record_with(job, **changes)
+        value = self.encode_record_with(job, **changes)
         if self.layout.needs_conversion(job) or not self.layout.record_fits(value):
             before = job.record
             converted = await self.migration.convert(job, priority)
             if not converted or not _same_assignment(job, before):
                 return None
-            value = self.record_with(job, **changes)
+            value = self.encode_record_with(job, **changes)
         return value if self.layout.record_fits(value) else None
 
-    def record_with(self, job: Job, **changes: object) -> bytes:
+    def encode_record_with(self, job: Job, **changes: object) -> bytes:
         """A job's record as it is now, but for these fields, encoded."""
         record: JobRecord = msgspec.structs.replace(job.current_record(), **changes)
         return self.layout.encode_record(job, record)
@@ -168,5 +168,5 @@
         """`resolve_outcome` for a job's record."""
         key = keys.job(job.id)
         await self.resolve_outcome(
-            error, key, {key: version}, shard, token, lambda: self.record_with(job)
+            error, key, {key: version}, shard, token, lambda: self.encode_record_with(job)
         )
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -139,7 +139,7 @@
         written: dict[str, str | bytes] = {
             **RECORDS,
             "nodes/n1": msgspec.json.encode(new.membership.session.own_record()),
-            "jobs/wk-000001": new.scheduler.range_writer.record_with(job_),
+            "jobs/wk-000001": new.scheduler.range_writer.encode_record_with(job_),
             "jobs/wk-000004": job_record.encode(record),
             "shares": new.scheduler.quotas.shares.change(
                 "tight", [(4.0, 0.0), (2.0, 0.0), (0, 0)]
--- a/tests/state_store/test_size_limits.py
+++ b/tests/state_store/test_size_limits.py
@@ -70,7 +70,7 @@
     assert not job_.chunk_tasks
     job_.finished.add_bytes(b"\xff" * (tasks // 8))
     ranges = [TaskRange(i * 50, i * 50 + 50, i % 3) for i in range(43)]
-    return len(controller.scheduler.range_writer.record_with(job_, ranges=ranges))
+    return len(controller.scheduler.range_writer.encode_record_with(job_, ranges=ranges))
 
 
 def finished_chunk(controller: Controller) -> int:
