--- a/pitchtally/scheduling/assignment/proportional_split.py
+++ b/pitchtally/scheduling/assignment/proportional_split.py
@@ -54,7 +54,7 @@
             task = self.estimates.expected_run_s(spec) * dominant_share(
                 resource_request(spec), machine_type
             )
-            total += cells[level][size][stretch.first_index_at_least(self.samples.tasks, task)]
+            total += cells[level][size][stretch.first_index_at_least(self.samples.task_work, task)]
             if unreported and total:
                 total -= math.ceil(unreported / max(task, _LEAST_TASK_WORK))
                 unreported = 0.0
--- a/pitchtally/scheduling/context.py
+++ b/pitchtally/scheduling/context.py
@@ -21,7 +21,7 @@
 
     stretches: list[float]  # S, dimensionless
     sizes: list[float]  # w, in task-seconds
-    tasks: list[float]  # a, in machine-seconds
+    task_work: list[float]  # a, in machine-seconds
 
     @classmethod
     def from_policy(cls, policy: Policy) -> AvailabilitySamples:
--- a/pitchtally/scheduling/placement/status_publisher.py
+++ b/pitchtally/scheduling/placement/status_publisher.py
@@ -145,7 +145,7 @@
                 [queue],
                 self.samples.stretches,
                 self.samples.sizes,
-                self.samples.tasks,
+                self.samples.task_work,
                 now,
                 group.batch_machines,
             )
