--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -104,7 +104,7 @@
 
     def plan_job(self, spec: user_api.JobSpec) -> ScheduleReply:
         """Place a job as the cluster leader."""
-        plan = self._scheduler.decide_as_leader(spec)
+        plan = self._scheduler.plan_as_leader(spec)
         return ScheduleReply(plan.ranges, plan.zone)
 
     async def serve_forwarded(self, request: Request) -> Response:
--- a/pitchtally/scheduling/assignment/local_assignment.py
+++ b/pitchtally/scheduling/assignment/local_assignment.py
@@ -86,7 +86,7 @@
             return []
         return self.proportional_split.split(spec)
 
-    def decide_as_leader(self, spec: user_api.JobSpec) -> Plan:
+    def plan_as_leader(self, spec: user_api.JobSpec) -> Plan:
         """Place a job that its accepting controller does not keep; UNASSIGNED if unknown."""
         if self.membership.cluster_leader_token is None or spec.kind == user_api.GANG:
             return UNASSIGNED
--- a/pitchtally/scheduling/scheduler.py
+++ b/pitchtally/scheduling/scheduler.py
@@ -170,9 +170,9 @@
         """Where a job goes on acceptance, see `LocalAssignment.decide`."""
         return self.local_assignment.decide(spec)
 
-    def decide_as_leader(self, spec: user_api.JobSpec) -> Plan:
+    def plan_as_leader(self, spec: user_api.JobSpec) -> Plan:
         """Where a job goes that its accepting controller doesn't keep."""
-        return self.local_assignment.decide_as_leader(spec)
+        return self.local_assignment.plan_as_leader(spec)
 
     async def run(self) -> None:
         """Plan within each of our shards and refresh their statuses, over and over."""
