--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -227,7 +227,7 @@
             layout=self.layout,
             peers=self.membership,
             scheduler=ApiSchedulerView(
-                plan=self.scheduler.decide, running_tasks=self.scheduler.statuses.running
+                plan=self.scheduler.plan_submission, running_tasks=self.scheduler.statuses.running
             ),
             machine_types=self.autoscaler.catalog.types,
             serve_agent=self.agents.serve,
--- a/pitchtally/scheduling/assignment/local_assignment.py
+++ b/pitchtally/scheduling/assignment/local_assignment.py
@@ -44,7 +44,7 @@
         self.single_shard_planner = planners.single_shard
         self.proportional_split = planners.proportional_split
 
-    def decide(self, spec: user_api.JobSpec) -> Plan:
+    def plan_submission(self, spec: user_api.JobSpec) -> Plan:
         """On acceptance: keep the job in a shard of ours, or UNASSIGNED to send it to the leader.
 
         A gang's tasks are placed at once wherever there is capacity for all: it has no
--- a/pitchtally/scheduling/scheduler.py
+++ b/pitchtally/scheduling/scheduler.py
@@ -166,9 +166,9 @@
             context, self.membership, states, self.statuses, self.quotas, writer
         )
 
-    def decide(self, spec: user_api.JobSpec) -> Plan:
-        """Where a job goes on acceptance, see `LocalAssignment.decide`."""
-        return self.local_assignment.decide(spec)
+    def plan_submission(self, spec: user_api.JobSpec) -> Plan:
+        """Where a job goes on acceptance, see `LocalAssignment.plan_submission`."""
+        return self.local_assignment.plan_submission(spec)
 
     def plan_as_leader(self, spec: user_api.JobSpec) -> Plan:
         """Where a job goes that its accepting controller doesn't keep."""
