--- a/pitchtally/scheduling/assignment/__init__.py
+++ b/pitchtally/scheduling/assignment/__init__.py
@@ -1,8 +1,9 @@
-"""Which shard gets a job: on acceptance, and by the cluster leader for what nobody kept.
+"""Assigns jobs to shards: on acceptance, or later by the cluster leader.
 
-Decisions rest on the newest statuses of all shards; this package has no state of its own and
-changes jobs' records through `RangeWriter` alone. Follows Celaya and Marchal: a job is kept at
-up to B times the lowest stretch, else split in proportion to the summed availability matrices.
+Decisions are based on the newest statuses of all shards. This package has no state of its own and
+changes job records only through `RangeWriter`. It follows Celaya and Marchal: the accepting
+controller keeps a job at up to B times the lowest stretch; otherwise the cluster leader splits
+the job in proportion to the summed availability matrices.
 
 Invariant: the cluster leader assigns only tasks that no shard has, under its fencing token.
 """
--- a/pitchtally/scheduling/assignment/constrained_assignment.py
+++ b/pitchtally/scheduling/assignment/constrained_assignment.py
@@ -1,4 +1,4 @@
-"""Shards for jobs whose tasks constrain one another, written to the jobs' records."""
+"""Assigns jobs whose tasks constrain one another, in the jobs' records."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class ConstrainedAssignment:
-    """Assigns gangs, and other jobs that stay in one shard, on the cluster leader."""
+    """Assigns gangs, and other jobs that stay in one shard; runs on the cluster leader."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         self.range_writer = range_writer
 
     async def assign(self, job: Job, token: int) -> None:
-        """Assign all tasks, if there is a plan; `token` is the cluster leader's fencing token.
+        """Assign all tasks if a plan exists; `token` is the cluster leader's fencing token.
 
         Raises StoreUnavailable, OutcomeUnknown included.
         """
@@ -58,24 +58,30 @@
             return self.single_shard_planner.plan(spec)
         plan = self.gang_planner.plan(spec, token, job)
         if plan is None and spec.tasks == 1 and self.quotas.limit_left(spec):
-            # A single machine can be reserved by the shard that has the task pending.
+            # The shard that has the task pending can reserve a single machine for it.
             plan = self._plan_reservation(spec)
         return plan
 
     def _plan_reservation(self, spec: user_api.JobSpec) -> Plan | None:
-        """The shard whose machines would hold the gang best; it reserves one of them."""
+        """Plan a gang of one task on the best shard, which will reserve a machine for it."""
         plan = self.single_shard_planner.plan(spec)
         if plan is not None:
             shard = plan.ranges[0].shard
-            log.info("gang awaits capacity job=%s shard=%d zone=%s", spec.id, shard, plan.zone)
+            log.info(
+                "gang assigned before capacity is free job=%s shard=%d zone=%s",
+                spec.id,
+                shard,
+                plan.zone,
+            )
         return plan
 
     async def assign_unfinished(self, job: Job, token: int) -> None:
-        """Assign the tasks that a shard returned after others of the job had finished.
+        """Assign the tasks that a shard returned after other tasks of the job had finished.
 
-        A finished task of a gang means that all have finished: what is assigned here ends as
-        soon as it starts. The unfinished tasks of an array that is bound to one zone, or
-        spread, may go to another zone, since no task of the job is on a machine any more.
+        If one task of a gang has finished, all of them have, so a task of a gang that is
+        assigned here ends as soon as it starts. The unfinished tasks of an array that is bound
+        to one zone, or spread, may go to another zone, since no task of the job is on a machine
+        any more. `token` is the cluster leader's fencing token.
         """
         if may_be_active(job, job.record.ranges):
             return
@@ -102,7 +108,7 @@
 
 
 def _unassigned(job: Job) -> list[TaskRange]:
-    """The tasks of a job that no shard has; the shard in these ranges means nothing."""
+    """Return the tasks of a job that no shard has; the shard in these ranges is meaningless."""
     assigned = TaskBitmap(job.record.tasks)
     for first, end, _ in job.record.ranges:
         for task in range(first, end):
--- a/pitchtally/scheduling/assignment/job_assignment.py
+++ b/pitchtally/scheduling/assignment/job_assignment.py
@@ -1,4 +1,4 @@
-"""The cluster leader's loop over jobs that no controller kept."""
+"""The cluster leader's assignment of tasks that no shard has."""
 
 from __future__ import annotations
 
@@ -37,13 +37,13 @@
         self.range_writer = range_writer
 
     async def assign(self, token: int) -> None:
-        """Assign what is unassigned; `token` is the cluster leader's fencing token.
+        """Assign all unassigned tasks; `token` is the cluster leader's fencing token.
 
         Raises StoreUnavailable, OutcomeUnknown included.
         """
         for job in self._unassigned_jobs():
             assigned = _assigned_tasks(job)
-            # A job may end while the write for the one before it is under way.
+            # A job may end while the previous job's record is being written.
             if assigned >= job.record.tasks or not job.open:
                 continue
             if not stays_in_one_shard(job.spec):
@@ -54,9 +54,9 @@
                 await self.constrained.assign_unfinished(job, token)
 
     def _unassigned_jobs(self) -> list[Job]:
-        """Open jobs with unassigned tasks, in the order in which they should start.
+        """Return open jobs with unassigned tasks, in the order in which they should start.
 
-        What is planned first gets the capacity.
+        Jobs that are planned earlier get the free capacity first.
         """
         jobs = [
             job for job in self.job_index.open.values() if _assigned_tasks(job) < job.record.tasks
@@ -73,7 +73,7 @@
         return jobs
 
     async def _split(self, job: Job, assigned: int, token: int) -> None:
-        """Split the unassigned tasks, which follow those assigned, over the shards."""
+        """Split the unassigned tasks, numbered after the assigned ones, over the shards."""
         spec = job.spec
         if assigned:
             spec = msgspec.structs.replace(spec, tasks=job.record.tasks - assigned)
--- a/pitchtally/scheduling/assignment/local_assignment.py
+++ b/pitchtally/scheduling/assignment/local_assignment.py
@@ -1,4 +1,4 @@
-"""Where a job goes on acceptance: to a shard of this controller, or to the cluster leader."""
+"""Plans a job on acceptance: in a shard of this controller, or by the cluster leader."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class JobPlanners(NamedTuple):
-    """Planners for the kinds of jobs that admission tells apart."""
+    """The planners for gangs, for jobs that stay in one shard, and for jobs that may be split."""
 
     gang: GangPlanner
     single_shard: SingleShardPlanner
@@ -25,7 +25,10 @@
 
 
 class LocalAssignment:
-    """The paper's test on acceptance: keep a job covered at up to B times the lowest stretch."""
+    """The paper's test on acceptance: keep a job covered at up to B times the lowest stretch.
+
+    B is the policy's `bound`.
+    """
 
     def __init__(
         self,
@@ -45,10 +48,10 @@
         self.proportional_split = planners.proportional_split
 
     def plan_submission(self, spec: user_api.JobSpec) -> Plan:
-        """On acceptance: keep the job in a shard of ours, or UNASSIGNED to send it to the leader.
+        """Return a plan in a shard led here, or UNASSIGNED to leave the job to the cluster leader.
 
-        A gang's tasks are placed at once wherever there is capacity for all: it has no
-        stretch to compare, and a detour by the leader would only cost time.
+        A gang is planned at once over all shards, wherever there is capacity for all its tasks:
+        the stretch test doesn't apply to it, and a request to the leader would only add latency.
         """
         ours = [
             shard
@@ -61,7 +64,8 @@
             token = self.membership.token(ours[0])
             return (token is not None and self.gang_planner.plan(spec, token)) or UNASSIGNED
         if spec.is_service:
-            # Free capacity is compared, not queues: it goes to the leader only if ours lack it.
+            # Services are placed by free capacity, not by queues: the leader gets the service
+            # only if no shard led here has the capacity.
             return self.single_shard_planner.plan_service(spec, ours) or UNASSIGNED
         if stays_in_one_shard(spec):
             best = self.single_shard_planner.best_shard(spec)
@@ -72,7 +76,11 @@
         return Plan(self._keep_or_split(spec, ours))
 
     def _keep_or_split(self, spec: user_api.JobSpec, ours: list[int]) -> list[TaskRange]:
-        """The B test on our shards; the leader splits at once what none of them keeps."""
+        """Apply the stretch test to the shards led here.
+
+        If none of them keeps the job, the cluster leader splits it at once; other controllers
+        return no ranges.
+        """
         lowest = max(
             min((status.stretch for status in self.statuses.newest.values()), default=0.0),
             self.samples.stretches[0],
@@ -87,7 +95,10 @@
         return self.proportional_split.split(spec)
 
     def plan_as_leader(self, spec: user_api.JobSpec) -> Plan:
-        """Place a job that its accepting controller does not keep; UNASSIGNED if unknown."""
+        """Plan a job that its accepting controller doesn't keep.
+
+        Returns UNASSIGNED if this controller isn't the cluster leader or has no plan.
+        """
         if self.membership.cluster_leader_token is None or spec.kind == user_api.GANG:
             return UNASSIGNED
         if stays_in_one_shard(spec):
--- a/pitchtally/scheduling/assignment/proportional_split.py
+++ b/pitchtally/scheduling/assignment/proportional_split.py
@@ -1,4 +1,4 @@
-"""The paper's split of a job over shards, by their summed availability matrices."""
+"""The paper's split of a job over shards, in proportion to their availability."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from ..shards.deadlines import Deadlines
 from ..shards.shard_statuses import ShardStatuses
 
-# Machine-seconds: the least work of a task that what was sent to a shard is divided by.
+# Machine-seconds: lower bound on a task's work where unreported work is divided by it.
 _LEAST_TASK_WORK = 1e-6
 
 
@@ -38,10 +38,11 @@
         self.single_shard_planner = single_shard_planner
 
     def availability(self, status: ShardStatus, spec: user_api.JobSpec, level: int) -> int:
-        """Tasks of the job that a shard accepts at the stretch sample with this index.
+        """Return how many tasks of the job a shard accepts at the stretch sample `level`.
 
-        The cell [S][w][a] of its availability matrices, summed over machine groups, less the
-        work that was assigned since the shard computed them.
+        `level` is an index into the stretch samples. The result is the cell [S][w][a] of the
+        shard's availability matrices, summed over machine groups, less the work assigned since
+        the shard computed them.
         """
         total = 0
         size = stretch.last_index_at_most(self.samples.sizes, self.deadlines.job_size(spec))
@@ -61,7 +62,10 @@
         return max(0, total)
 
     def least_level(self, statuses: list[ShardStatus], spec: user_api.JobSpec) -> int | None:
-        """Index of the least stretch sample at which these shards together cover the job."""
+        """Return the index of the least stretch sample at which these shards cover the job.
+
+        None if they don't cover it at any sample.
+        """
         totals = [
             sum(self.availability(status, spec, level) for status in statuses)
             for level in range(len(self.samples.stretches))
@@ -69,10 +73,10 @@
         return stretch.least_cover(totals, spec.tasks)
 
     def split(self, spec: user_api.JobSpec) -> list[TaskRange]:
-        """Task ranges in proportion to the shards' availability at the least covering stretch.
+        """Return task ranges in proportion to availability at the least stretch that covers the job.
 
-        Where no sample covers the job, the largest one decides, and tasks beyond its
-        availability stay unassigned. Empty if no shard has any.
+        If no stretch sample covers the job, the largest one is used, and tasks beyond the
+        availability there stay unassigned. Empty if no shard has any availability.
         """
         if stays_in_one_shard(spec):
             best = self.single_shard_planner.best_shard(spec)
@@ -92,7 +96,7 @@
     def _ranges(
         self, spec: user_api.JobSpec, statuses: list[ShardStatus], counts: list[int]
     ) -> list[TaskRange]:
-        """Consecutive ranges with these counts; each lowers its shard's availability at once."""
+        """Return consecutive ranges with these counts, and record each as allocated to its shard."""
         ranges, first = [], 0
         for status, count in zip(statuses, counts, strict=True):
             if count:
--- a/pitchtally/scheduling/capacity.py
+++ b/pitchtally/scheduling/capacity.py
@@ -1,4 +1,4 @@
-"""Which machines a job allows, and where the tasks of a gang fit; pure functions."""
+"""Pure functions on which machines a job allows and where the tasks of a gang fit."""
 
 from __future__ import annotations
 
@@ -12,29 +12,32 @@
 from ..jobs.resources import capacity_of, fits, resource_request
 from ..protocol import cloud_api, user_api
 
-# Position of each rank: a lower number comes first.
+# Position of each rank in the priority order: a lower number comes first.
 RANK = {rank: i for i, rank in enumerate(user_api.RANKS)}
 
 
 def stays_in_one_shard(spec: user_api.JobSpec) -> bool:
-    """Whether the tasks of a job constrain one another, so that one shard should have them all."""
+    """Return whether all tasks of a job should go to one shard since they constrain one another."""
     return spec.kind == user_api.GANG or (spec.tasks > 1 and (spec.one_zone or spec.spread))
 
 
 def is_gang(placement: Placement) -> bool:
-    """Whether the placement belongs to a gang."""
+    """Return whether the placement belongs to a gang."""
     return placement.spec.kind == user_api.GANG
 
 
 def is_fully_assigned(job: Job) -> bool:
-    """Whether every task of the job is assigned to a shard."""
+    """Return whether every task of the job is assigned to a shard."""
     return sum(r.tasks for r in job.record.ranges) >= job.record.tasks
 
 
 def allows_machine_type(
     spec: user_api.JobSpec, machine_type: cloud_api.MachineType, zone: str, spot: bool
 ) -> bool:
-    """Whether a job allows machines of this type, zone and kind, and fits on one."""
+    """Return whether a job allows machines of this type and zone, and a task of it fits on one.
+
+    `spot`: whether the machines are spot instances.
+    """
     if spec.types is not None and machine_type.name not in spec.types:
         return False
     if spec.zone is not None and spec.zone != zone:
@@ -45,14 +48,14 @@
 
 
 def may_be_active(job: Job, ranges: Iterable[TaskRange]) -> bool:
-    """Whether a task in these ranges may be on a machine, or be started by its shard."""
+    """Return whether a task in these ranges may be on a machine, or be started by its shard."""
     return any(not job.is_finished(task) for each in ranges for task in range(each.first, each.end))
 
 
 def share_ratio(spec: user_api.JobSpec, other: Job | None) -> float:
-    """How many tasks of `spec` a pending task of another job displaces, at most one.
+    """Return how many tasks of `spec` one pending task of another job displaces, at most 1.
 
-    `other`: None once that job is over. Jobs of lower rank displace none.
+    `other` is None if that job has ended. Jobs of lower rank displace none.
     """
     if other is None or RANK[other.spec.rank] > RANK[spec.rank]:
         return 0.0
@@ -60,29 +63,29 @@
 
 
 class Plan(NamedTuple):
-    """Which shards get a job's tasks, and what binds gangs over several shards."""
+    """The shards that get a job's tasks, and the fields that bind a gang over several shards."""
 
     ranges: list[TaskRange]
-    zone: str | None = None  # for one-zone jobs
-    attempt: int = 0  # of gangs over several shards, see `JobRecord.attempt`
+    zone: str | None = None  # set for one-zone jobs
+    attempt: int = 0  # set for gangs over several shards, see `JobRecord.attempt`
     zone_caps: list[ZoneCap] = []
 
 
-# The plan of a job that no shard gets yet.
+# The plan of a job whose tasks are not assigned to any shard yet.
 UNASSIGNED = Plan([])
 
 
 class CapacitySource(IntEnum):
-    """Which capacity a gang may use, in the order in which it is tried."""
+    """The capacity that a gang may use; planners try the members in this order."""
 
     FREE = 0
-    PREEMPTIBLE = 1  # also what tasks of lower rank use
-    OVER_GUARANTEE = 2  # also what teams over their guarantee use
-    RESERVED = 3  # whole machines, reserved until they are empty: for gangs pending for long
+    PREEMPTIBLE = 1  # also capacity used by tasks of lower rank
+    OVER_GUARANTEE = 2  # also capacity used by teams over their guarantee
+    RESERVED = 3  # all of a machine, reserved until it is empty; for gangs pending too long
 
 
 class ShardZone(NamedTuple):
-    """The machines of a shard in one zone."""
+    """One shard's machines in one zone."""
 
     shard: int
     zone: str
@@ -91,9 +94,10 @@
 def plan_gang(
     capacities: Mapping[ShardZone, int], tasks: int, *, one_zone: bool, spread: bool
 ) -> dict[ShardZone, int] | None:
-    """Distribute a gang over capacities, largest first; None if it doesn't fit.
+    """Distribute a gang over the capacities, largest first; return None if it doesn't fit.
 
-    `one_zone`: all tasks in one zone; `spread`: at most half of them, rounded up, in a zone.
+    With `one_zone`, all tasks go to one zone; with `spread`, at most half of them, rounded up,
+    go to any zone.
     """
     zones = sorted({zone for _, zone in capacities})
     choices = [[zone] for zone in zones] if one_zone else [zones]
@@ -109,7 +113,8 @@
                 plan[place] = count
                 unplaced -= count
                 left_in_zone[place.zone] -= count
-        # The fewer shards, the fewer leaders whose capacity has to be available at once.
+        # A plan over fewer shards is preferred: every shard leader in it must have its capacity
+        # available at the same time.
         if not unplaced and (best is None or len(plan) < len(best)):
             best = plan
     return best
--- a/pitchtally/scheduling/context.py
+++ b/pitchtally/scheduling/context.py
@@ -1,4 +1,4 @@
-"""What all components of the scheduler share: settings, and objects of lower layers."""
+"""Settings and lower-layer objects that all components of the scheduler share."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 
     @classmethod
     def from_policy(cls, policy: Policy) -> AvailabilitySamples:
-        """The axes over fixed ranges, with the numbers of samples that the policy gives."""
+        """Return axes over fixed ranges, with as many samples as the policy sets."""
         return cls(
-            # The least is far below the stretch of any real queue.
+            # The first sample is far below the stretch of any real queue.
             stretch.samples(2.0**-12, 2.0**3, int(policy.stretch_samples)),
             stretch.samples(16.0, 2.0**19, int(policy.size_samples)),
             stretch.samples(0.25, 0.25 * 3.0**7, int(policy.task_samples)),
@@ -36,14 +36,14 @@
 
 @dataclass(frozen=True)
 class SchedulingContext:
-    """Data and lower-layer objects that most components use; never another component."""
+    """Data and lower-layer objects that most components use; no components themselves."""
 
     settings: Settings
     policy: Policy
     job_index: JobIndex
     commits: JobCommits
     agents: AgentManager
-    machine_types: Callable[[], dict[str, cloud_api.MachineType]]  # by name, as known now
+    machine_types: Callable[[], dict[str, cloud_api.MachineType]]  # the catalog now, by name
     estimates: Estimates
     samples: AvailabilitySamples
     agent_heartbeat_s: float  # seconds between two heartbeats of an agent
--- a/pitchtally/scheduling/estimates.py
+++ b/pitchtally/scheduling/estimates.py
@@ -1,9 +1,9 @@
-"""Expected run times of tasks: the users' estimates, corrected by class from finished tasks.
+"""Expected run times of tasks: user estimates, corrected by job class from finished tasks.
 
-A service's replica has no run time: it runs until the job is cancelled. In queues it counts as
-`horizon` seconds, how far planning looks ahead, so w of a service is its replicas times that.
-Running replicas aren't work in a queue but capacity that their machines lack, see
-`placement.survey`.
+A service replica has no run time: it runs until the job is cancelled. In queues it counts as
+`horizon` seconds, the time that planning looks ahead, so the size (w) of a service is its number
+of replicas times `horizon`. Running replicas are not work in a queue; they reduce the capacity of
+their machines, see `placement.survey`.
 """
 
 from __future__ import annotations
@@ -13,36 +13,36 @@
 
 from ..protocol import user_api
 
-# Shorter run times count as this.
+# A shorter run time counts as this one.
 MIN_RUN_S = 0.1
-# Ratios further from 1 than e to this power count as that.
+# Bound on the absolute value of log(run time / estimate) of one finished task.
 MAX_LOG_RATIO = 3.0
-# Finished tasks after which the mean forgets older ones.
+# The running mean counts at most this many finished tasks, so that newer ones keep an influence.
 MAX_WEIGHT = 200.0
-# Finished tasks that the user's estimate counts for.
+# The user's estimate has the weight of this many finished tasks.
 PRIOR_WEIGHT = 5
 
 
 class Correction(NamedTuple):
-    """How far the estimates of a job class are off."""
+    """The mean error of the estimates of a job class."""
 
-    weight: float  # finished tasks
-    mean: float  # of log(run time / estimate)
+    weight: float  # number of finished tasks, bounded by `MAX_WEIGHT`
+    mean: float  # mean of log(run time / estimate)
 
 
 NO_CORRECTION = Correction(0.0, 0.0)
 
 
 class Estimates:
-    """A running mean per job class of log(run time / estimate) corrects later estimates."""
+    """Estimates corrected by a running mean of log(run time / estimate) per job class."""
 
     def __init__(self, horizon: float) -> None:
-        """`horizon`: seconds for which a service's replica counts."""
+        """Start without corrections; a service replica counts as `horizon` seconds of run time."""
         self.horizon = horizon
         self.corrections: dict[str, Correction] = {}  # by job class
 
     def record_run_time(self, spec: user_api.JobSpec, ran: float) -> None:
-        """Update the correction of a class: a task of the job finished after `ran` seconds."""
+        """Update the correction of a job's class with a task that finished after `ran` seconds."""
         if ran <= 0 or spec.estimate <= 0 or spec.is_service:
             return
         weight, mean = self.corrections.get(spec.job_class, NO_CORRECTION)
@@ -53,7 +53,10 @@
         self.corrections[spec.job_class] = Correction(weight, mean)
 
     def expected_run_s(self, spec: user_api.JobSpec) -> float:
-        """Expected seconds of one task; a few finished tasks hardly change the user's estimate."""
+        """Return the expected run time of one task in seconds.
+
+        With only a few finished tasks in its class, this is close to the user's estimate.
+        """
         if spec.is_service:
             return self.horizon
         weight, mean = self.corrections.get(spec.job_class, NO_CORRECTION)
--- a/pitchtally/scheduling/planning_trigger.py
+++ b/pitchtally/scheduling/planning_trigger.py
@@ -1,4 +1,4 @@
-"""Wakes the planning loop before its interval is over."""
+"""Wakes the planning loop before its interval has elapsed."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 
 class PlanningTrigger:
-    """An event that is cleared by the one task that waits for it."""
+    """An event that its single waiter clears on return."""
 
     def __init__(self) -> None:
         self._event = trio.Event()
 
     def set(self) -> None:
-        """Ask for a planning round soon."""
+        """Request a planning round before the interval has elapsed."""
         self._event.set()
 
     async def wait(self, timeout: float) -> None:
-        """Return once it is set, or after `timeout` seconds; clear it."""
+        """Return once the event is set, or after `timeout` seconds; then clear the event."""
         with trio.move_on_after(timeout):
             await self._event.wait()
         self._event = trio.Event()
--- a/pitchtally/scheduling/priorities.py
+++ b/pitchtally/scheduling/priorities.py
@@ -8,12 +8,12 @@
 from .shards.allocations import ShardAllocation
 from .shards.deadlines import Deadlines
 
-# Rank, whether the team is outside its guarantee, deadline; the least comes first. A plain tuple,
-# since one is made for each pending job at each agent heartbeat.
+# (rank, whether the team is outside its guarantee, deadline); the lowest key starts first. A plain
+# tuple for speed, since one is built for each pending job at each agent heartbeat.
 PriorityKey = tuple[int, bool, float]
-# Ahead of every rank.
+# Sorts before every rank of a job.
 AGED_RANK = -1
-# Task lengths that a job without any objective may be pending.
+# A job without any objective may be pending for the expected run time of this many tasks.
 DEFAULT_SLACK_TASKS = 3
 MIN_SLACK_S = 1.0
 
@@ -33,7 +33,10 @@
         self.quotas = quotas
 
     def slack(self, spec: user_api.JobSpec) -> float:
-        """Seconds that a job may be pending and still meet the tightest objective of its class."""
+        """Return how long a job may be pending and still meet its class's tightest objective.
+
+        In seconds.
+        """
         task = self.estimates.expected_run_s(spec)
         limits = [] if spec.deadline is None else [spec.deadline - task]
         limits.extend(
@@ -42,23 +45,23 @@
             if objective.within_s is not None
         )
         if spec.kind == user_api.GANG and self.quotas.guaranteed(spec.team):
-            # Arrays start as capacity becomes available, but a gang within its team's guarantee
-            # starts in time only if machines for all of it are up already.
+            # An array starts task by task as capacity becomes available. A gang within its team's
+            # guarantee starts in time only if machines for all its tasks are already running.
             limits.extend(
                 objective.within_s
                 for objective in self.deadlines.objectives.get(None, ())
                 if objective.kind == "guarantee" and objective.within_s is not None
             )
-        # The users of a service notice each second that a replica is missing.
+        # A missing replica affects the users of a service from the first second.
         default = self.agent_heartbeat_s if spec.is_service else task * DEFAULT_SLACK_TASKS
         return max(MIN_SLACK_S, min(limits, default=default))
 
     def key(self, allocation: ShardAllocation, level: float) -> PriorityKey:
-        """The sort key of an allocation, with deadlines at the stretch `level`.
+        """Return the sort key of an allocation, with deadlines at the stretch `level`.
 
-        Since rank comes before the deadline, a low rank could starve. Aging prevents that: a job
-        pending for most of `start_within` precedes all others until its next start, in order of
-        release.
+        Since rank comes before the deadline, jobs of a low rank could starve. Aging prevents
+        that: jobs pending for most of `start_within` precede all others until their next start;
+        among themselves they are sorted by release time.
         """
         if allocation.aged:
             return (AGED_RANK, False, allocation.release)
--- a/pitchtally/scheduling/range_writer.py
+++ b/pitchtally/scheduling/range_writer.py
@@ -1,4 +1,4 @@
-"""Writes which shard gets which tasks of a job, and resolves writes of unknown outcome."""
+"""Writes which shard each task of a job is assigned to; resolves writes of unknown outcome."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 log = logging.getLogger(__name__)
 
-# Ranges that a job's record may hold: it has to fit into one value of the store.
+# Ranges that a job record may hold: the record has to fit into one value of the state store.
 MAX_RANGES = 40
-# Seconds between two tries to resolve an unknown outcome.
+# Pause between two attempts to resolve an unknown outcome.
 RETRY_INTERVAL_S = 0.3
 
 
 def _same_assignment(job: Job, before: JobRecord) -> bool:
-    """Whether a job's record says the same as before of which shard has which tasks."""
+    """Return whether a job's record assigns its tasks to shards as `before` does."""
     now = job.record
     return (now.stage, now.ranges, now.zone, now.attempt, now.zone_caps) == (
         before.stage,
@@ -67,10 +67,11 @@
         attempt: int | UnsetType = UNSET,
         zone_caps: list[ZoneCap] | UnsetType = UNSET,
     ) -> bool:
-        """Write which shard has which tasks of a job; False if a precondition failed.
+        """Write which shard each task of a job is assigned to; return whether it was committed.
 
-        `zone`, `attempt` and `zone_caps` bind jobs whose tasks constrain one another; those left
-        out stay as they are. Raises StoreUnavailable, OutcomeUnknown included.
+        Returns False if a precondition failed or if the record doesn't fit into a stored value.
+        `zone`, `attempt` and `zone_caps` constrain jobs whose tasks constrain one another; those
+        not given keep their present value. Raises StoreUnavailable, OutcomeUnknown included.
         """
         bindings: dict[str, object] = {
             name: value
@@ -78,7 +79,7 @@
             if value is not UNSET
         }
         preconditions = {**preconditions, **self._tokens_of_led_shards(ranges)}
-        # Migrations improve a placement; assignments are what lets tasks start at all.
+        # A migration only improves a placement, while no task starts without an assignment.
         priority = (
             Priority.PROGRESS if is_fully_assigned(job) and not bindings else Priority.SUBMISSIONS
         )
@@ -91,14 +92,15 @@
                 {key: job.version, **preconditions}, [Write(key, value)], priority=priority
             )
         except InvalidTransaction as error:
-            log.info("ranges refused job=%s cause=%s", job.id, error)
+            log.info("store rejected task ranges job=%s cause=%s", job.id, error)
             return False
 
     def _tokens_of_led_shards(self, ranges: Iterable[TaskRange]) -> dict[str, int]:
-        """Preconditions that this controller still leads the shards that it leads now.
+        """Return preconditions that this controller still leads those of the shards it leads now.
 
-        The replica applies our own writes ahead of the watch. If another controller acquired
-        one of these shards meanwhile, both would start the tasks that are assigned to it.
+        The replica applies this controller's own writes before the watch delivers them. If
+        another controller had acquired one of these shards in the meantime, both would start the
+        tasks that are assigned to it.
         """
         tokens: dict[str, int] = {}
         for _, _, shard in ranges:
@@ -110,10 +112,10 @@
     async def _encode_in_limits(
         self, job: Job, priority: Priority, **changes: object
     ) -> bytes | None:
-        """The changed record, converted to a layout that holds it if need be.
+        """Return the changed record, encoded, after converting the job's layout if necessary.
 
-        None if no layout holds it, or if the assignment changed during the conversion: the
-        tasks then stay where they are.
+        Returns None if the record is too large in any layout, or if the assignment changed
+        during the conversion; the tasks then stay where they are.
         """
         value = self.encode_record_with(job, **changes)
         if self.layout.needs_conversion(job) or not self.layout.record_fits(value):
@@ -125,7 +127,7 @@
         return value if self.layout.record_fits(value) else None
 
     def encode_record_with(self, job: Job, **changes: object) -> bytes:
-        """A job's record as it is now, but for these fields, encoded."""
+        """Return a job's present record with these fields replaced, encoded."""
         record: JobRecord = msgspec.structs.replace(job.current_record(), **changes)
         return self.layout.encode_record(job, record)
 
@@ -140,12 +142,13 @@
     ) -> None:
         """Return once a commit that failed with `error` can't take effect any more.
 
-        A read doesn't tell: the store may carry out a transaction seconds after the client
-        gave up on its answer. So the key's present value (`value`) is written under the same
-        preconditions. Whichever of the two commits comes first, the other's compare fails.
-        Also returns when the shard is lost, since the outcome is then up to its next leader.
+        A read can't show that: the store may execute a transaction seconds after the client's
+        request timed out. So the key's present value (`value`) is written under the same
+        preconditions. Whichever of the two commits is executed first, the preconditions of the
+        other then fail. Also returns when this controller loses the shard, since resolving the
+        outcome is then left to the shard's next leader.
 
-        `versions` are the versions of the key, and of others, that the commit expected.
+        `versions` are the versions of the key, and of other keys, that the commit expected.
         """
         if not isinstance(error, OutcomeUnknown):
             return
@@ -159,13 +162,13 @@
                     priority=Priority.SUBMISSIONS,
                 )
             except StoreUnavailable as retry_error:
-                log.debug("outcome unresolved key=%s: %s", key, retry_error)
+                log.debug("commit outcome still unknown key=%s: %s", key, retry_error)
                 await trio.sleep(RETRY_INTERVAL_S)
 
     async def resolve_job_outcome(
         self, error: StoreUnavailable, job: Job, version: int, shard: int, token: int
     ) -> None:
-        """`resolve_outcome` for a job's record."""
+        """Call `resolve_outcome` for a job's record."""
         key = keys.job(job.id)
         await self.resolve_outcome(
             error, key, {key: version}, shard, token, lambda: self.encode_record_with(job)
--- a/pitchtally/scheduling/scheduler.py
+++ b/pitchtally/scheduling/scheduler.py
@@ -1,11 +1,12 @@
-"""Which shard gets a job's tasks, and which of them start on a machine.
-
-The design follows Celaya and Marchal: an accepting controller keeps a job if its shard covers
-it at a stretch of at most B times the lowest anywhere, else the cluster leader splits it in
-proportion to summed availability; within a shard the tasks are allotted to machine queues the
-same way; a machine with capacity starts its queue in deadline order and then takes from the
-longest queue of its shard. Ranks, team quotas, zones, gangs, preemption and the migration of
-tasks between shards are added to it.
+"""Composes the scheduler's components and runs its two planning loops.
+
+The design follows Celaya and Marchal: the controller that accepts a job keeps it if one of its
+shards covers the job at a stretch of at most B times the lowest stretch of any shard; otherwise
+the cluster leader splits the job over the shards in proportion to their summed availability.
+Within a shard, tasks are allotted to machine queues in the same way. A machine with capacity
+starts the tasks of its own queue in deadline order, then takes tasks from the longest queue of
+its shard. Ranks, team quotas, zones, gangs, preemption and the migration of tasks between shards
+extend the paper's design.
 """
 
 from __future__ import annotations
@@ -62,10 +63,9 @@
 
 log = logging.getLogger(__name__)
 
-# After planning, the loop sleeps this many times as long as planning took: a tenth of the
-# time is for planning, and the rest for agent heartbeats and users.
+# After planning, a loop sleeps this many times as long as the planning took, so that planning
+# uses a tenth of the processor time and leaves the rest to agent heartbeats and user requests.
 _PLANNING_PAUSE_FACTOR = 9.0
-# Seconds between two rounds of the global loop, at the least.
 _MIN_GLOBAL_ROUND_S = 0.2
 
 
@@ -84,9 +84,10 @@
         migration: JobMigration,
         machine_types: Callable[[], dict[str, cloud_api.MachineType]],
     ):
-        """`machine_types` returns the machine types of the catalog as it is now.
+        """Compose the components.
 
-        Each other argument is a component of a lower layer that the controller has composed.
+        `machine_types` returns the machine types that the catalog lists now, by name. Each other
+        argument is a component of a lower layer that the controller has composed.
         """
         context = SchedulingContext(
             settings=settings,
@@ -110,7 +111,7 @@
         self._compose_global_planning(context)
 
     def _compose_shared(self, context: SchedulingContext, shares: QuotaShares) -> None:
-        """The components that planning within a shard and over several both use."""
+        """Compose the components that both planning loops use."""
         states: dict[int, ShardState] = {}
         self.deadlines = Deadlines(context)
         self.statuses = ShardStatuses(context, self.membership, states)
@@ -122,7 +123,7 @@
         )
 
     def _compose_shard_planning(self, context: SchedulingContext) -> None:
-        """The components that plan within a shard."""
+        """Compose the components that plan within a shard."""
         states = self.shards.states
         self.survey = Survey(context, states, self.deadlines, self.failures)
         self.allotment = Allotment(context, states)
@@ -136,7 +137,7 @@
         self.status_publisher = StatusPublisher(context, states, self.statuses, self.quotas)
 
     def _compose_global_planning(self, context: SchedulingContext) -> None:
-        """The components that plan over several shards."""
+        """Compose the components that plan over several shards."""
         states, writer = self.shards.states, self.range_writer
         free_capacity = FreeCapacity(context, self.statuses)
         single_shard = SingleShardPlanner(context, self.statuses, free_capacity)
@@ -167,18 +168,19 @@
         )
 
     def plan_submission(self, spec: user_api.JobSpec) -> Plan:
-        """Where a job goes on acceptance, see `LocalAssignment.plan_submission`."""
+        """Plan a job on acceptance, see `LocalAssignment.plan_submission`."""
         return self.local_assignment.plan_submission(spec)
 
     def plan_as_leader(self, spec: user_api.JobSpec) -> Plan:
-        """Where a job goes that its accepting controller doesn't keep."""
+        """Plan a job that the accepting controller doesn't keep, as the cluster leader."""
         return self.local_assignment.plan_as_leader(spec)
 
     async def run(self) -> None:
-        """Plan within each of our shards and refresh their statuses, over and over."""
+        """Plan within each shard led here and refresh its status, until cancelled."""
         while True:
             await self.planning_trigger.wait(self.agent_heartbeat_s / 4)
-            # Starts are sent with the answers to agent heartbeats: more frequent planning is idle.
+            # Starts are sent in the answers to agent heartbeats, so more frequent planning
+            # would start no task earlier.
             await trio.sleep(self.agent_heartbeat_s / 10)
             spent = 0.0
             for shard, state in list(self.shards.states.items()):
@@ -186,13 +188,13 @@
                     at = trio.current_time()
                     self._plan(shard, state)
                     spent += trio.current_time() - at
-                    await trio.sleep(0)  # agent heartbeats come before planning
+                    await trio.sleep(0)  # lets waiting agent heartbeats be answered first
             spent += self.status_publisher.refresh()
-            # Planning takes a bounded share of the processor, whatever the number of machines.
+            # Bounds the share of processor time for planning, whatever the number of machines.
             await trio.sleep(min(self.agent_heartbeat_s, spent * _PLANNING_PAUSE_FACTOR))
 
     def _plan(self, shard: int, state: ShardState) -> None:
-        """One planning round of a shard."""
+        """Run one planning round of a shard."""
         self.survey.survey(shard)
         self.allotment.allot(shard)
         self.gang_starter.start(state, shard)
@@ -201,7 +203,10 @@
         self.reservations.reserve(shard)
 
     async def run_global_scheduling(self) -> None:
-        """Assign jobs as the cluster leader; return, migrate and transfer as a shard leader."""
+        """Assign jobs, return ranges, migrate tasks and transfer quota, until cancelled.
+
+        Only the cluster leader assigns jobs; every shard leader does the rest for its shards.
+        """
         spent = 0.0
         while True:
             await trio.sleep(
@@ -221,5 +226,5 @@
                 await self.quota_transfer.transfer()
                 spent = min(self.agent_heartbeat_s, trio.current_time() - at)
             except StoreUnavailable as error:
-                log.debug("global round stopped: %s", error)
+                log.debug("global scheduling round aborted: %s", error)
                 await trio.sleep(RETRY_INTERVAL_S)
--- a/pitchtally/scheduling/stretch.py
+++ b/pitchtally/scheduling/stretch.py
@@ -1,10 +1,10 @@
 """The paper's local scheduler: stretch deadlines, EDF, least stretch, availability.
 
 Pure functions over a machine's queue: equations 1 and 2 and algorithms 1 to 4 of Celaya and
-Marchal, with the paper's symbols in the comments. An application of the paper is a job here.
-Times are in seconds on one clock. Work is in machine-seconds: a task's estimate times its
-dominant share of the machine, so that one number stands for a vector of resources and the speed
-of a machine is 1.
+Marchal, with the paper's symbols in the comments. The paper's "application" is a job here.
+Times are in seconds on one clock. Work is in machine-seconds: a task's estimated run time times
+its dominant share of the machine. One number thus represents a vector of resources, and every
+machine has speed 1.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-# The search for the least stretch stays between these.
+# Bounds of the search for the least stretch.
 MIN_STRETCH, MAX_STRETCH = 1e-9, 1e12
-# Quotients of floats that miss a whole number by less count as that number.
+# A quotient of floats that is less than this below a whole number counts as that number.
 ROUNDING = 1e-9
 
 
@@ -25,16 +25,19 @@
 
     release: float  # r: when the job was released
     size: float  # w: the size of the whole job, in task-seconds
-    work: float  # N^u a: machine-seconds that are left on this machine
+    work: float  # N^u a: machine-seconds left to run on this machine
 
 
 def deadline(release: float, size: float, stretch: float) -> float:
-    """Equation 1: d = r + S * w."""
+    """Return a job's deadline at a stretch; equation 1: d = r + S * w."""
     return release + stretch * size
 
 
 def meets(queue: Sequence[QueueEntry], stretch: float, now: float) -> bool:
-    """Algorithm 1: whether earliest deadline first meets every deadline at this stretch."""
+    """Return whether earliest deadline first (EDF) meets every deadline at this stretch.
+
+    Algorithm 1 of the paper.
+    """
     end = now
     for due, work in sorted((deadline(e.release, e.size, stretch), e.work) for e in queue):
         end += work
@@ -44,10 +47,11 @@
 
 
 def least_stretch(queue: Sequence[QueueEntry], now: float, tolerance: float = 0.01) -> float:
-    """Algorithm 2: the least stretch at which every deadline is met, by bisection.
+    """Return the least stretch at which every deadline is met, by bisection.
 
-    `tolerance` is relative to the result. The paper's absolute one suits a single scale of
-    sizes; here sizes differ by factors of thousands between a gang of one and a wide array.
+    Algorithm 2 of the paper, except that `tolerance` is relative to the result. The paper's
+    absolute tolerance suits jobs of similar sizes; here sizes differ by factors of thousands
+    between a gang of one task and a wide array.
     """
     if not queue:
         return 0.0
@@ -70,16 +74,16 @@
 
 
 class EdfSchedule(NamedTuple):
-    """A queue in EDF order at one stretch, prepared to be asked about many new jobs."""
+    """A queue in EDF order at one stretch, computed once to answer `gap_in` for many jobs."""
 
     deadlines: list[float]  # d_i, rising
     work_before: list[float]  # machine-seconds of the jobs ahead of each position
-    latest_starts: list[float]  # x_i: the latest start of each such that no job is late
-    feasible: bool  # every deadline is met at this stretch
+    latest_starts: list[float]  # x_i: the latest start of each entry at which no job is late
+    feasible: bool  # whether every deadline is met at this stretch
 
 
 def edf_schedule(queue: Sequence[QueueEntry], stretch: float, now: float) -> EdfSchedule:
-    """Order a queue by its deadlines at a stretch, and work out the slack of each position."""
+    """Order a queue by its deadlines at a stretch, and compute the latest start of each entry."""
     rows = sorted((deadline(e.release, e.size, stretch), e.work) for e in queue)
     work_before, total = [0.0], 0.0
     for _, work in rows:
@@ -94,7 +98,10 @@
 
 
 def gap_in(schedule: EdfSchedule, due: float, start: float) -> float:
-    """Algorithm 3 on a prepared queue: h for a job due at `due` that starts from `start` on."""
+    """Return the machine-seconds available to a job due at `due` that starts at `start` or later.
+
+    Algorithm 3 of the paper (h), on a queue that is already in EDF order.
+    """
     if not schedule.feasible:
         return 0.0
     position = bisect.bisect_left(schedule.deadlines, due)
@@ -105,23 +112,26 @@
 def gap(
     queue: Sequence[QueueEntry], stretch: float, release: float, size: float, now: float
 ) -> float:
-    """Algorithm 3: machine-seconds available to a new job at this stretch (h)."""
+    """Return the machine-seconds available to a new job at this stretch (h of algorithm 3)."""
     schedule = edf_schedule(queue, stretch, now)
     return gap_in(schedule, deadline(release, size, stretch), max(release, now))
 
 
 def tasks_in_gap(free: float, cost: float) -> int:
-    """Equation 2: n = floor(h / a), the tasks of that cost that fit into a gap."""
+    """Return how many tasks of this cost fit into a gap; equation 2: n = floor(h / a).
+
+    Both arguments are in machine-seconds.
+    """
     if cost <= 0:
         return 0
     return int(free / cost + ROUNDING)
 
 
 def samples(first: float, last: float, count: int) -> list[float]:
-    """A geometric series from `first` to `last`: fewer samples are coarser, not shorter.
+    """Return a geometric series from `first` to `last`.
 
-    A series cut short would show no availability for real queues, and jobs would stay
-    unassigned until those queues are empty.
+    A smaller `count` makes the series coarser, not shorter: a truncated series would show no
+    availability for real queues, and jobs would stay unassigned until those queues are empty.
     """
     if count < 2:
         return [last]
@@ -129,7 +139,7 @@
 
 
 def last_index_at_most(samples: Sequence[float], value: float) -> int:
-    """Index of the largest sample that is at most `value`; 0 if there is none."""
+    """Return the index of the largest sample that is at most `value`; 0 if there is none."""
     found = 0
     for i, sample in enumerate(samples):
         if sample <= value:
@@ -138,7 +148,10 @@
 
 
 def first_index_at_least(samples: Sequence[float], value: float) -> int:
-    """Index of the smallest sample that is at least `value`; the last if there is none."""
+    """Return the index of the smallest sample that is at least `value`.
+
+    Returns the last index if every sample is smaller.
+    """
     for i, sample in enumerate(samples):
         if sample >= value:
             return i
@@ -153,9 +166,9 @@
     now: float,
     machines: float = 1.0,
 ) -> list[list[list[int]]]:
-    """The availability matrix: cell [S][w][a] is a number of tasks, summed over the queues.
+    """Return the availability matrix: cell [S][w][a] is a number of tasks, summed over the queues.
 
-    Each queue stands for `machines` interchangeable machines that share its work evenly.
+    Each queue represents `machines` interchangeable machines that share its work evenly.
     """
     planes = []
     for stretch in stretches:
@@ -172,10 +185,11 @@
 
 
 def least_cover(counts: Sequence[int], wanted: int) -> int | None:
-    """Algorithm 4: index of the least stretch sample whose availability covers the tasks.
+    """Return the index of the least stretch sample whose availability covers the tasks.
 
-    `counts`: availability by stretch sample. It never falls as the stretch grows (the paper's
-    proposition 2), so binary search is sound. None if even the largest sample doesn't cover.
+    Algorithm 4 of the paper. `counts` is the availability at each stretch sample. Availability
+    never falls as the stretch grows (the paper's proposition 2), so a binary search is correct.
+    Returns None if even the largest sample doesn't cover the tasks.
     """
     low, high = 0, len(counts) - 1
     if not counts or counts[high] < wanted:
