--- a/pitchtally/scheduling/assignment/local_assignment.py
+++ b/pitchtally/scheduling/assignment/local_assignment.py
@@ -48,7 +48,7 @@
         self.proportional_split = planners.proportional_split
 
     def plan_submission(self, spec: user_api.JobSpec) -> Plan:
-        """Return a plan in a shard led here, or UNASSIGNED to leave the job to the cluster leader.
+        """Return a plan for a job on acceptance, or UNASSIGNED to leave it to the cluster leader.
 
         A gang is planned at once over all shards, wherever there is capacity for all its tasks:
         the stretch test doesn't apply to it, and a request to the leader would only add latency.
@@ -97,7 +97,8 @@
     def plan_as_leader(self, spec: user_api.JobSpec) -> Plan:
         """Plan a job that its accepting controller doesn't keep.
 
-        Returns UNASSIGNED if this controller isn't the cluster leader or has no plan.
+        Returns UNASSIGNED for gangs, and if this controller isn't the cluster leader or has no
+        plan.
         """
         if self.membership.cluster_leader_token is None or spec.kind == user_api.GANG:
             return UNASSIGNED
--- a/pitchtally/scheduling/assignment/proportional_split.py
+++ b/pitchtally/scheduling/assignment/proportional_split.py
@@ -73,7 +73,7 @@
         return stretch.least_cover(totals, spec.tasks)
 
     def split(self, spec: user_api.JobSpec) -> list[TaskRange]:
-        """Return task ranges in proportion to availability at the least stretch that covers the job.
+        """Return task ranges in proportion to availability at the least stretch that covers all.
 
         If no stretch sample covers the job, the largest one is used, and tasks beyond the
         availability there stay unassigned. Empty if no shard has any availability.
@@ -96,7 +96,7 @@
     def _ranges(
         self, spec: user_api.JobSpec, statuses: list[ShardStatus], counts: list[int]
     ) -> list[TaskRange]:
-        """Return consecutive ranges with these counts, and record each as allocated to its shard."""
+        """Return consecutive ranges with these counts, and record each with its shard."""
         ranges, first = [], 0
         for status, count in zip(statuses, counts, strict=True):
             if count:
--- a/pitchtally/scheduling/gangs/__init__.py
+++ b/pitchtally/scheduling/gangs/__init__.py
@@ -1,9 +1,9 @@
-"""Jobs whose tasks constrain one another: planned, reserved for, started, returned.
+"""Plans, reserves machines for, starts and returns jobs whose tasks constrain one another.
 
-State: the capacity booked for plans that statuses can't show yet (`FreeCapacity`), the gang
-that machines over several shards are reserved for (`GangPlanner`), and the reservations on
+State: the capacity booked for plans that statuses don't include yet (`FreeCapacity`), the one gang
+for which machines may be reserved over several shards (`GangPlanner`), and the reservations on
 machines (`Machine.reservation`, which preemption sets as well).
 
-Invariant: a gang starts in a shard only when all its tasks there have a machine, and over
-several shards all of them start the same attempt.
+Invariants: a gang starts in a shard only when each of its tasks there has a machine; the shards
+of a gang over several shards all start the same attempt.
 """
--- a/pitchtally/scheduling/gangs/free_capacity.py
+++ b/pitchtally/scheduling/gangs/free_capacity.py
@@ -1,4 +1,4 @@
-"""Tasks that each shard could start in each zone, less what was planned a moment ago."""
+"""Free capacity by shard and zone, less recent plans that statuses don't include yet."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from ..context import SchedulingContext
 from ..shards.shard_statuses import ShardStatuses
 
-# Tasks of a job that fit into each zone of each shard; the form that `plan_gang` takes.
+# Tasks of a job that fit into each zone of each shard, as an argument of `plan_gang`.
 ZoneCapacities = dict[ShardZone, int]
 
-# Sources that include what running tasks would free when preempted.
+# Sources that include the capacity that preemption would free.
 _BY_PREEMPTION = (CapacitySource.PREEMPTIBLE, CapacitySource.OVER_GUARANTEE)
-# Peer heartbeat intervals after which a status shows the tasks that were planned before.
+# Peer heartbeat intervals after which a shard's status includes the tasks planned before.
 _BOOKING_INTERVALS = 3
 
 
 class _Booking(NamedTuple):
-    """Capacity planned for tasks that the status of their shard can't show yet."""
+    """Capacity planned for tasks that the status of their shard may not include yet."""
 
     at: float
     place: ShardZone
-    request: Resources  # of one task
+    request: Resources  # what one task requests
     tasks: int
 
 
@@ -36,7 +36,7 @@
     """Free capacity by shard and zone, from the newest statuses.
 
     Statuses are renewed a few times a second. Two jobs planned between two statuses would
-    both be given the same machines, so each plan is booked for a few heartbeats.
+    both get the same machines, so the capacity of each plan stays booked for a few peer heartbeats.
     """
 
     def __init__(self, context: SchedulingContext, statuses: ShardStatuses) -> None:
@@ -46,12 +46,12 @@
         self._bookings: list[_Booking] = []
 
     def book(self, now: float, spec: user_api.JobSpec, plan: ZoneCapacities) -> None:
-        """Count the tasks of a plan as placed until the statuses show them."""
+        """Count the tasks of a plan as placed until the statuses include them."""
         for place, tasks in plan.items():
             self._bookings.append(_Booking(now, place, resource_request(spec), tasks))
 
     def by_zone(self, spec: user_api.JobSpec, source: CapacitySource) -> ZoneCapacities:
-        """Tasks that each shard could start in each zone, less what is booked."""
+        """Return how many tasks each shard could start in each zone, less booked capacity."""
         limit = trio.current_time() - self.policy.heartbeat_interval * _BOOKING_INTERVALS
         self._bookings = [booking for booking in self._bookings if booking.at > limit]
         capacities: ZoneCapacities = {}
@@ -69,9 +69,10 @@
     def _in_shard(
         self, status: ShardStatus, spec: user_api.JobSpec, source: CapacitySource
     ) -> dict[str, int]:
-        """Tasks that a shard could start in each zone, computed once per status and job shape.
+        """Return how many tasks a shard could start in each zone.
 
-        The cluster leader plans every pending gang several times a second.
+        Cached for each status, source, resource request and constraint, since the cluster leader
+        plans every pending gang several times a second.
         """
         request = resource_request(spec)
         cached = self.statuses.zones.setdefault(status.shard, {})
@@ -102,7 +103,7 @@
     status: ShardStatus,
     source: CapacitySource,
 ) -> Resources:
-    """What a gang may use of a machine; one that is reserved offers what is free alone."""
+    """Return what a gang may use of a machine: of a reserved one, only what is free."""
     available = machine.free
     if source is CapacitySource.RESERVED and machine.name not in status.reserved_machines:
         available = capacity_of(machine_type)
@@ -114,7 +115,7 @@
 
 
 def _tasks_displaced(booking: _Booking, request: Resources) -> int:
-    """How many tasks with this request the booked ones leave no capacity for."""
+    """Return how many tasks with this request the booked tasks displace."""
     ratio = max(
         (
             booked / wanted
--- a/pitchtally/scheduling/gangs/planner.py
+++ b/pitchtally/scheduling/gangs/planner.py
@@ -1,4 +1,4 @@
-"""Plans for gangs: capacity for all tasks at once, in one shard or over several."""
+"""Plans gangs where there is capacity for all tasks at once, in one shard or over several."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 log = logging.getLogger(__name__)
 
-# An attempt number is a fencing token above this many bits of a count.
+# The low bits of an attempt number are a counter, the high bits a fencing token.
 _COUNT_BITS = 24
-# Set in the attempts that all shards of a gang share; a shard's own attempts leave it clear.
+# Set in attempts that all shards of a gang share; clear in attempts that one shard numbers.
 _SHARED_ATTEMPT_BIT = 1 << 23
-# Of `start_within`: how long one gang may hold the right to reserve before another gets it.
+# Share of `start_within` for which one gang alone may reserve machines over several shards.
 _RESERVING_SHARE = 1 / 4
 
 
 class _ReservingGang(NamedTuple):
-    """The gang that machines over several shards are reserved for."""
+    """The one gang for which machines may be reserved over several shards."""
 
     job_id: str
     since: float
@@ -51,15 +51,16 @@
         self.quotas = quotas
         self.deadlines = deadlines
         self.free_capacity = free_capacity
-        self._shared_attempts = 0  # so many planned by this process
+        self._shared_attempts = 0  # the number of shared attempts planned by this process
         self._reserving: _ReservingGang | None = None
 
     def plan(self, spec: user_api.JobSpec, token: int, job: Job | None = None) -> Plan | None:
-        """Capacity for a whole gang: in one shard if one has it, else over several.
+        """Plan all tasks of a gang: in one shard if it has the capacity, else over several.
 
-        Shards that share a gang start the same attempt. Its number contains `token`, a
-        fencing token of this controller, so no other controller ever uses it. None if the
-        team's limit or the machines have no place for all tasks.
+        Shards that share a gang start the same attempt. The attempt's number contains `token`, a
+        fencing token of this controller, so no other controller ever uses that number. `job` is
+        None on acceptance. Returns None if the team's limit or the machines lack capacity for all
+        tasks.
         """
         if self.quotas.limit_left(spec) < spec.tasks:
             return None
@@ -72,7 +73,7 @@
         return None
 
     def _sources(self, spec: user_api.JobSpec, job: Job | None, now: float) -> list[CapacitySource]:
-        """What the gang may take its capacity from, least disruptive first."""
+        """Return the sources of capacity that the gang may use, least disruptive first."""
         within_guarantee = self.quotas.within_guarantee(spec)
         sources = [CapacitySource.FREE]
         if spec.rank != user_api.RANKS[-1]:
@@ -91,7 +92,7 @@
         found: ZoneCapacities,
         now: float,
     ) -> Plan:
-        """Book the capacity that was found, and turn it into task ranges."""
+        """Book the planned capacity, and return the plan as task ranges."""
         self.free_capacity.book(now, spec, found)
         ranges = _ranges(found)
         attempt = self._next_shared_attempt(token) if len(ranges) > 1 else 0
@@ -115,9 +116,10 @@
         return (token << _COUNT_BITS) + _SHARED_ATTEMPT_BIT + self._shared_attempts
 
     def _may_reserve(self, job_id: str, now: float) -> bool:
-        """Whether machines over several shards may be reserved for this gang.
+        """Return whether machines over several shards may be reserved for this gang.
 
-        One gang at a time: two could each reserve half of the other's machines.
+        Only one gang at a time may have them: two gangs could each reserve half of the machines
+        that the other needs.
         """
         reserving = self._reserving
         if reserving is None or reserving.job_id == job_id:
@@ -130,7 +132,7 @@
 
 
 def _ranges(found: ZoneCapacities) -> list[TaskRange]:
-    """The tasks of a gang as one range for each shard, in the order of shards."""
+    """Return the tasks of a gang as one range for each shard, in the order of shard numbers."""
     ranges, first = [], 0
     for shard in sorted({shard for shard, _ in found}):
         tasks = sum(count for (other, _), count in found.items() if other == shard)
--- a/pitchtally/scheduling/gangs/range_return.py
+++ b/pitchtally/scheduling/gangs/range_return.py
@@ -1,4 +1,4 @@
-"""Jobs that can't start in their shard, returned to the cluster leader for a new assignment."""
+"""Returns jobs that can't start in their shard to the cluster leader for a new assignment."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 from ..shards.shard_states import ShardStates
 from .reservations import is_reserved_for
 
-# Of `gang_wait_s`: how long a job stays pending in a shard before it is returned.
+# Share of `gang_wait_s` for which a job stays pending in a shard before it is returned.
 _WAIT_SHARE = 1 / 2
-# So many times as long if machines are reserved for it.
+# Factor on that time if machines are reserved for the job.
 _RESERVED_WAIT_FACTOR = 4
-# Agent heartbeats that a gang stays pending whose planned machines went to other jobs.
+# A gang whose planned machines went to other jobs is returned after this many agent heartbeats.
 _LOST_PLAN_HEARTBEATS = 2
 
 
 class RangeReturn:
-    """Returns the ranges of jobs that must stay in one shard, or start together, unstarted.
+    """Returns the unstarted ranges of jobs that must stay in one shard, or start together.
 
-    The cluster leader assigns what no shard has, so a return just removes our shard's ranges
-    from the job's record, by a compare-and-swap under our fencing token.
+    The cluster leader assigns the tasks that no shard has. To return a range, the shard leader
+    therefore just removes it from the job's record, by a compare-and-swap under its fencing token.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         self.range_writer = range_writer
 
     async def return_unstartable(self) -> None:
-        """Return the ranges of every such job of our shards that can't start there."""
+        """Return the ranges of every such job that can't start in a shard led here."""
         for shard, state in list(self.shard_states.states.items()):
             token = self.membership.token(shard)
             if not state.reconciled or token is None:
@@ -68,9 +68,9 @@
 
     @staticmethod
     def _is_returnable(allocation: ShardAllocation) -> bool:
-        """Whether it has pending tasks, and isn't a service that runs in other shards too."""
+        """Return whether the job has pending tasks and isn't a service over several shards."""
         if allocation.service and len(allocation.job.record.ranges) > 1:
-            return False  # its missing replicas migrate, see `ServiceMigration`
+            return False  # `ServiceMigration` migrates the missing replicas
         return allocation.pending.count > 0
 
     def _stop_if_incomplete(self, allocation: ShardAllocation) -> None:
@@ -82,7 +82,7 @@
                 self.agents.stop(placement, job.spec.save)
 
     def _should_return(self, state: ShardState, allocation: ShardAllocation) -> bool:
-        """Whether a job has been pending here for too long, or its attempt has failed."""
+        """Return whether a job has been pending here for too long, or its attempt has failed."""
         job = allocation.job
         begun = bool(job.finished.count or job.local)
         attempt = job.record.attempt
@@ -102,13 +102,16 @@
             and job.id not in state.ready_gangs
             and self.quotas.limit_left(job.spec) >= job.spec.tasks
         ):
-            # Other jobs took the machines that it was planned on: have it planned anew at once.
+            # Other jobs took the machines on which the gang was planned: have it planned again.
             wait = self.agent_heartbeat_s * _LOST_PLAN_HEARTBEATS
         return trio.current_time() - allocation.pending_since >= wait
 
     @staticmethod
     def _ranges_without(job: Job, shard: int) -> list[TaskRange] | None:
-        """A job's ranges once a shard has returned its unfinished tasks; None: not possible yet."""
+        """Return a job's ranges without the unfinished tasks of a shard.
+
+        None if the shard can't return them yet.
+        """
         kept: list[tuple[int, int, int]] = []
         for first, end, other in job.record.ranges:
             if other != shard:
@@ -120,7 +123,8 @@
         remaining = merge(kept)
         if len(remaining) <= MAX_RANGES:
             return remaining
-        # Too many ranges for a record: all of ours go, once what is finished is durable.
+        # Too many ranges for a record: remove all of the shard's ranges, but only once its
+        # finished tasks are durable.
         if job.local:
             return None
         return [r for r in job.record.ranges if r.shard != shard]
--- a/pitchtally/scheduling/gangs/reservations.py
+++ b/pitchtally/scheduling/gangs/reservations.py
@@ -1,4 +1,4 @@
-"""Machines reserved for jobs that smaller tasks would keep from starting."""
+"""Reserves machines for jobs that smaller tasks would otherwise delay indefinitely."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
 log = logging.getLogger(__name__)
 
-# Of `start_within`: a gang over several machines waits for no capacity later than this.
+# Share of `start_within`: a gang over several machines reserves none that are available later.
 _LATEST_SHARE = 1 / 8
-# A reservation lasts this many times the expected wait, and some agent heartbeats.
+# A reservation lasts for the expected wait times this ratio, plus some agent heartbeats.
 _WAIT_MARGIN = 1.5
 _MARGIN_HEARTBEATS = 3
 
 
 class Opening(NamedTuple):
-    """When a machine has capacity for its n-th task of a job."""
+    """The expected time at which a machine has capacity for the n-th task of a job there."""
 
     eta: float  # seconds from now
     name: str
@@ -37,15 +37,15 @@
 
 @dataclass(slots=True)
 class _ShardReservations:
-    """What the machines of a shard are reserved for in one planning round."""
+    """The jobs for which machines of a shard are reserved, during one planning round."""
 
-    job_ids: set[str]  # as of the start of the round
-    has_wide_gang: bool  # one of several tasks
-    has_large_task: bool  # one of an array or a service
+    job_ids: set[str]  # jobs with reservations at the start of the round
+    has_wide_gang: bool  # whether one of the jobs is a gang of several tasks
+    has_large_task: bool  # whether one of the jobs is an array or a service
 
 
 def is_reserved_for(machines: Iterable[Machine], job_id: str) -> bool:
-    """Whether one of these machines is reserved for the job."""
+    """Return whether one of these machines is reserved for the job."""
     now = trio.current_time()
     return any(
         machine.reservation
@@ -74,11 +74,12 @@
         self.quotas = quotas
 
     def reserve(self, shard: int) -> None:
-        """Reserve the machines that soonest have capacity for a pending gang.
+        """Reserve the machines that will have capacity for a pending gang soonest.
 
-        Arrays take capacity task by task as it frees up; a gang of equal rank would wait
-        until they are done. One gang at a time, unless one machine holds it whole, and none
-        whose capacity is far off: reserved machines run nothing new meanwhile.
+        Arrays take capacity task by task as tasks end; without reservations a gang of equal rank
+        would wait until the arrays are done. Reserved machines start no other tasks, so only one
+        gang over several machines has reservations at a time, and none whose capacity becomes
+        available late. A gang that fits on one machine isn't limited in this way.
         """
         state = self.shards[shard]
         now = trio.current_time()
@@ -86,7 +87,8 @@
             m for m in self.agents.of_shard(shard) if m.schedulable and m.quarantined_until < now
         ]
         current = self._current(state, machines, now)
-        # Also for a task so large that small ones always take what frees up first.
+        # Aged jobs are candidates as well: a task may be so large that small tasks always take
+        # released capacity first.
         candidates = [(h.release, id, h) for id, h in state.allocations.items() if h.gang or h.aged]
         for _, id, allocation in sorted(candidates, key=lambda r: r[:2]):
             if id in current.job_ids or not self._may_reserve(state, allocation, now):
@@ -120,17 +122,18 @@
     def _allowed_beside(
         self, current: _ShardReservations, allocation: ShardAllocation, wanted: int
     ) -> bool:
-        """Whether a job may reserve machines beside the jobs that have reserved some."""
+        """Return whether a job may reserve machines in addition to the present reservations."""
         if wanted > 1 and (current.has_wide_gang or not self.deadlines.is_late(allocation.job)):
             return False
-        # While jobs beyond the limit queue up, every array has been pending for long.
+        # Of aged jobs that aren't gangs, only one reserves machines at a time, within its team's
+        # limit: while jobs beyond the limit are queued, every array becomes aged.
         return allocation.gang or not (
             current.has_large_task
             or not self.quotas.tasks_within_limit(allocation.shard, allocation.spec)
         )
 
     def _worth_reserving(self, allocation: ShardAllocation, wanted: int, eta: float) -> bool:
-        """Whether a gang would start soon on the machines, and isn't held up by its limit."""
+        """Return whether a gang would start soon on the machines, within its team's limit."""
         if eta > self.policy.start_within * _LATEST_SHARE:
             return False
         return self.quotas.tasks_within_limit(allocation.shard, allocation.spec) >= wanted
@@ -143,7 +146,7 @@
         log.info("reserved machines=%d for=%s eta=%.1f", len(names), job_id, eta)
 
     def _may_reserve(self, state: ShardState, allocation: ShardAllocation, now: float) -> bool:
-        """Whether a job is pending, and has been for the interval of an agent heartbeat."""
+        """Return whether a job is pending, and has been for at least one agent heartbeat."""
         attempt = allocation.job.record.attempt
         if allocation.placed or (attempt and allocation.last_shared_attempt == attempt):
             return False
@@ -154,7 +157,7 @@
     def _soonest(
         self, allocation: ShardAllocation, machines: list[Machine], wanted: int, now: float
     ) -> list[Opening]:
-        """Where that many tasks fit soonest; empty if they never all do."""
+        """Return where that many tasks fit soonest; empty if not all of them ever fit."""
         openings = []
         for machine in machines:
             if machine.reservation and machine.reservation.until >= now:
@@ -170,14 +173,17 @@
         return chosen if len(chosen) == wanted else []
 
     def _seconds_until(self, machine: Machine, request: Resources, now: float) -> float | None:
-        """Seconds until a machine has such capacity if nothing more starts there; None: never."""
+        """Return in how many seconds a machine can hold the request if nothing more starts there.
+
+        None if it never can.
+        """
         available = machine.available()
         if fits(request, available):
             return 0.0
         ends = []
         for placement in machine.placements.values():
             if placement.spec.is_service:
-                continue  # it never ends by itself
+                continue  # a service replica never ends by itself
             ran = now - (placement.running_since or now)
             ends.append(
                 (max(1.0, self.estimates.expected_run_s(placement.spec) - ran), placement.resources)
--- a/pitchtally/scheduling/gangs/single_shard_planner.py
+++ b/pitchtally/scheduling/gangs/single_shard_planner.py
@@ -1,4 +1,4 @@
-"""Plans for arrays and services whose tasks all go to one shard."""
+"""Plans jobs whose tasks all go to one shard."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 from ..shards.shard_statuses import ShardStatuses
 from .free_capacity import FreeCapacity, ZoneCapacities
 
-# Machines that are expected to take work again, whether their agents are heard now or not.
+# Machines that are expected to take tasks, whether or not agent heartbeats arrive at present.
 _UP_FLAGS = frozenset({MachineFlag.USABLE, MachineFlag.LOST, MachineFlag.SUSPECT})
-# Those, and machines that haven't sent their first heartbeat.
+# Those, and machines whose first agent heartbeat is still outstanding.
 _COMING_FLAGS = _UP_FLAGS | {MachineFlag.NEW}
 
 
 class _ShardCapacity(NamedTuple):
     """A shard that has capacity for all replicas of a service."""
 
-    capacity: int  # replicas that fit, negated: the least is the best
+    capacity: int  # replicas that fit, negated, so that the minimum is the best
     shard: int
     plan: ZoneCapacities
 
 
 class _ZoneCapacity(NamedTuple):
-    """Tasks of a job that fit into a zone."""
+    """Number of tasks of a job that fit into a zone."""
 
     now: float
     empty: float  # if nothing else ran there
@@ -49,7 +49,7 @@
         self.free_capacity = free_capacity
 
     def plan(self, spec: user_api.JobSpec) -> Plan | None:
-        """The shard, and the zone if the job needs one; None if no shard can hold it."""
+        """Return the shard, and the zone if the job needs one; None if no shard can hold it."""
         if spec.is_service:
             plan = self.plan_service(spec, self.statuses.newest)
             if plan is not None:
@@ -64,9 +64,10 @@
         return Plan(ranges, zone)
 
     def plan_service(self, spec: user_api.JobSpec, shards: Iterable[int]) -> Plan | None:
-        """One of these shards that has capacity for every replica, by preemption if need be.
+        """Plan a service in one of these shards with capacity for all replicas.
 
-        None if none has: the replicas then go wherever there is capacity for some.
+        Capacity that needs preemption is used only if no shard has enough without. Returns None
+        if no shard has the capacity; the replicas are then placed wherever some of them fit.
         """
         now = trio.current_time()
         for source in (CapacitySource.FREE, CapacitySource.PREEMPTIBLE):
@@ -88,10 +89,10 @@
     def pick_zone(
         self, spec: user_api.JobSpec, ranges: list[TaskRange], *, bound: bool | None = None
     ) -> str | None:
-        """The zone for a one-zone job of several tasks, fixed before its first start.
+        """Return the zone for a one-zone job of several tasks, fixed before its first start.
 
-        `bound`: whether the job is bound to a zone, if the number of tasks in `spec` doesn't
-        tell. None if it isn't bound, or if no zone can hold it.
+        `bound` overrides whether the job is bound to a zone, which otherwise follows from the
+        number of tasks in `spec`. Returns None if it isn't bound, or if no zone can hold it.
         """
         if not spec.one_zone or not (spec.tasks > 1 if bound is None else bound):
             return None
@@ -108,7 +109,7 @@
     def _zone_capacities(
         self, spec: user_api.JobSpec, shards: set[int]
     ) -> dict[str, _ZoneCapacity]:
-        """Tasks that fit into each zone of these shards, or of all if none is given."""
+        """Return how many tasks fit into each zone of these shards; of all if `shards` is empty."""
         request = resource_request(spec)
         capacities: dict[str, _ZoneCapacity] = {}
         for status in self.statuses.newest.values():
@@ -128,7 +129,7 @@
         return capacities
 
     def best_shard(self, spec: user_api.JobSpec) -> int | None:
-        """The shard with capacity now, else by preemption, else with the shortest queue.
+        """Return the shard with capacity now, else by preemption, else with the shortest queue.
 
         None if no shard's machines could hold the job even when empty.
         """
@@ -152,7 +153,7 @@
         return best
 
     def _empty_capacity(self, status: ShardStatus, spec: user_api.JobSpec) -> int:
-        """Tasks that a shard's machines hold if nothing else runs on them."""
+        """Return how many tasks a shard's machines could hold if nothing else ran on them."""
         return sum(
             count_fitting(resource_request(spec), capacity_of(machine_type))
             for machine in status.machines
--- a/pitchtally/scheduling/gangs/starter.py
+++ b/pitchtally/scheduling/gangs/starter.py
@@ -1,4 +1,4 @@
-"""Gangs of a shard started: all tasks at once, or none."""
+"""Starts the gangs of a shard: all tasks at once, or none."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 from ..shards.shard_statuses import ShardStatuses
 from ..shards.task_start import next_attempt, place_task
 
-# Peer heartbeat intervals after which a shard's status is too old to wait for, and for which
-# a gang's machines stay reserved while other shards make theirs available.
+# Peer heartbeat intervals after which a gang no longer waits for a shard whose status is that old,
+# and for which a gang's machines stay reserved while other shards make theirs available.
 _STATUS_INTERVALS = 4
 
 
 class _MachineCapacity(NamedTuple):
-    """A machine, and the tasks of a gang that it could start now."""
+    """A machine, and the number of tasks of a gang that it could start now."""
 
     machine: Machine
     tasks: int
 
 
 class GangStarter:
-    """Places the gangs of a shard for which there is capacity now."""
+    """Places those gangs of a shard for which there is capacity now."""
 
     def __init__(
         self,
@@ -74,13 +74,13 @@
 
     @staticmethod
     def _is_startable(state: ShardState, allocation: ShardAllocation, now: float) -> bool:
-        """Whether all tasks of the gang that are ours to start are pending."""
+        """Return whether every task of the gang that this shard has to start is pending."""
         job = allocation.job
         if allocation.placed or not is_ready(state, job.id, allocation, now):
             return False
         if job.finished.count or job.local:
-            # One task finished means that all have: the agent that lost its machine had the
-            # result saved, so a task that is started again ends at once.
+            # If one task has finished, all have. A task whose machine was lost afterwards has its
+            # result saved, so a new start of it ends at once.
             return True
         if job.record.attempt:
             return allocation.last_shared_attempt != job.record.attempt and is_fully_assigned(job)
@@ -97,10 +97,11 @@
     def _all_shards_ready(
         self, state: ShardState, allocation: ShardAllocation, machines: list[Machine], now: float
     ) -> bool:
-        """Whether every shard of a gang has capacity for its tasks; reserves ours until then.
+        """Return whether every shard of a gang has capacity for its tasks there.
 
-        If each shard started its tasks at once, they would occupy machines while those of the
-        other shards are pending, and be stopped as incomplete.
+        Until then, the machines chosen in this shard are reserved. If each shard started its
+        tasks at once, they would occupy machines while the tasks in other shards are pending, and
+        then be stopped as incomplete.
         """
         id = allocation.job.id
         state.ready_gangs.add(id)
@@ -113,7 +114,7 @@
         return True
 
     def _is_shard_ready(self, shard: int, job_id: str, now: float) -> bool:
-        """Whether a shard has capacity for its tasks of a gang, or its status is too old."""
+        """Return whether a shard has capacity for its tasks of a gang, or its status is too old."""
         ours = self.shards.get(shard)
         if ours is not None:
             return job_id in ours.ready_gangs
@@ -126,13 +127,13 @@
     def _find_machines(
         self, allocation: ShardAllocation, shard: int, now: float
     ) -> list[Machine] | None:
-        """A machine for each pending task, within the caps for zones; None if some lack one."""
+        """Return a machine for each pending task, within the zone caps; None if some lack one."""
         job = allocation.job
         wanted = allocation.pending.count
         if self.quotas.tasks_within_limit(shard, job.spec) < wanted:
             return None
         candidates = self._machines_with_capacity(allocation, shard, now)
-        # Least waste first: machines with GPUs are left for tasks that request some.
+        # Lowest wasted price first, to leave machines with GPUs to tasks that request GPUs.
         candidates.sort(
             key=lambda candidate: (
                 not _is_reserved(candidate.machine, job.id),
@@ -157,7 +158,7 @@
     def _machines_with_capacity(
         self, allocation: ShardAllocation, shard: int, now: float
     ) -> list[_MachineCapacity]:
-        """Machines that the gang may use and that could start a task of it now."""
+        """Return the machines that the gang may use and that could start a task of it now."""
         request = allocation.resources
         found = []
         for machine in self.agents.of_shard(shard):
@@ -178,12 +179,12 @@
 
 
 def _is_reserved(machine: Machine, job_id: str) -> bool:
-    """Whether a machine's latest reservation, even one that has run out, is the job's."""
+    """Return whether a machine's latest reservation, even an expired one, is for the job."""
     return bool(machine.reservation and machine.reservation.job_id == job_id)
 
 
 def _wasted_price(request: Resources, machine: Machine) -> float:
-    """The price of a machine with GPUs for a task that uses none; 0 for others."""
+    """Return the price of a machine with GPUs for a task that uses none, else 0."""
     machine_type = machine.machine_type
     assert machine_type is not None
     price = (machine_type.spot_price or machine_type.price) if machine.spot else machine_type.price
--- a/pitchtally/scheduling/rebalancing/queue_balancing.py
+++ b/pitchtally/scheduling/rebalancing/queue_balancing.py
@@ -1,4 +1,4 @@
-"""Pending tasks migrated from shards with long queues to shards with short ones."""
+"""Migrates pending tasks from shards with long queues to shards with short ones."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
 from ..shards.shard_statuses import ShardStatuses
 from .task_migration import TaskMigration
 
-# Jobs with the most pending CPUs of a shard that are tried in a round.
+# A round tries at most this many jobs of a shard, those with the most pending CPUs.
 _MAX_JOBS = 2
-# A queue is too long if it takes this many times as long as the shortest, and some more
-# agent heartbeats.
+# A queue is too long if it takes longer than the shortest queue times this ratio, plus some agent
+# heartbeats.
 _IMBALANCE = 1.25
 _IMBALANCE_HEARTBEATS = 2
-# Machine-seconds: the least work of a task that queued work is divided by.
+# Lower bound on a task's work, in GPU- or CPU-seconds, where queued work is divided by it.
 _LEAST_TASK_WORK = 1e-6
-# Machines that take tasks now or very soon.
+# Flags of machines that can start tasks now or very soon.
 _ABLE_FLAGS = frozenset({MachineFlag.USABLE, MachineFlag.NEW})
 
 
 class DrainTime(NamedTuple):
-    """How long a shard's queue takes, counted in GPUs or CPUs as the job asked about."""
+    """The time that a shard takes to run its queue, in GPUs for GPU jobs, else in CPUs."""
 
-    seconds: float  # infinite if no machine there may run the job
-    width: float  # GPUs or CPUs of the machines that may
+    seconds: float  # infinite if no machine of the shard may run the job
+    width: float  # GPUs or CPUs of the machines that may run the job
 
 
 class _ShortestQueue(NamedTuple):
@@ -43,10 +43,10 @@
 
 
 class QueueBalancing:
-    """Evens out the queues of shards, as idle machines do with the queues within a shard.
+    """Balances the queues of shards, as idle machines balance the queues within a shard.
 
-    A shard accepts a job by the availability of its machines on arrival; boots, lost machines
-    and wrong estimates change that while the tasks are pending.
+    A shard accepts a job according to the availability of its machines at that time. New
+    machines, lost machines and wrong estimates change the availability while tasks are pending.
     """
 
     def __init__(
@@ -67,10 +67,10 @@
         self._last_round_at = LONG_AGO
 
     async def balance(self) -> None:
-        """Migrate tasks of one job of each of our shards whose queue is too long."""
+        """Migrate tasks of one job of each shard led here whose queue is too long."""
         now = trio.current_time()
         if now - self._last_round_at < self.policy.heartbeat_interval:
-            return  # peers' statuses are no newer
+            return  # the peers have sent no newer statuses yet
         self._last_round_at = now
         for shard, state in list(self.shards.items()):
             status = self.statuses.newest.get(shard)
@@ -82,20 +82,20 @@
 
     @staticmethod
     def _candidates(state: ShardState, now: float) -> list[str]:
-        """The jobs with the most pending CPUs that may be split over shards."""
+        """Return the jobs with the most pending CPUs that may be split over shards."""
         rows = [
             (allocation.pending.count * allocation.job.spec.cpus, id)
             for id, allocation in state.allocations.items()
             if is_ready(state, id, allocation, now)
             and not allocation.faulty
             and not stays_in_one_shard(allocation.job.spec)
-            and not allocation.service  # goes by free capacity: replicas never end
+            and not allocation.service  # replicas never end; placed by free capacity instead
             and len(allocation.job.record.ranges) <= MAX_RANGES
         ]
         return [id for _, id in sorted(rows, reverse=True)[:_MAX_JOBS]]
 
     async def _migrate_excess(self, allocation: ShardAllocation, status: ShardStatus) -> bool:
-        """Migrate as many tasks as make the two queues equal; False if there is no need."""
+        """Migrate enough tasks to make the two queues equally long; False if none need to move."""
         spec = allocation.job.spec
         here, width = self.drain_time(status, spec)
         shortest = self._shortest_queue(allocation.shard, spec)
@@ -103,7 +103,7 @@
             return False
         if here <= shortest.seconds * _IMBALANCE + self.agent_heartbeat_s * _IMBALANCE_HEARTBEATS:
             return False
-        count = allocation.pending.count  # all, where no machine here may run it
+        count = allocation.pending.count  # all of them if no machine of the shard may run the job
         if width:
             amount = spec.gpus if spec.gpus > 0 else spec.cpus
             task = max(_LEAST_TASK_WORK, amount * self.estimates.expected_run_s(spec))
@@ -114,7 +114,7 @@
         return True
 
     def _shortest_queue(self, shard: int, spec: user_api.JobSpec) -> _ShortestQueue | None:
-        """The other shard where the job's tasks would start soonest."""
+        """Return the other shard where the job's tasks would start soonest."""
         shortest: _ShortestQueue | None = None
         for other in self.statuses.newest.values():
             if (
@@ -129,7 +129,7 @@
         return shortest
 
     def drain_time(self, status: ShardStatus, spec: user_api.JobSpec) -> DrainTime:
-        """How long a shard takes for what is queued there ahead of such a job.
+        """Return how long a shard takes to run the tasks queued ahead of such a job.
 
         Counted in GPUs for jobs that request some, else in CPUs, over the machines that may
         run the job.
@@ -148,7 +148,7 @@
         return DrainTime(queued / width, width)
 
     def _width(self, status: ShardStatus, spec: user_api.JobSpec, *, by_gpus: bool) -> float:
-        """GPUs or CPUs of a shard's machines that may run the job."""
+        """Return the number of GPUs or CPUs of a shard's machines that may run the job."""
         width = 0.0
         for (type_, zone, spot), machines in self.statuses.groups_of(status).items():
             machine_type = self.machine_types().get(type_)
--- a/pitchtally/scheduling/rebalancing/rebalancing.py
+++ b/pitchtally/scheduling/rebalancing/rebalancing.py
@@ -1,4 +1,4 @@
-"""Pending tasks migrated to shards that have free capacity for them now."""
+"""Migrates pending tasks to shards that have free capacity for them now."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from ..shards.shard_statuses import ShardStatuses
 from .task_migration import TaskMigration
 
-# Queued jobs that a shard tries to migrate between two statuses of its peers.
+# A shard tries to migrate at most this many pending jobs between two statuses of its peers.
 _MAX_JOBS = 24
-# A task that has been pending for less may still start on the next agent heartbeat.
+# A task that has been pending for less may still be started by the next agent heartbeat.
 _MIN_PENDING_S = 0.5
 
 
 class Rebalancing:
-    """Migrates tasks that find no capacity in our shards to the first shard that has some."""
+    """Migrates tasks without capacity in the shards led here to the first shard that has some."""
 
     def __init__(
         self,
@@ -42,10 +42,10 @@
         self._last_round_at = LONG_AGO
 
     async def rebalance(self) -> None:
-        """Migrate pending tasks to a shard that could start them now and has none queued."""
+        """Migrate pending tasks to a shard that could start them now in addition to its queue."""
         now = trio.current_time()
         if now - self._last_round_at < self.policy.heartbeat_interval:
-            return  # peers' statuses are no newer
+            return  # the peers have sent no newer statuses yet
         self._last_round_at = now
         for shard, state in list(self.shards.items()):
             status = self.statuses.newest.get(shard)
@@ -53,7 +53,7 @@
                 continue
             for id in self._candidates(state, now):
                 if self.shards.get(shard) is not state:
-                    break  # lost while tasks of it were being migrated
+                    break  # the shard was lost while its tasks were being migrated
                 allocation = state.allocations.get(id)
                 if allocation is None or not is_ready(state, id, allocation, now):
                     continue
@@ -62,7 +62,7 @@
 
     @staticmethod
     def _candidates(state: ShardState, now: float) -> list[str]:
-        """Jobs with tasks that have been pending for a while, by rank and release."""
+        """Return jobs with tasks that have been pending for a while, by rank and release time."""
         rows = [
             (allocation.rank, allocation.release, id)
             for id, allocation in state.allocations.items()
@@ -77,7 +77,7 @@
     def _may_migrate(allocation: ShardAllocation) -> bool:
         spec, record = allocation.job.spec, allocation.job.record
         if spec.tasks > 1 and spec.one_zone:
-            return False  # its zone is fixed: it returns to the cluster leader instead
+            return False  # the job's zone is fixed, so `RangeReturn` returns it to the leader
         if len(record.ranges) > MAX_RANGES:
             return False
         begun = allocation.placed or allocation.pending.count < spec.tasks or record.attempt
@@ -86,7 +86,7 @@
     async def _migrate_to_free_capacity(
         self, allocation: ShardAllocation, status: ShardStatus
     ) -> None:
-        """Migrate the tasks that find no capacity here to the first shard that has some."""
+        """Migrate the tasks without capacity in this shard to the first shard that has some."""
         spec, pending = allocation.job.spec, allocation.pending.count
         here = self.statuses.free_capacity(status, spec, by_preemption=False)
         if not stays_in_one_shard(spec):
@@ -94,7 +94,8 @@
         elif allocation.job.id in status.reserved_jobs:
             return
         # A job that must stay in one shard waits for quota where it has capacity, since quota
-        # shares are transferred to it; migrating would leave each transfer a shard behind.
+        # is transferred to that shard. If the job migrated, each transfer would go to the shard
+        # that it has just left.
         if here >= pending:
             return
         for other in self.statuses.newest.values():
@@ -106,7 +107,7 @@
                 return
 
     def _migratable(self, spec: user_api.JobSpec, other: ShardStatus, most: int) -> int:
-        """How many tasks another shard can start now, as far as its status shows."""
+        """Return how many tasks another shard can start now, according to its newest status."""
         available = self.statuses.free_capacity(other, spec, by_preemption=False)
         unreported = len(self.statuses.unreported.get(other.shard, ()))
         if stays_in_one_shard(spec):
--- a/pitchtally/scheduling/rebalancing/service_migration.py
+++ b/pitchtally/scheduling/rebalancing/service_migration.py
@@ -1,10 +1,10 @@
-"""Replicas that find no capacity in their shard, migrated to a shard that has some.
+"""Migrates replicas without capacity in their shard to a shard that has some.
 
-An array's running tasks end some day, and what is left of it then goes elsewhere together.
-A service's never end, so its missing replicas have to migrate alone. The caps in the record
-of a spread service limit its replicas by shard and zone, so that all shards together stay
-within each zone's limit: the source shard's caps fall to the replicas that it has placed, and
-the target shard's rise by those that migrate.
+The running tasks of an array end eventually, and its remaining tasks then go elsewhere together.
+Replicas of a service never end, so the missing ones have to migrate alone. The zone caps in the
+record of a spread service limit its replicas by shard and zone, so that all shards together stay
+within each zone's limit: a migration lowers the source shard's caps to the replicas placed there,
+and raises the target shard's caps by the replicas that migrate.
 """
 
 from __future__ import annotations
@@ -30,23 +30,24 @@
 
 log = logging.getLogger(__name__)
 
-# Agent heartbeats that a replica stays pending in its own shard before it migrates.
+# Agent heartbeats for which a replica stays pending in its own shard before it migrates.
 _PENDING_HEARTBEATS = 2
-# Of `start_within`: a service whose missing replicas fit nowhere then starts anew elsewhere.
+# Share of `start_within` after which a service whose missing replicas fit in no shard restarts in
+# another one.
 _RESTART_SHARE = 1 / 6
 
 ZoneCounts = dict[str, int]
 
 
 class ReplicaMigration(NamedTuple):
-    """Where missing replicas go: a shard, and how many of them into which zone."""
+    """The target of missing replicas: a shard, and the number of replicas by zone."""
 
     shard: int
     zones: ZoneCounts
 
 
 class ServiceMigration:
-    """Migrates missing replicas of one-zone and spread services, or restarts these elsewhere."""
+    """Migrates missing replicas of one-zone and spread services, or restarts such a service."""
 
     def __init__(
         self,
@@ -58,7 +59,7 @@
         single_shard_planner: SingleShardPlanner,
         migration: TaskMigration,
     ) -> None:
-        """Eight arguments, since it decides by both free capacity and whole-service plans."""
+        """Take planners for single replicas (`free_capacity`) and for a whole service."""
         self.settings = context.settings
         self.policy = context.policy
         self.agents = context.agents
@@ -71,7 +72,7 @@
         self.migration = migration
 
     async def migrate(self) -> None:
-        """Migrate or restart every such service of our shards that lacks capacity here."""
+        """Migrate or restart every such service that lacks capacity in a shard led here."""
         for shard, state in list(self.shards.items()):
             if not state.reconciled or not self.migration.leads(shard):
                 continue
@@ -86,16 +87,16 @@
         if not is_ready(state, allocation.job.id, allocation, now):
             return False
         if not allocation.placed and len(allocation.job.record.ranges) == 1:
-            return False  # nothing of it runs: it returns to the cluster leader
+            return False  # no replica runs, so `RangeReturn` returns the service to the leader
         if now - allocation.pending_since < self.agent_heartbeat_s * _PENDING_HEARTBEATS:
             return False
         if not self.quotas.tasks_within_limit(allocation.shard, allocation.spec):
-            return False  # its team's limit holds it up, in any shard
+            return False  # the team's limit would also apply in any other shard
         return self._find(allocation, [allocation.shard], capped=True) is None
 
     async def _migrate_or_restart(self, allocation: ShardAllocation) -> None:
         others = [shard for shard in self.statuses.newest if shard != allocation.shard]
-        # Our own shard first: its caps may be lower than the zones' limits allow.
+        # The present shard is tried first: its caps may be lower than the zones' limits allow.
         found = self._find(allocation, [allocation.shard, *others])
         if found is not None:
             await self._migrate(allocation, found)
@@ -108,9 +109,10 @@
     def _find(
         self, allocation: ShardAllocation, shards: list[int], *, capped: bool = False
     ) -> ReplicaMigration | None:
-        """The first of these shards with capacity for all missing replicas, by preemption too.
+        """Return the first of these shards with capacity for all missing replicas, or None.
 
-        `capped`: within the caps of the record, not those that it could have.
+        Capacity that needs preemption is used only if no shard has enough without. `capped`
+        keeps to the present caps in the job's record; otherwise caps may rise to the zones' limits.
         """
         spec, missing = allocation.spec, allocation.pending.count
         zone = allocation.job.record.zone if allocation.one_zone else None
@@ -132,7 +134,10 @@
         return {zone: allocation.placed_in(zone) for zone in self.settings.deployment.zones}
 
     def _zone_limits(self, allocation: ShardAllocation, *, capped: bool) -> ZoneCounts:
-        """How many more replicas of a spread service may be in each zone; empty: any number."""
+        """Return how many more replicas of a spread service may be in each zone.
+
+        Empty if any number may.
+        """
         if not allocation.spec.spread or allocation.spec.tasks == 1:
             return {}
         placed = self._placed(allocation)
@@ -147,7 +152,7 @@
                 allocation.job, self._placed(allocation), allocation.shard, found
             )
         log.info(
-            "replicas migrate job=%s from=%d to=%d count=%d",
+            "migrating replicas job=%s from=%d to=%d count=%d",
             allocation.job.id,
             allocation.shard,
             found.shard,
@@ -161,19 +166,26 @@
             log.debug("replicas not migrated: %s", error)
 
     def _restart_elsewhere(self, allocation: ShardAllocation, others: list[int]) -> None:
-        """Stop a service whose replicas can't all run here, so that all start elsewhere."""
+        """Stop a service whose replicas can't all run in its shard, so that all start elsewhere."""
         if len({r.shard for r in allocation.job.record.ranges}) > 1:
-            return  # the others' replicas aren't ours to stop
+            return  # only the leaders of the other shards may stop the replicas there
         if self.single_shard_planner.plan_service(allocation.spec, others) is None:
             return
-        log.info("service restarts elsewhere job=%s shard=%d", allocation.job.id, allocation.shard)
+        log.info(
+            "stopping service to restart it in another shard job=%s shard=%d",
+            allocation.job.id,
+            allocation.shard,
+        )
         allocation.not_before = trio.current_time() + self.settings.deployment.workers.lease_s
         for placement in list(allocation.placed.values()):
             self.agents.stop(placement, 0.0)
 
 
 def zone_limits(job: Job, placed: ZoneCounts, shard: int) -> ZoneCounts:
-    """How many more replicas may be in each zone, other shards' caps and our placements counted."""
+    """Return how many more replicas may be in each zone.
+
+    The replicas placed in this shard and the caps of all other shards count towards the limit.
+    """
     taken: Counter[str] = Counter(placed)
     for other, zone, cap in job.record.zone_caps:
         if other != shard:
@@ -185,10 +197,11 @@
 def migrated_caps(
     job: Job, placed: ZoneCounts, shard: int, migration: ReplicaMigration
 ) -> list[ZoneCap]:
-    """The caps after a migration: ours at what is placed, the target's raised by what migrates.
+    """Return the caps after a migration of replicas out of `shard`.
 
-    Ours fall by the replicas that migrate, and the target's rise by no more than the zones'
-    limits leave, so a zone's caps never add up to more than its limit.
+    The caps of `shard` become the replicas placed there; the caps of the target shard rise by the
+    replicas that migrate, which is no more than the zones' limits leave. The caps of a zone
+    therefore never add up to more than the zone's limit.
     """
     zone_caps: Counter[tuple[int, str]] = Counter()
     for other, zone, cap in job.record.zone_caps:
--- a/pitchtally/scheduling/rebalancing/task_migration.py
+++ b/pitchtally/scheduling/rebalancing/task_migration.py
@@ -1,4 +1,4 @@
-"""Pending tasks of a shard migrated to another one."""
+"""Migrates pending tasks of a shard to another one."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class TaskMigration:
-    """Moves pending tasks to another shard by one compare-and-swap."""
+    """Migrates pending tasks to another shard by one compare-and-swap."""
 
     def __init__(
         self, membership: Membership, statuses: ShardStatuses, range_writer: RangeWriter
@@ -29,7 +29,7 @@
         self.range_writer = range_writer
 
     def leads(self, shard: int) -> bool:
-        """Whether this controller leads the shard, and so may migrate its tasks."""
+        """Return whether this controller leads the shard, and so may migrate its tasks."""
         return self.membership.token(shard) is not None
 
     async def migrate(
@@ -39,9 +39,9 @@
         count: int,
         zone_caps: list[ZoneCap] | None = None,
     ) -> None:
-        """Move `count` pending tasks to the shard `target`, in one conditional write.
+        """Migrate `count` pending tasks to the shard `target` in one conditional write.
 
-        `zone_caps`, if given, are the job's new ones (see `JobRecord.zone_caps`).
+        `zone_caps`, if given, replace the job's (see `JobRecord.zone_caps`).
         """
         job, shard = allocation.job, allocation.shard
         token = self.membership.token(shard)
@@ -61,8 +61,8 @@
                 self.statuses.record_allocation(target, job.spec, count)
                 log.debug("migrated job=%s tasks=%d from=%d to=%d", job.id, count, shard, target)
         except StoreUnavailable as error:
-            # The write may have taken effect, or still may: until neither can be, these
-            # tasks must not start here.
+            # The write may have taken effect, or may do so later. These tasks must not start in
+            # this shard until the outcome is resolved.
             await self.range_writer.resolve_job_outcome(error, job, version, shard, token)
         finally:
             allocation.moving = False
@@ -73,7 +73,7 @@
 def _migrated(
     ranges: Iterable[TaskRange], source: int, target: int, carved: list[tuple[int, int]]
 ) -> list[TaskRange]:
-    """A job's ranges once the carved tasks of `source` are assigned to `target`."""
+    """Return a job's ranges after the `carved` tasks of `source` are assigned to `target`."""
     migrated: list[tuple[int, int, int]] = []
     for first, end, shard in ranges:
         if shard != source:
