--- a/tests/scheduling/test_estimates.py
+++ b/tests/scheduling/test_estimates.py
@@ -1,4 +1,4 @@
-"""Estimated durations of tasks."""
+"""Expected run times of tasks."""
 
 from __future__ import annotations
 
@@ -13,9 +13,12 @@
 
 
 def test_estimate_for_a_service_is_never_zero() -> None:
-    """With `ripenS` 0 a service would be smaller than any task, in queues and for scale out."""
+    """A service is submitted with `ripenS` 0; it must not count as a task of zero seconds.
+
+    It would otherwise be smaller than any task, in queues and for scale out.
+    """
     spec = parse_job(json.dumps(submission(service(1))).encode())
     figures = policy.parse("", settings("n0"))
     estimates = Estimates(figures.start_within)
-    estimates.record_run_time(spec, 0.5)  # the end of a replica says nothing of its duration
+    estimates.record_run_time(spec, 0.5)  # the end of a replica gives no run time
     assert estimates.expected_run_s(spec) == figures.start_within
--- a/tests/scheduling/test_gang_plan.py
+++ b/tests/scheduling/test_gang_plan.py
@@ -1,4 +1,4 @@
-"""Plans of where the tasks of a gang fit."""
+"""Distribution of a gang's tasks over shards and zones."""
 
 from __future__ import annotations
 
--- a/tests/scheduling/test_service_migration.py
+++ b/tests/scheduling/test_service_migration.py
@@ -1,4 +1,4 @@
-"""Zone caps of services whose replicas are migrated one by one."""
+"""Zone caps of a spread service whose replicas migrate one at a time."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_caps_of_migrated_replicas_never_exceed_the_share_of_a_zone(seed: int) -> None:
-    """Whatever replicas are lost and migrated, no zone may get more than half of them."""
+    """In any sequence of lost and migrated replicas, no zone gets more than half of them."""
 
     async def main() -> None:
         migrate_at_random(seed)
--- a/tests/scheduling/test_stretch.py
+++ b/tests/scheduling/test_stretch.py
@@ -1,4 +1,4 @@
-"""Algorithms 1 to 4 against brute force on small queues."""
+"""Algorithms 1 to 4 of the paper, compared with brute force on small queues."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def any_order_meets(queue: list[QueueEntry], level: float, now: float) -> bool:
-    """Whether some order, not only EDF, meets every deadline."""
+    """Return whether some order, not only EDF, meets every deadline."""
     for order in itertools.permutations(queue):
         end, good = now, True
         for entry in order:
@@ -72,7 +72,7 @@
 
 
 def test_availability_never_falls_with_stretch_or_size() -> None:
-    """Propositions 1 and 2, which the binary search of algorithm 4 rests on."""
+    """Propositions 1 and 2 of the paper, which the binary search of algorithm 4 relies on."""
     levels, sizes = [0.1, 0.3, 1.0, 3.0, 9.0], [1.0, 5.0, 25.0, 100.0]
     for queue in random_queues(20):
         cells = stretch.availability_matrix([queue], levels, sizes, [0.5, 2.0], 0.0)
@@ -106,7 +106,11 @@
 
 @pytest.mark.parametrize("count", [2, 3, 8, 16, 64])
 def test_fewer_samples_are_coarser_not_shorter(count: int) -> None:
-    """With 8 samples of S instead of 16 the largest was 2^-5: no real queue was covered."""
+    """A series with fewer samples must still end at the same value.
+
+    With 8 samples of S instead of 16, a truncated series ended at 2^-5, and no real queue was
+    covered.
+    """
     found = stretch.samples(2.0**-12, 8.0, count)
     assert len(found) == count
     assert found[0] == 2.0**-12
