--- a/pitchtally/scheduling/capacity.py
+++ b/pitchtally/scheduling/capacity.py
@@ -52,7 +52,7 @@
     return any(not job.is_finished(task) for each in ranges for task in range(each.first, each.end))
 
 
-def share_ratio(spec: user_api.JobSpec, other: Job | None) -> float:
+def displacement_ratio(spec: user_api.JobSpec, other: Job | None) -> float:
     """Return how many tasks of `spec` one pending task of another job displaces, at most 1.
 
     `other` is None if that job has ended. Jobs of lower rank displace none.
--- a/pitchtally/scheduling/gangs/single_shard_planner.py
+++ b/pitchtally/scheduling/gangs/single_shard_planner.py
@@ -11,7 +11,7 @@
 from ...jobs.resources import capacity_of, count_fitting, resource_request
 from ...membership.messages import MachineFlag, ShardStatus
 from ...protocol import user_api
-from ..capacity import CapacitySource, Plan, allows_machine_type, plan_gang, share_ratio
+from ..capacity import CapacitySource, Plan, allows_machine_type, plan_gang, displacement_ratio
 from ..context import SchedulingContext
 from ..shards.shard_statuses import ShardStatuses
 from .free_capacity import FreeCapacity, ZoneCapacities
@@ -139,7 +139,7 @@
             if capacity < (spec.tasks if spec.kind == user_api.GANG else 1):
                 continue
             queued = sum(
-                count * share_ratio(spec, self.job_index.open.get(id))
+                count * displacement_ratio(spec, self.job_index.open.get(id))
                 for id, count in status.pending.items()
             )
             unreported = len(self.statuses.unreported.get(status.shard, ()))
--- a/pitchtally/scheduling/rebalancing/rebalancing.py
+++ b/pitchtally/scheduling/rebalancing/rebalancing.py
@@ -7,7 +7,7 @@
 from ...config.clock import LONG_AGO
 from ...membership.messages import ShardStatus
 from ...protocol import user_api
-from ..capacity import share_ratio, stays_in_one_shard
+from ..capacity import displacement_ratio, stays_in_one_shard
 from ..context import SchedulingContext
 from ..quotas.quotas import Quotas
 from ..range_writer import MAX_RANGES
@@ -117,6 +117,6 @@
         available -= sum(
             count
             for id, count in other.pending.items()
-            if share_ratio(spec, self.job_index.open.get(id)) > 0
+            if displacement_ratio(spec, self.job_index.open.get(id)) > 0
         )
         return min(available, most)
