--- a/pitchtally/scheduling/stretch.py
+++ b/pitchtally/scheduling/stretch.py
@@ -33,7 +33,7 @@
     return release + stretch * size
 
 
-def meets(queue: Sequence[QueueEntry], stretch: float, now: float) -> bool:
+def meets_all_deadlines(queue: Sequence[QueueEntry], stretch: float, now: float) -> bool:
     """Return whether earliest deadline first (EDF) meets every deadline at this stretch.
 
     Algorithm 1 of the paper.
@@ -56,17 +56,17 @@
     if not queue:
         return 0.0
     low, high = 0.0, 1.0
-    while not meets(queue, high, now):
+    while not meets_all_deadlines(queue, high, now):
         low, high = high, high * 2
         if high > MAX_STRETCH:
             return high
     if low == 0.0:
-        while high > MIN_STRETCH and meets(queue, high / 2, now):
+        while high > MIN_STRETCH and meets_all_deadlines(queue, high / 2, now):
             high /= 2
         low = high / 2
     while high - low > tolerance * high:
         middle = (low + high) / 2
-        if meets(queue, middle, now):
+        if meets_all_deadlines(queue, middle, now):
             high = middle
         else:
             low = middle
--- a/tests/scheduling/test_stretch.py
+++ b/tests/scheduling/test_stretch.py
@@ -45,14 +45,14 @@
 @pytest.mark.parametrize("queue", QUEUES + random_queues(12))
 @pytest.mark.parametrize("level", [0.1, 0.5, 1.0, 3.0])
 def test_edf_meets_what_any_order_meets(queue: list[QueueEntry], level: float) -> None:
-    assert stretch.meets(queue, level, 0.0) == any_order_meets(queue, level, 0.0)
+    assert stretch.meets_all_deadlines(queue, level, 0.0) == any_order_meets(queue, level, 0.0)
 
 
 @pytest.mark.parametrize("queue", QUEUES[1:] + random_queues(12))
 def test_least_stretch_is_least(queue: list[QueueEntry]) -> None:
     found = stretch.least_stretch(queue, 0.0, 0.001)
-    assert stretch.meets(queue, found, 0.0)
-    assert not stretch.meets(queue, found * 0.99, 0.0)
+    assert stretch.meets_all_deadlines(queue, found, 0.0)
+    assert not stretch.meets_all_deadlines(queue, found * 0.99, 0.0)
 
 
 @pytest.mark.parametrize("queue", QUEUES + random_queues(12))
@@ -65,7 +65,7 @@
     assert free >= 0
     if free > 0:
         assert any_order_meets([*queue, QueueEntry(0.0, size, free * 0.999)], level, 0.0)
-    if stretch.meets(queue, level, 0.0):
+    if stretch.meets_all_deadlines(queue, level, 0.0):
         assert not any_order_meets([*queue, QueueEntry(0.0, size, free + 0.01)], level, 0.0)
     else:
         assert free == 0
