--- a/pitchtally/scheduling/assignment/proportional_split.py
+++ b/pitchtally/scheduling/assignment/proportional_split.py
@@ -70,7 +70,7 @@
             sum(self.availability(status, spec, level) for status in statuses)
             for level in range(len(self.samples.stretches))
         ]
-        return stretch.least_cover(totals, spec.tasks)
+        return stretch.first_covering_index(totals, spec.tasks)
 
     def split(self, spec: user_api.JobSpec) -> list[TaskRange]:
         """Return task ranges in proportion to availability at the least stretch that covers all.
--- a/pitchtally/scheduling/stretch.py
+++ b/pitchtally/scheduling/stretch.py
@@ -184,7 +184,7 @@
     return planes
 
 
-def least_cover(counts: Sequence[int], wanted: int) -> int | None:
+def first_covering_index(counts: Sequence[int], wanted: int) -> int | None:
     """Return the index of the least stretch sample whose availability covers the tasks.
 
     Algorithm 4 of the paper. `counts` is the availability at each stretch sample. Availability
--- a/tests/scheduling/test_stretch.py
+++ b/tests/scheduling/test_stretch.py
@@ -87,7 +87,7 @@
     [([0, 1, 4, 9], 4, 2), ([0, 1, 4, 9], 5, 3), ([5, 5], 1, 0), ([0, 3], 4, None), ([], 1, None)],
 )
 def test_least_cover(counts: list[int], wanted: int, found: int | None) -> None:
-    assert stretch.least_cover(counts, wanted) == found
+    assert stretch.first_covering_index(counts, wanted) == found
 
 
 @pytest.mark.parametrize(
