--- a/pitchtally/scheduling/assignment/local_assignment.py
+++ b/pitchtally/scheduling/assignment/local_assignment.py
@@ -86,7 +86,9 @@
             self.samples.stretches[0],
         )
         for shard in ours:
-            level = self.proportional_split.least_level([self.statuses.newest[shard]], spec)
+            level = self.proportional_split.least_covering_level(
+                [self.statuses.newest[shard]], spec
+            )
             if level is not None and self.samples.stretches[level] <= self.policy.bound * lowest:
                 self.statuses.record_allocation(shard, spec, spec.tasks)
                 return [TaskRange(0, spec.tasks, shard)]
--- a/pitchtally/scheduling/assignment/proportional_split.py
+++ b/pitchtally/scheduling/assignment/proportional_split.py
@@ -61,7 +61,9 @@
                 unreported = 0.0
         return max(0, total)
 
-    def least_level(self, statuses: list[ShardStatus], spec: user_api.JobSpec) -> int | None:
+    def least_covering_level(
+        self, statuses: list[ShardStatus], spec: user_api.JobSpec
+    ) -> int | None:
         """Return the index of the least stretch sample at which these shards cover the job.
 
         None if they don't cover it at any sample.
@@ -84,7 +86,7 @@
         statuses = [status for status in self.statuses.newest.values() if status.matrix]
         if not statuses:
             return []
-        level = self.least_level(statuses, spec)
+        level = self.least_covering_level(statuses, spec)
         if level is None:
             level = len(self.samples.stretches) - 1
         available = [self.availability(status, spec, level) for status in statuses]
