--- a/pitchtally/scheduling/context.py
+++ b/pitchtally/scheduling/context.py
@@ -28,9 +28,9 @@
         """Return axes over fixed ranges, with as many samples as the policy sets."""
         return cls(
             # The first sample is far below the stretch of any real queue.
-            stretch.samples(2.0**-12, 2.0**3, int(policy.stretch_samples)),
-            stretch.samples(16.0, 2.0**19, int(policy.size_samples)),
-            stretch.samples(0.25, 0.25 * 3.0**7, int(policy.task_samples)),
+            stretch.geometric_series(2.0**-12, 2.0**3, int(policy.stretch_samples)),
+            stretch.geometric_series(16.0, 2.0**19, int(policy.size_samples)),
+            stretch.geometric_series(0.25, 0.25 * 3.0**7, int(policy.task_samples)),
         )
 
 
--- a/pitchtally/scheduling/stretch.py
+++ b/pitchtally/scheduling/stretch.py
@@ -127,7 +127,7 @@
     return int(free / cost + ROUNDING)
 
 
-def samples(first: float, last: float, count: int) -> list[float]:
+def geometric_series(first: float, last: float, count: int) -> list[float]:
     """Return a geometric series from `first` to `last`.
 
     A smaller `count` makes the series coarser, not shorter: a truncated series would show no
--- a/tests/scheduling/test_stretch.py
+++ b/tests/scheduling/test_stretch.py
@@ -111,7 +111,7 @@
     With 8 samples of S instead of 16, a truncated series ended at 2^-5, and no real queue was
     covered.
     """
-    found = stretch.samples(2.0**-12, 8.0, count)
+    found = stretch.geometric_series(2.0**-12, 8.0, count)
     assert len(found) == count
     assert found[0] == 2.0**-12
     assert found[-1] == pytest.approx(8.0)
