--- a/pitchtally/scheduling/stretch.py
+++ b/pitchtally/scheduling/stretch.py
@@ -74,7 +74,7 @@
 
 
 class EdfSchedule(NamedTuple):
-    """A queue in EDF order at one stretch, computed once to answer `gap_in` for many jobs."""
+    """A queue in EDF order at one stretch, computed once to answer `gap_in_schedule` for many jobs."""
 
     deadlines: list[float]  # d_i, rising
     work_before: list[float]  # machine-seconds of the jobs ahead of each position
@@ -97,7 +97,7 @@
     return EdfSchedule([due for due, _ in rows], work_before, latest_starts, feasible)
 
 
-def gap_in(schedule: EdfSchedule, due: float, start: float) -> float:
+def gap_in_schedule(schedule: EdfSchedule, due: float, start: float) -> float:
     """Return the machine-seconds available to a job due at `due` that starts at `start` or later.
 
     Algorithm 3 of the paper (h), on a queue that is already in EDF order.
@@ -114,7 +114,7 @@
 ) -> float:
     """Return the machine-seconds available to a new job at this stretch (h of algorithm 3)."""
     schedule = edf_schedule(queue, stretch, now)
-    return gap_in(schedule, deadline(release, size, stretch), max(release, now))
+    return gap_in_schedule(schedule, deadline(release, size, stretch), max(release, now))
 
 
 def tasks_in_gap(free: float, cost: float) -> int:
@@ -176,7 +176,7 @@
         plane = []
         for size in sizes:
             due = deadline(now, size, stretch)
-            gaps = [gap_in(schedule, due, now) for schedule in schedules]
+            gaps = [gap_in_schedule(schedule, due, now) for schedule in schedules]
             plane.append(
                 [int(machines * sum(tasks_in_gap(free, cost) for free in gaps)) for cost in tasks]
             )
