--- a/pitchtally/scheduling/stretch.py
+++ b/pitchtally/scheduling/stretch.py
@@ -17,7 +17,7 @@
 # Bounds of the search for the least stretch.
 MIN_STRETCH, MAX_STRETCH = 1e-9, 1e12
 # A quotient of floats that is less than this below a whole number counts as that number.
-ROUNDING = 1e-9
+ROUNDING_TOLERANCE = 1e-9
 
 
 class QueueEntry(NamedTuple):
@@ -124,7 +124,7 @@
     """
     if cost <= 0:
         return 0
-    return int(free / cost + ROUNDING)
+    return int(free / cost + ROUNDING_TOLERANCE)
 
 
 def geometric_series(first: float, last: float, count: int) -> list[float]:
