--- a/pitchtally/scheduling/estimates.py
+++ b/pitchtally/scheduling/estimates.py
@@ -18,7 +18,7 @@
 # Bound on the absolute value of log(run time / estimate) of one finished task.
 MAX_LOG_RATIO = 3.0
 # The running mean counts at most this many finished tasks, so that newer ones keep an influence.
-MAX_WEIGHT = 200.0
+MAX_WEIGHT_TASKS = 200.0
 # The user's estimate has the weight of this many finished tasks.
 PRIOR_WEIGHT = 5
 
@@ -26,7 +26,7 @@
 class Correction(NamedTuple):
     """The mean error of the estimates of a job class."""
 
-    weight: float  # number of finished tasks, bounded by `MAX_WEIGHT`
+    weight: float  # number of finished tasks, bounded by `MAX_WEIGHT_TASKS`
     mean: float  # mean of log(run time / estimate)
 
 
@@ -48,7 +48,7 @@
         weight, mean = self.corrections.get(spec.job_class, NO_CORRECTION)
         ratio = math.log(max(ran, MIN_RUN_S) / spec.estimate)
         ratio = max(-MAX_LOG_RATIO, min(MAX_LOG_RATIO, ratio))
-        weight = min(weight + 1, MAX_WEIGHT)
+        weight = min(weight + 1, MAX_WEIGHT_TASKS)
         mean += (ratio - mean) / weight
         self.corrections[spec.job_class] = Correction(weight, mean)
 
