--- a/pitchtally/scheduling/estimates.py
+++ b/pitchtally/scheduling/estimates.py
@@ -20,7 +20,7 @@
 # The running mean counts at most this many finished tasks, so that newer ones keep an influence.
 MAX_WEIGHT_TASKS = 200.0
 # The user's estimate has the weight of this many finished tasks.
-PRIOR_WEIGHT = 5
+PRIOR_WEIGHT_TASKS = 5
 
 
 class Correction(NamedTuple):
@@ -60,4 +60,6 @@
         if spec.is_service:
             return self.horizon
         weight, mean = self.corrections.get(spec.job_class, NO_CORRECTION)
-        return max(MIN_RUN_S, spec.estimate * math.exp(mean * weight / (weight + PRIOR_WEIGHT)))
+        return max(
+            MIN_RUN_S, spec.estimate * math.exp(mean * weight / (weight + PRIOR_WEIGHT_TASKS))
+        )
