--- a/pitchtally/scheduling/estimates.py
+++ b/pitchtally/scheduling/estimates.py
@@ -27,7 +27,7 @@
     """The mean error of the estimates of a job class."""
 
     weight: float  # number of finished tasks, bounded by `MAX_WEIGHT_TASKS`
-    mean: float  # mean of log(run time / estimate)
+    mean_log_ratio: float  # mean of log(run time / estimate)
 
 
 NO_CORRECTION = Correction(0.0, 0.0)
@@ -45,12 +45,12 @@
         """Update the correction of a job's class with a task that finished after `ran` seconds."""
         if ran <= 0 or spec.estimate <= 0 or spec.is_service:
             return
-        weight, mean = self.corrections.get(spec.job_class, NO_CORRECTION)
+        weight, mean_log_ratio = self.corrections.get(spec.job_class, NO_CORRECTION)
         ratio = math.log(max(ran, MIN_RUN_S) / spec.estimate)
         ratio = max(-MAX_LOG_RATIO, min(MAX_LOG_RATIO, ratio))
         weight = min(weight + 1, MAX_WEIGHT_TASKS)
-        mean += (ratio - mean) / weight
-        self.corrections[spec.job_class] = Correction(weight, mean)
+        mean_log_ratio += (ratio - mean_log_ratio) / weight
+        self.corrections[spec.job_class] = Correction(weight, mean_log_ratio)
 
     def expected_run_s(self, spec: user_api.JobSpec) -> float:
         """Return the expected run time of one task in seconds.
@@ -59,7 +59,8 @@
         """
         if spec.is_service:
             return self.horizon
-        weight, mean = self.corrections.get(spec.job_class, NO_CORRECTION)
+        weight, mean_log_ratio = self.corrections.get(spec.job_class, NO_CORRECTION)
         return max(
-            MIN_RUN_S, spec.estimate * math.exp(mean * weight / (weight + PRIOR_WEIGHT_TASKS))
+            MIN_RUN_S,
+            spec.estimate * math.exp(mean_log_ratio * weight / (weight + PRIOR_WEIGHT_TASKS)),
         )
