--- a/pitchtally/scheduling/estimates.py
+++ b/pitchtally/scheduling/estimates.py
@@ -1,8 +1,8 @@
 """Expected run times of tasks: user estimates, corrected by job class from finished tasks.
 
 A service replica has no run time: it runs until the job is cancelled. In queues it counts as
-`horizon` seconds, the time that planning looks ahead, so the size (w) of a service is its number
-of replicas times `horizon`. Running replicas are not work in a queue; they reduce the capacity of
+`horizon_s` seconds, the time that planning looks ahead, so the size (w) of a service is its number
+of replicas times `horizon_s`. Running replicas are not work in a queue; they reduce the capacity of
 their machines, see `placement.survey`.
 """
 
@@ -36,9 +36,9 @@
 class Estimates:
     """Estimates corrected by a running mean of log(run time / estimate) per job class."""
 
-    def __init__(self, horizon: float) -> None:
-        """Start without corrections; a service replica counts as `horizon` seconds of run time."""
-        self.horizon = horizon
+    def __init__(self, horizon_s: float) -> None:
+        """Start without corrections; a service replica counts as `horizon_s` seconds of run time."""
+        self.horizon_s = horizon_s
         self.corrections: dict[str, Correction] = {}  # by job class
 
     def record_run_time(self, spec: user_api.JobSpec, ran: float) -> None:
@@ -58,7 +58,7 @@
         With only a few finished tasks in its class, this is close to the user's estimate.
         """
         if spec.is_service:
-            return self.horizon
+            return self.horizon_s
         weight, mean_log_ratio = self.corrections.get(spec.job_class, NO_CORRECTION)
         return max(
             MIN_RUN_S,
