--- a/pitchtally/scheduling/rebalancing/queue_balancing.py
+++ b/pitchtally/scheduling/rebalancing/queue_balancing.py
@@ -30,7 +30,7 @@
 _ABLE_FLAGS = frozenset({MachineFlag.USABLE, MachineFlag.NEW})
 
 
-class DrainTime(NamedTuple):
+class QueueDuration(NamedTuple):
     """The time that a shard takes to run its queue, in GPUs for GPU jobs, else in CPUs."""
 
     seconds: float  # infinite if no machine of the shard may run the job
@@ -128,7 +128,7 @@
                 shortest = _ShortestQueue(seconds, other.shard)
         return shortest
 
-    def drain_time(self, status: ShardStatus, spec: user_api.JobSpec) -> DrainTime:
+    def drain_time(self, status: ShardStatus, spec: user_api.JobSpec) -> QueueDuration:
         """Return how long a shard takes to run the tasks queued ahead of such a job.
 
         Counted in GPUs for jobs that request some, else in CPUs, over the machines that may
@@ -137,7 +137,7 @@
         by_gpus = spec.gpus > 0
         width = self._width(status, spec, by_gpus=by_gpus)
         if not width:
-            return DrainTime(math.inf, 0.0)
+            return QueueDuration(math.inf, 0.0)
         queued = 0.0
         for id, count in status.pending.items():
             job = self.job_index.open.get(id)
@@ -145,7 +145,7 @@
                 continue
             amount = job.spec.gpus if by_gpus else job.spec.cpus
             queued += count * amount * self.estimates.expected_run_s(job.spec)
-        return DrainTime(queued / width, width)
+        return QueueDuration(queued / width, width)
 
     def _width(self, status: ShardStatus, spec: user_api.JobSpec, *, by_gpus: bool) -> float:
         """Return the number of GPUs or CPUs of a shard's machines that may run the job."""
