--- a/pitchtally/scheduling/rebalancing/queue_balancing.py
+++ b/pitchtally/scheduling/rebalancing/queue_balancing.py
@@ -97,7 +97,7 @@
     async def _migrate_excess(self, allocation: ShardAllocation, status: ShardStatus) -> bool:
         """Migrate enough tasks to make the two queues equally long; False if none need to move."""
         spec = allocation.job.spec
-        here, width = self.drain_time(status, spec)
+        here, width = self.queue_duration(status, spec)
         shortest = self._shortest_queue(allocation.shard, spec)
         if shortest is None:
             return False
@@ -123,12 +123,12 @@
                 or other.shard in self.statuses.unreported
             ):
                 continue
-            seconds = self.drain_time(other, spec).seconds
+            seconds = self.queue_duration(other, spec).seconds
             if shortest is None or seconds < shortest.seconds:
                 shortest = _ShortestQueue(seconds, other.shard)
         return shortest
 
-    def drain_time(self, status: ShardStatus, spec: user_api.JobSpec) -> QueueDuration:
+    def queue_duration(self, status: ShardStatus, spec: user_api.JobSpec) -> QueueDuration:
         """Return how long a shard takes to run the tasks queued ahead of such a job.
 
         Counted in GPUs for jobs that request some, else in CPUs, over the machines that may
