--- a/pitchtally/scheduling/rebalancing/queue_balancing.py
+++ b/pitchtally/scheduling/rebalancing/queue_balancing.py
@@ -34,7 +34,7 @@
     """The time that a shard takes to run its queue, in GPUs for GPU jobs, else in CPUs."""
 
     seconds: float  # infinite if no machine of the shard may run the job
-    width: float  # GPUs or CPUs of the machines that may run the job
+    capacity: float  # GPUs or CPUs of the machines that may run the job
 
 
 class _ShortestQueue(NamedTuple):
@@ -97,17 +97,17 @@
     async def _migrate_excess(self, allocation: ShardAllocation, status: ShardStatus) -> bool:
         """Migrate enough tasks to make the two queues equally long; False if none need to move."""
         spec = allocation.job.spec
-        here, width = self.queue_duration(status, spec)
+        here, capacity = self.queue_duration(status, spec)
         shortest = self._shortest_queue(allocation.shard, spec)
         if shortest is None:
             return False
         if here <= shortest.seconds * _IMBALANCE + self.agent_heartbeat_s * _IMBALANCE_HEARTBEATS:
             return False
         count = allocation.pending.count  # all of them if no machine of the shard may run the job
-        if width:
+        if capacity:
             amount = spec.gpus if spec.gpus > 0 else spec.cpus
             task = max(_LEAST_TASK_WORK, amount * self.estimates.expected_run_s(spec))
-            count = min(count, int((here - shortest.seconds) / 2 * width / task))
+            count = min(count, int((here - shortest.seconds) / 2 * capacity / task))
         if count <= 0:
             return False
         await self.migration.migrate(allocation, shortest.shard, count)
@@ -135,8 +135,8 @@
         run the job.
         """
         by_gpus = spec.gpus > 0
-        width = self._width(status, spec, by_gpus=by_gpus)
-        if not width:
+        capacity = self._capacity(status, spec, by_gpus=by_gpus)
+        if not capacity:
             return QueueDuration(math.inf, 0.0)
         queued = 0.0
         for id, count in status.pending.items():
@@ -145,14 +145,14 @@
                 continue
             amount = job.spec.gpus if by_gpus else job.spec.cpus
             queued += count * amount * self.estimates.expected_run_s(job.spec)
-        return QueueDuration(queued / width, width)
+        return QueueDuration(queued / capacity, capacity)
 
-    def _width(self, status: ShardStatus, spec: user_api.JobSpec, *, by_gpus: bool) -> float:
+    def _capacity(self, status: ShardStatus, spec: user_api.JobSpec, *, by_gpus: bool) -> float:
         """Return the number of GPUs or CPUs of a shard's machines that may run the job."""
-        width = 0.0
+        capacity = 0.0
         for (type_, zone, spot), machines in self.statuses.groups_of(status).items():
             machine_type = self.machine_types().get(type_)
             if machine_type is not None and allows_machine_type(spec, machine_type, zone, spot):
                 able = sum(1 for machine in machines if machine.flag in _ABLE_FLAGS)
-                width += able * (machine_type.gpus if by_gpus else machine_type.cpus)
-        return width
+                capacity += able * (machine_type.gpus if by_gpus else machine_type.cpus)
+        return capacity
