--- a/pitchtally/scheduling/gangs/reservations.py
+++ b/pitchtally/scheduling/gangs/reservations.py
@@ -26,7 +26,7 @@
 _MARGIN_HEARTBEATS = 3
 
 
-class Opening(NamedTuple):
+class CapacityForecast(NamedTuple):
     """The expected time at which a machine has capacity for the n-th task of a job there."""
 
     eta: float  # seconds from now
@@ -138,8 +138,10 @@
             return False
         return self.quotas.tasks_within_limit(allocation.shard, allocation.spec) >= wanted
 
-    def _set_reservations(self, chosen: list[Opening], job_id: str, eta: float, now: float) -> None:
-        names = {opening.machine.name: opening.machine for opening in chosen}
+    def _set_reservations(
+        self, chosen: list[CapacityForecast], job_id: str, eta: float, now: float
+    ) -> None:
+        names = {forecast.machine.name: forecast.machine for forecast in chosen}
         until = now + eta * _WAIT_MARGIN + self.agent_heartbeat_s * _MARGIN_HEARTBEATS
         for machine in names.values():
             machine.reservation = Reservation(job_id, until)
@@ -156,9 +158,9 @@
 
     def _soonest(
         self, allocation: ShardAllocation, machines: list[Machine], wanted: int, now: float
-    ) -> list[Opening]:
+    ) -> list[CapacityForecast]:
         """Return where that many tasks fit soonest; empty if not all of them ever fit."""
-        openings = []
+        forecasts = []
         for machine in machines:
             if machine.reservation and machine.reservation.until >= now:
                 continue
@@ -168,8 +170,8 @@
                 eta = self._seconds_until(machine, allocation.resources.times(n), now)
                 if eta is None:
                     break
-                openings.append(Opening(eta, machine.name, n, machine))
-        chosen = sorted(openings, key=lambda opening: opening[:3])[:wanted]
+                forecasts.append(CapacityForecast(eta, machine.name, n, machine))
+        chosen = sorted(forecasts, key=lambda forecast: forecast[:3])[:wanted]
         return chosen if len(chosen) == wanted else []
 
     def _seconds_until(self, machine: Machine, request: Resources, now: float) -> float | None:
