--- a/pitchtally/scheduling/gangs/reservations.py
+++ b/pitchtally/scheduling/gangs/reservations.py
@@ -30,8 +30,8 @@
     """The expected time at which a machine has capacity for the n-th task of a job there."""
 
     eta: float  # seconds from now
-    name: str
-    n: int
+    machine_name: str
+    task_number: int
     machine: Machine
 
 
