--- a/pitchtally/scheduling/rebalancing/service_migration.py
+++ b/pitchtally/scheduling/rebalancing/service_migration.py
@@ -148,7 +148,7 @@
     async def _migrate(self, allocation: ShardAllocation, found: ReplicaMigration) -> None:
         zone_caps = None
         if allocation.spec.spread:
-            zone_caps = migrated_caps(
+            zone_caps = caps_after_migration(
                 allocation.job, self._placed(allocation), allocation.shard, found
             )
         log.info(
@@ -194,7 +194,7 @@
     return {zone: max(0, most - taken[zone]) for zone in placed}
 
 
-def migrated_caps(
+def caps_after_migration(
     job: Job, placed: ZoneCounts, shard: int, migration: ReplicaMigration
 ) -> list[ZoneCap]:
     """Return the caps after a migration of replicas out of `shard`.
--- a/tests/scheduling/test_service_migration.py
+++ b/tests/scheduling/test_service_migration.py
@@ -14,7 +14,7 @@
 from pitchtally.jobs.job_record import OPEN, JobRecord, TaskRange
 from pitchtally.scheduling.rebalancing.service_migration import (
     ReplicaMigration,
-    migrated_caps,
+    caps_after_migration,
     zone_limits,
 )
 from pitchtally.scheduling.shards.allocations import most_in_zone
@@ -52,7 +52,9 @@
         in_shard = {zone: replicas[shard][zone] for zone in ("a", "b", "c")}
         limits = zone_limits(job_, in_shard, shard)
         zone = rng.choice([z for z, n in limits.items() if n > 0])
-        record.zone_caps = migrated_caps(job_, in_shard, shard, ReplicaMigration(target, {zone: 1}))
+        record.zone_caps = caps_after_migration(
+            job_, in_shard, shard, ReplicaMigration(target, {zone: 1})
+        )
         replicas[target][zone] += 1
         for checked_zone in in_shard:
             zone_caps = [n for _, z, n in record.zone_caps if z == checked_zone]
