--- a/pitchtally/scheduling/rebalancing/service_migration.py
+++ b/pitchtally/scheduling/rebalancing/service_migration.py
@@ -119,7 +119,7 @@
         for source in (CapacitySource.FREE, CapacitySource.PREEMPTIBLE):
             capacities = self.free_capacity.by_zone(spec, source)
             for shard in shards:
-                limits = self._zone_limits(allocation, capped=capped)
+                limits = self._remaining_by_zone(allocation, capped=capped)
                 here = {
                     place: min(available, limits.get(place.zone, missing))
                     for place, available in capacities.items()
@@ -133,7 +133,7 @@
     def _placed(self, allocation: ShardAllocation) -> ZoneCounts:
         return {zone: allocation.placed_in(zone) for zone in self.settings.deployment.zones}
 
-    def _zone_limits(self, allocation: ShardAllocation, *, capped: bool) -> ZoneCounts:
+    def _remaining_by_zone(self, allocation: ShardAllocation, *, capped: bool) -> ZoneCounts:
         """Return how many more replicas of a spread service may be in each zone.
 
         Empty if any number may.
@@ -143,7 +143,7 @@
         placed = self._placed(allocation)
         if capped:
             return {zone: allocation.most_in_zone(zone) - n for zone, n in placed.items()}
-        return zone_limits(allocation.job, placed, allocation.shard)
+        return remaining_by_zone(allocation.job, placed, allocation.shard)
 
     async def _migrate(self, allocation: ShardAllocation, found: ReplicaMigration) -> None:
         zone_caps = None
@@ -181,7 +181,7 @@
             self.agents.stop(placement, 0.0)
 
 
-def zone_limits(job: Job, placed: ZoneCounts, shard: int) -> ZoneCounts:
+def remaining_by_zone(job: Job, placed: ZoneCounts, shard: int) -> ZoneCounts:
     """Return how many more replicas may be in each zone.
 
     The replicas placed in this shard and the caps of all other shards count towards the limit.
--- a/tests/scheduling/test_service_migration.py
+++ b/tests/scheduling/test_service_migration.py
@@ -15,7 +15,7 @@
 from pitchtally.scheduling.rebalancing.service_migration import (
     ReplicaMigration,
     caps_after_migration,
-    zone_limits,
+    remaining_by_zone,
 )
 from pitchtally.scheduling.shards.allocations import most_in_zone
 
@@ -50,7 +50,7 @@
         target = rng.randrange(3)
         job_ = Job("wk-1", record, 1, 8)
         in_shard = {zone: replicas[shard][zone] for zone in ("a", "b", "c")}
-        limits = zone_limits(job_, in_shard, shard)
+        limits = remaining_by_zone(job_, in_shard, shard)
         zone = rng.choice([z for z, n in limits.items() if n > 0])
         record.zone_caps = caps_after_migration(
             job_, in_shard, shard, ReplicaMigration(target, {zone: 1})
