--- a/pitchtally/scheduling/gangs/range_return.py
+++ b/pitchtally/scheduling/gangs/range_return.py
@@ -12,7 +12,7 @@
 from ..capacity import is_fully_assigned, may_be_active, stays_in_one_shard
 from ..context import SchedulingContext
 from ..quotas.quotas import Quotas
-from ..range_writer import MAX_RANGES, RangeWriter
+from ..range_writer import MAX_RANGES_PER_JOB, RangeWriter
 from ..shards.allocations import ShardAllocation, ShardState
 from ..shards.deadlines import Deadlines
 from ..shards.shard_states import ShardStates
@@ -121,7 +121,7 @@
                 done = (task for task in range(first, end) if job.is_finished(task))
                 kept.extend((task, task + 1, shard) for task in done)
         remaining = merge(kept)
-        if len(remaining) <= MAX_RANGES:
+        if len(remaining) <= MAX_RANGES_PER_JOB:
             return remaining
         # Too many ranges for a record: remove all of the shard's ranges, but only once its
         # finished tasks are durable.
--- a/pitchtally/scheduling/range_writer.py
+++ b/pitchtally/scheduling/range_writer.py
@@ -24,7 +24,7 @@
 log = logging.getLogger(__name__)
 
 # Ranges that a job record may hold: the record has to fit into one value of the state store.
-MAX_RANGES = 40
+MAX_RANGES_PER_JOB = 40
 # Pause between two attempts to resolve an unknown outcome.
 RETRY_INTERVAL_S = 0.3
 
--- a/pitchtally/scheduling/rebalancing/queue_balancing.py
+++ b/pitchtally/scheduling/rebalancing/queue_balancing.py
@@ -12,7 +12,7 @@
 from ...protocol import user_api
 from ..capacity import RANK, allows_machine_type, stays_in_one_shard
 from ..context import SchedulingContext
-from ..range_writer import MAX_RANGES
+from ..range_writer import MAX_RANGES_PER_JOB
 from ..shards.allocations import ShardAllocation, ShardState
 from ..shards.eligibility import is_ready
 from ..shards.shard_statuses import ShardStatuses
@@ -90,7 +90,7 @@
             and not allocation.faulty
             and not stays_in_one_shard(allocation.job.spec)
             and not allocation.service  # replicas never end; placed by free capacity instead
-            and len(allocation.job.record.ranges) <= MAX_RANGES
+            and len(allocation.job.record.ranges) <= MAX_RANGES_PER_JOB
         ]
         return [id for _, id in sorted(rows, reverse=True)[:_MAX_JOBS]]
 
--- a/pitchtally/scheduling/rebalancing/rebalancing.py
+++ b/pitchtally/scheduling/rebalancing/rebalancing.py
@@ -10,7 +10,7 @@
 from ..capacity import displacement_ratio, stays_in_one_shard
 from ..context import SchedulingContext
 from ..quotas.quotas import Quotas
-from ..range_writer import MAX_RANGES
+from ..range_writer import MAX_RANGES_PER_JOB
 from ..shards.allocations import ShardAllocation, ShardState
 from ..shards.eligibility import is_ready
 from ..shards.shard_statuses import ShardStatuses
@@ -78,7 +78,7 @@
         spec, record = allocation.job.spec, allocation.job.record
         if spec.tasks > 1 and spec.one_zone:
             return False  # the job's zone is fixed, so `RangeReturn` returns it to the leader
-        if len(record.ranges) > MAX_RANGES:
+        if len(record.ranges) > MAX_RANGES_PER_JOB:
             return False
         begun = allocation.placed or allocation.pending.count < spec.tasks or record.attempt
         return not (stays_in_one_shard(spec) and begun)
