--- a/pitchtally/scheduling/estimates.py
+++ b/pitchtally/scheduling/estimates.py
@@ -37,7 +37,7 @@
     """Estimates corrected by a running mean of log(run time / estimate) per job class."""
 
     def __init__(self, horizon_s: float) -> None:
-        """Start without corrections; a service replica counts as `horizon_s` seconds of run time."""
+        """Start without corrections; a service replica counts as a run of `horizon_s` seconds."""
         self.horizon_s = horizon_s
         self.corrections: dict[str, Correction] = {}  # by job class
 
--- a/pitchtally/scheduling/gangs/single_shard_planner.py
+++ b/pitchtally/scheduling/gangs/single_shard_planner.py
@@ -11,7 +11,7 @@
 from ...jobs.resources import capacity_of, count_fitting, resource_request
 from ...membership.messages import MachineFlag, ShardStatus
 from ...protocol import user_api
-from ..capacity import CapacitySource, Plan, allows_machine_type, plan_gang, displacement_ratio
+from ..capacity import CapacitySource, Plan, allows_machine_type, displacement_ratio, plan_gang
 from ..context import SchedulingContext
 from ..shards.shard_statuses import ShardStatuses
 from .free_capacity import FreeCapacity, ZoneCapacities
--- a/pitchtally/scheduling/stretch.py
+++ b/pitchtally/scheduling/stretch.py
@@ -74,7 +74,7 @@
 
 
 class EdfSchedule(NamedTuple):
-    """A queue in EDF order at one stretch, computed once to answer `gap_in_schedule` for many jobs."""
+    """A queue in EDF order at one stretch, computed once for many calls of `gap_in_schedule`."""
 
     deadlines: list[float]  # d_i, rising
     work_before: list[float]  # machine-seconds of the jobs ahead of each position
