--- a/pitchtally/scheduling/stretch.py
+++ b/pitchtally/scheduling/stretch.py
@@ -39,7 +39,9 @@
     Algorithm 1 of the paper.
     """
     end = now
-    for due, work in sorted((deadline(e.release, e.size, stretch), e.work) for e in queue):
+    for due, work in sorted(
+        (deadline(entry.release, entry.size, stretch), entry.work) for entry in queue
+    ):
         end += work
         if end > due:
             return False
@@ -84,21 +86,21 @@
 
 def edf_schedule(queue: Sequence[QueueEntry], stretch: float, now: float) -> EdfSchedule:
     """Order a queue by its deadlines at a stretch, and compute the latest start of each entry."""
-    rows = sorted((deadline(e.release, e.size, stretch), e.work) for e in queue)
+    entries = sorted((deadline(entry.release, entry.size, stretch), entry.work) for entry in queue)
     work_before, total = [0.0], 0.0
-    for _, work in rows:
+    for _, work in entries:
         total += work
         work_before.append(total)
-    latest_starts = [math.inf] * (len(rows) + 1)
-    for i in range(len(rows) - 1, -1, -1):
-        due, work = rows[i]
+    latest_starts = [math.inf] * (len(entries) + 1)
+    for i in range(len(entries) - 1, -1, -1):
+        due, work = entries[i]
         latest_starts[i] = min(due, latest_starts[i + 1]) - work
-    feasible = not (rows and latest_starts[0] < now)
-    return EdfSchedule([due for due, _ in rows], work_before, latest_starts, feasible)
+    feasible = not (entries and latest_starts[0] < now)
+    return EdfSchedule([due for due, _ in entries], work_before, latest_starts, feasible)
 
 
-def gap_in_schedule(schedule: EdfSchedule, due: float, start: float) -> float:
-    """Return the machine-seconds available to a job due at `due` that starts at `start` or later.
+def gap_in_schedule(schedule: EdfSchedule, due: float, earliest_start: float) -> float:
+    """Return the machine-seconds available to a job with this deadline and earliest start.
 
     Algorithm 3 of the paper (h), on a queue that is already in EDF order.
     """
@@ -106,7 +108,7 @@
         return 0.0
     position = bisect.bisect_left(schedule.deadlines, due)
     latest_end = min(due, schedule.latest_starts[position])
-    return max(0.0, latest_end - (start + schedule.work_before[position]))
+    return max(0.0, latest_end - (earliest_start + schedule.work_before[position]))
 
 
 def gap(
@@ -117,14 +119,14 @@
     return gap_in_schedule(schedule, deadline(release, size, stretch), max(release, now))
 
 
-def tasks_in_gap(free: float, cost: float) -> int:
+def tasks_in_gap(gap_work: float, cost: float) -> int:
     """Return how many tasks of this cost fit into a gap; equation 2: n = floor(h / a).
 
     Both arguments are in machine-seconds.
     """
     if cost <= 0:
         return 0
-    return int(free / cost + ROUNDING_TOLERANCE)
+    return int(gap_work / cost + ROUNDING_TOLERANCE)
 
 
 def geometric_series(first: float, last: float, count: int) -> list[float]:
@@ -140,11 +142,11 @@
 
 def last_index_at_most(samples: Sequence[float], value: float) -> int:
     """Return the index of the largest sample that is at most `value`; 0 if there is none."""
-    found = 0
+    index = 0
     for i, sample in enumerate(samples):
         if sample <= value:
-            found = i
-    return found
+            index = i
+    return index
 
 
 def first_index_at_least(samples: Sequence[float], value: float) -> int:
@@ -162,7 +164,7 @@
     queues: Sequence[Sequence[QueueEntry]],
     stretches: Sequence[float],
     sizes: Sequence[float],
-    tasks: Sequence[float],
+    task_work: Sequence[float],
     now: float,
     machines: float = 1.0,
 ) -> list[list[list[int]]]:
@@ -178,13 +180,16 @@
             due = deadline(now, size, stretch)
             gaps = [gap_in_schedule(schedule, due, now) for schedule in schedules]
             plane.append(
-                [int(machines * sum(tasks_in_gap(free, cost) for free in gaps)) for cost in tasks]
+                [
+                    int(machines * sum(tasks_in_gap(gap_work, cost) for gap_work in gaps))
+                    for cost in task_work
+                ]
             )
         planes.append(plane)
     return planes
 
 
-def first_covering_index(counts: Sequence[int], wanted: int) -> int | None:
+def first_covering_index(counts: Sequence[int], tasks: int) -> int | None:
     """Return the index of the least stretch sample whose availability covers the tasks.
 
     Algorithm 4 of the paper. `counts` is the availability at each stretch sample. Availability
@@ -192,11 +197,11 @@
     Returns None if even the largest sample doesn't cover the tasks.
     """
     low, high = 0, len(counts) - 1
-    if not counts or counts[high] < wanted:
+    if not counts or counts[high] < tasks:
         return None
     while low < high:
         middle = (low + high) // 2
-        if counts[middle] >= wanted:
+        if counts[middle] >= tasks:
             high = middle
         else:
             low = middle + 1
