--- a/pitchtally/scheduling/estimates.py
+++ b/pitchtally/scheduling/estimates.py
@@ -41,15 +41,15 @@
         self.horizon_s = horizon_s
         self.corrections: dict[str, Correction] = {}  # by job class
 
-    def record_run_time(self, spec: user_api.JobSpec, ran: float) -> None:
-        """Update the correction of a job's class with a task that finished after `ran` seconds."""
-        if ran <= 0 or spec.estimate <= 0 or spec.is_service:
+    def record_run_time(self, spec: user_api.JobSpec, run_s: float) -> None:
+        """Update the correction of a job's class with a finished task that ran for `run_s` seconds."""
+        if run_s <= 0 or spec.estimate <= 0 or spec.is_service:
             return
         weight, mean_log_ratio = self.corrections.get(spec.job_class, NO_CORRECTION)
-        ratio = math.log(max(ran, MIN_RUN_S) / spec.estimate)
-        ratio = max(-MAX_LOG_RATIO, min(MAX_LOG_RATIO, ratio))
+        log_ratio = math.log(max(run_s, MIN_RUN_S) / spec.estimate)
+        log_ratio = max(-MAX_LOG_RATIO, min(MAX_LOG_RATIO, log_ratio))
         weight = min(weight + 1, MAX_WEIGHT_TASKS)
-        mean_log_ratio += (ratio - mean_log_ratio) / weight
+        mean_log_ratio += (log_ratio - mean_log_ratio) / weight
         self.corrections[spec.job_class] = Correction(weight, mean_log_ratio)
 
     def expected_run_s(self, spec: user_api.JobSpec) -> float:
