--- a/pitchtally/scheduling/capacity.py
+++ b/pitchtally/scheduling/capacity.py
@@ -49,17 +49,21 @@
 
 def may_be_active(job: Job, ranges: Iterable[TaskRange]) -> bool:
     """Return whether a task in these ranges may be on a machine, or be started by its shard."""
-    return any(not job.is_finished(task) for each in ranges for task in range(each.first, each.end))
+    return any(
+        not job.is_finished(task)
+        for task_range in ranges
+        for task in range(task_range.first, task_range.end)
+    )
 
 
-def displacement_ratio(spec: user_api.JobSpec, other: Job | None) -> float:
-    """Return how many tasks of `spec` one pending task of another job displaces, at most 1.
+def displacement_ratio(spec: user_api.JobSpec, pending_job: Job | None) -> float:
+    """Return how many tasks of `spec` one task of another pending job displaces, at most 1.
 
-    `other` is None if that job has ended. Jobs of lower rank displace none.
+    `pending_job` is that job, None if it has ended. Jobs of lower rank displace none.
     """
-    if other is None or RANK[other.spec.rank] > RANK[spec.rank]:
+    if pending_job is None or RANK[pending_job.spec.rank] > RANK[spec.rank]:
         return 0.0
-    return min(1.0, other.spec.cpus / max(spec.cpus, 1e-3))
+    return min(1.0, pending_job.spec.cpus / max(spec.cpus, 1e-3))
 
 
 class Plan(NamedTuple):
@@ -100,19 +104,19 @@
     go to any zone.
     """
     zones = sorted({zone for _, zone in capacities})
-    choices = [[zone] for zone in zones] if one_zone else [zones]
+    zone_choices = [[zone] for zone in zones] if one_zone else [zones]
     zone_limit = (tasks + 1) // 2 if spread and tasks > 1 else tasks
     best: dict[ShardZone, int] | None = None
-    for choice in choices:
+    for allowed_zones in zone_choices:
         unplaced = tasks
-        left_in_zone = dict.fromkeys(choice, zone_limit)
+        left_in_zone = dict.fromkeys(allowed_zones, zone_limit)
         plan: dict[ShardZone, int] = {}
-        for place, available in sorted(capacities.items(), key=lambda row: -row[1]):
-            count = min(available, unplaced, left_in_zone.get(place.zone, 0))
+        for shard_zone, available in sorted(capacities.items(), key=lambda item: -item[1]):
+            count = min(available, unplaced, left_in_zone.get(shard_zone.zone, 0))
             if count:
-                plan[place] = count
+                plan[shard_zone] = count
                 unplaced -= count
-                left_in_zone[place.zone] -= count
+                left_in_zone[shard_zone.zone] -= count
         # A plan over fewer shards is preferred: every shard leader in it must have its capacity
         # available at the same time.
         if not unplaced and (best is None or len(plan) < len(best)):
