--- a/pitchtally/scheduling/priorities.py
+++ b/pitchtally/scheduling/priorities.py
@@ -37,24 +37,24 @@
 
         In seconds.
         """
-        task = self.estimates.expected_run_s(spec)
-        limits = [] if spec.deadline is None else [spec.deadline - task]
-        limits.extend(
-            objective.within_s - (0.0 if objective.kind == "wait" else task)
+        run_s = self.estimates.expected_run_s(spec)
+        limits_s = [] if spec.deadline is None else [spec.deadline - run_s]
+        limits_s.extend(
+            objective.within_s - (0.0 if objective.kind == "wait" else run_s)
             for objective in self.deadlines.objectives.get(spec.job_class, ())
             if objective.within_s is not None
         )
         if spec.kind == user_api.GANG and self.quotas.guaranteed(spec.team):
             # An array starts task by task as capacity becomes available. A gang within its team's
             # guarantee starts in time only if machines for all its tasks are already running.
-            limits.extend(
+            limits_s.extend(
                 objective.within_s
                 for objective in self.deadlines.objectives.get(None, ())
                 if objective.kind == "guarantee" and objective.within_s is not None
             )
         # A missing replica affects the users of a service from the first second.
-        default = self.agent_heartbeat_s if spec.is_service else task * DEFAULT_SLACK_TASKS
-        return max(MIN_SLACK_S, min(limits, default=default))
+        default_s = self.agent_heartbeat_s if spec.is_service else run_s * DEFAULT_SLACK_TASKS
+        return max(MIN_SLACK_S, min(limits_s, default_s=default_s))
 
     def key(self, allocation: ShardAllocation, level: float) -> PriorityKey:
         """Return the sort key of an allocation, with deadlines at the stretch `level`.
