--- a/pitchtally/scheduling/scheduler.py
+++ b/pitchtally/scheduling/scheduler.py
@@ -182,16 +182,16 @@
             # Starts are sent in the answers to agent heartbeats, so more frequent planning
             # would start no task earlier.
             await trio.sleep(self.agent_heartbeat_s / 10)
-            spent = 0.0
+            planning_s = 0.0
             for shard, state in list(self.shards.states.items()):
                 if state.loaded and shard in self.shards.states:
-                    at = trio.current_time()
+                    started_at = trio.current_time()
                     self._plan(shard, state)
-                    spent += trio.current_time() - at
+                    planning_s += trio.current_time() - started_at
                     await trio.sleep(0)  # lets waiting agent heartbeats be answered first
-            spent += self.status_publisher.refresh()
+            planning_s += self.status_publisher.refresh()
             # Bounds the share of processor time for planning, whatever the number of machines.
-            await trio.sleep(min(self.agent_heartbeat_s, spent * _PLANNING_PAUSE_FACTOR))
+            await trio.sleep(min(self.agent_heartbeat_s, planning_s * _PLANNING_PAUSE_FACTOR))
 
     def _plan(self, shard: int, state: ShardState) -> None:
         """Run one planning round of a shard."""
@@ -207,14 +207,15 @@
 
         Only the cluster leader assigns jobs; every shard leader does the rest for its shards.
         """
-        spent = 0.0
+        round_s = 0.0
         while True:
             await trio.sleep(
                 max(
-                    _MIN_GLOBAL_ROUND_S, min(self.agent_heartbeat_s, spent * _PLANNING_PAUSE_FACTOR)
+                    _MIN_GLOBAL_ROUND_S,
+                    min(self.agent_heartbeat_s, round_s * _PLANNING_PAUSE_FACTOR),
                 )
             )
-            at = trio.current_time()
+            started_at = trio.current_time()
             try:
                 token = self.membership.cluster_leader_token
                 if token is not None:
@@ -224,7 +225,7 @@
                 await self.rebalancing.rebalance()
                 await self.queue_balancing.balance()
                 await self.quota_transfer.transfer()
-                spent = min(self.agent_heartbeat_s, trio.current_time() - at)
+                round_s = min(self.agent_heartbeat_s, trio.current_time() - started_at)
             except StoreUnavailable as error:
                 log.debug("global scheduling round aborted: %s", error)
                 await trio.sleep(RETRY_INTERVAL_S)
