--- a/pitchtally/scheduling/estimates.py
+++ b/pitchtally/scheduling/estimates.py
@@ -42,7 +42,7 @@
         self.corrections: dict[str, Correction] = {}  # by job class
 
     def record_run_time(self, spec: user_api.JobSpec, run_s: float) -> None:
-        """Update the correction of a job's class with a finished task that ran for `run_s` seconds."""
+        """Update the correction of a job's class with a finished task's run time of `run_s`."""
         if run_s <= 0 or spec.estimate <= 0 or spec.is_service:
             return
         weight, mean_log_ratio = self.corrections.get(spec.job_class, NO_CORRECTION)
--- a/pitchtally/scheduling/priorities.py
+++ b/pitchtally/scheduling/priorities.py
@@ -54,7 +54,7 @@
             )
         # A missing replica affects the users of a service from the first second.
         default_s = self.agent_heartbeat_s if spec.is_service else run_s * DEFAULT_SLACK_TASKS
-        return max(MIN_SLACK_S, min(limits_s, default_s=default_s))
+        return max(MIN_SLACK_S, min(limits_s, default=default_s))
 
     def key(self, allocation: ShardAllocation, level: float) -> PriorityKey:
         """Return the sort key of an allocation, with deadlines at the stretch `level`.
--- a/pitchtally/scheduling/range_writer.py
+++ b/pitchtally/scheduling/range_writer.py
@@ -31,8 +31,8 @@
 
 def _same_assignment(job: Job, before: JobRecord) -> bool:
     """Return whether a job's record assigns its tasks to shards as `before` does."""
-    now = job.record
-    return (now.stage, now.ranges, now.zone, now.attempt, now.zone_caps) == (
+    record = job.record
+    return (record.stage, record.ranges, record.zone, record.attempt, record.zone_caps) == (
         before.stage,
         before.ranges,
         before.zone,
@@ -73,7 +73,7 @@
         `zone`, `attempt` and `zone_caps` constrain jobs whose tasks constrain one another; those
         not given keep their present value. Raises StoreUnavailable, OutcomeUnknown included.
         """
-        bindings: dict[str, object] = {
+        constraints: dict[str, object] = {
             name: value
             for name, value in (("zone", zone), ("attempt", attempt), ("zone_caps", zone_caps))
             if value is not UNSET
@@ -81,9 +81,11 @@
         preconditions = {**preconditions, **self._tokens_of_led_shards(ranges)}
         # A migration only improves a placement, while no task starts without an assignment.
         priority = (
-            Priority.PROGRESS if is_fully_assigned(job) and not bindings else Priority.SUBMISSIONS
+            Priority.PROGRESS
+            if is_fully_assigned(job) and not constraints
+            else Priority.SUBMISSIONS
         )
-        value = await self._encode_in_limits(job, priority, ranges=ranges, **bindings)
+        value = await self._encode_in_limits(job, priority, ranges=ranges, **constraints)
         if value is None:
             return False
         key = keys.job(job.id)
@@ -138,13 +140,13 @@
         versions: dict[str, int],
         shard: int,
         token: int,
-        value: Callable[[], bytes],
+        present_value: Callable[[], bytes],
     ) -> None:
         """Return once a commit that failed with `error` can't take effect any more.
 
         A read can't show that: the store may execute a transaction seconds after the client's
-        request timed out. So the key's present value (`value`) is written under the same
-        preconditions. Whichever of the two commits is executed first, the preconditions of the
+        request timed out. So the key's present value is written under the same preconditions;
+        `present_value` returns it, encoded. Whichever of the two commits is executed first, the preconditions of the
         other then fail. Also returns when this controller loses the shard, since resolving the
         outcome is then left to the shard's next leader.
 
@@ -158,7 +160,7 @@
             try:
                 await self.commits.commit(
                     {**versions, keys.shard(shard): token},
-                    [Write(key, value())],
+                    [Write(key, present_value())],
                     priority=Priority.SUBMISSIONS,
                 )
             except StoreUnavailable as retry_error:
