--- a/pitchtally/scheduling/assignment/constrained_assignment.py
+++ b/pitchtally/scheduling/assignment/constrained_assignment.py
@@ -86,7 +86,7 @@
         if may_be_active(job, job.record.ranges):
             return
         unassigned = _unassigned(job)
-        count = sum(r.tasks for r in unassigned)
+        count = sum(task_range.tasks for task_range in unassigned)
         spec = msgspec.structs.replace(job.spec, tasks=count)
         best = self.single_shard_planner.best_shard(spec)
         if best is None:
--- a/pitchtally/scheduling/assignment/job_assignment.py
+++ b/pitchtally/scheduling/assignment/job_assignment.py
@@ -77,10 +77,10 @@
         spec = job.spec
         if assigned:
             spec = msgspec.structs.replace(spec, tasks=job.record.tasks - assigned)
-        found = self.proportional_split.split(spec)
-        if not found:
+        ranges = self.proportional_split.split(spec)
+        if not ranges:
             return
-        added = ((first + assigned, end + assigned, shard) for first, end, shard in found)
+        added = ((first + assigned, end + assigned, shard) for first, end, shard in ranges)
         await self.range_writer.write_ranges(
             job,
             {keys.shard(CLUSTER_LEADER_SHARD): token},
@@ -89,4 +89,4 @@
 
 
 def _assigned_tasks(job: Job) -> int:
-    return sum(r.tasks for r in job.record.ranges)
+    return sum(task_range.tasks for task_range in job.record.ranges)
--- a/pitchtally/scheduling/assignment/local_assignment.py
+++ b/pitchtally/scheduling/assignment/local_assignment.py
@@ -53,29 +53,29 @@
         A gang is planned at once over all shards, wherever there is capacity for all its tasks:
         the stretch test doesn't apply to it, and a request to the leader would only add latency.
         """
-        ours = [
+        led_shards = [
             shard
-            for shard, work in self.shards.items()
-            if work.loaded and shard in self.statuses.newest
+            for shard, state in self.shards.items()
+            if state.loaded and shard in self.statuses.newest
         ]
-        if not ours:
+        if not led_shards:
             return UNASSIGNED
         if spec.kind == user_api.GANG:
-            token = self.membership.token(ours[0])
+            token = self.membership.token(led_shards[0])
             return (token is not None and self.gang_planner.plan(spec, token)) or UNASSIGNED
         if spec.is_service:
             # Services are placed by free capacity, not by queues: the leader gets the service
             # only if no shard led here has the capacity.
-            return self.single_shard_planner.plan_service(spec, ours) or UNASSIGNED
+            return self.single_shard_planner.plan_service(spec, led_shards) or UNASSIGNED
         if stays_in_one_shard(spec):
             best = self.single_shard_planner.best_shard(spec)
-            if best not in ours:
+            if best not in led_shards:
                 return UNASSIGNED
             ranges = [TaskRange(0, spec.tasks, best)]
             return Plan(ranges, self.single_shard_planner.pick_zone(spec, ranges))
-        return Plan(self._keep_or_split(spec, ours))
+        return Plan(self._keep_or_split(spec, led_shards))
 
-    def _keep_or_split(self, spec: user_api.JobSpec, ours: list[int]) -> list[TaskRange]:
+    def _keep_or_split(self, spec: user_api.JobSpec, led_shards: list[int]) -> list[TaskRange]:
         """Apply the stretch test to the shards led here.
 
         If none of them keeps the job, the cluster leader splits it at once; other controllers
@@ -85,11 +85,14 @@
             min((status.stretch for status in self.statuses.newest.values()), default=0.0),
             self.samples.stretches[0],
         )
-        for shard in ours:
-            level = self.proportional_split.least_covering_level(
+        for shard in led_shards:
+            stretch_index = self.proportional_split.least_covering_level(
                 [self.statuses.newest[shard]], spec
             )
-            if level is not None and self.samples.stretches[level] <= self.policy.bound * lowest:
+            if (
+                stretch_index is not None
+                and self.samples.stretches[stretch_index] <= self.policy.bound * lowest
+            ):
                 self.statuses.record_allocation(shard, spec, spec.tasks)
                 return [TaskRange(0, spec.tasks, shard)]
         if self.membership.cluster_leader_token is None:
--- a/pitchtally/scheduling/assignment/proportional_split.py
+++ b/pitchtally/scheduling/assignment/proportional_split.py
@@ -17,7 +17,7 @@
 from ..shards.shard_statuses import ShardStatuses
 
 # Machine-seconds: lower bound on a task's work where unreported work is divided by it.
-_LEAST_TASK_WORK = 1e-6
+_MIN_TASK_MACHINE_S = 1e-6
 
 
 class ProportionalSplit:
@@ -37,27 +37,30 @@
         self.deadlines = deadlines
         self.single_shard_planner = single_shard_planner
 
-    def availability(self, status: ShardStatus, spec: user_api.JobSpec, level: int) -> int:
-        """Return how many tasks of the job a shard accepts at the stretch sample `level`.
+    def availability(self, status: ShardStatus, spec: user_api.JobSpec, stretch_index: int) -> int:
+        """Return how many tasks of the job a shard accepts at the stretch sample with this index.
 
-        `level` is an index into the stretch samples. The result is the cell [S][w][a] of the
-        shard's availability matrices, summed over machine groups, less the work assigned since
-        the shard computed them.
+        This is the cell [S][w][a] of the shard's availability matrices, summed over machine
+        groups, less the work assigned since the shard computed them.
         """
         total = 0
-        size = stretch.last_index_at_most(self.samples.sizes, self.deadlines.job_size(spec))
-        unreported = sum(sent.work for sent in self.statuses.unreported.get(status.shard, ()))
-        for name, cells in status.matrix:
-            type_, zone, spot = MachineGroupKey.parse(name)
-            machine_type = self.machine_types().get(type_)
+        size_index = stretch.last_index_at_most(self.samples.sizes, self.deadlines.job_size(spec))
+        unreported = sum(
+            allocation.work for allocation in self.statuses.unreported.get(status.shard, ())
+        )
+        for name, matrix in status.matrix:
+            type_name, zone, spot = MachineGroupKey.parse(name)
+            machine_type = self.machine_types().get(type_name)
             if machine_type is None or not allows_machine_type(spec, machine_type, zone, spot):
                 continue
-            task = self.estimates.expected_run_s(spec) * dominant_share(
+            task_work = self.estimates.expected_run_s(spec) * dominant_share(
                 resource_request(spec), machine_type
             )
-            total += cells[level][size][stretch.first_index_at_least(self.samples.task_work, task)]
+            total += matrix[stretch_index][size_index][
+                stretch.first_index_at_least(self.samples.task_work, task_work)
+            ]
             if unreported and total:
-                total -= math.ceil(unreported / max(task, _LEAST_TASK_WORK))
+                total -= math.ceil(unreported / max(task_work, _MIN_TASK_MACHINE_S))
                 unreported = 0.0
         return max(0, total)
 
@@ -69,8 +72,8 @@
         None if they don't cover it at any sample.
         """
         totals = [
-            sum(self.availability(status, spec, level) for status in statuses)
-            for level in range(len(self.samples.stretches))
+            sum(self.availability(status, spec, stretch_index) for status in statuses)
+            for stretch_index in range(len(self.samples.stretches))
         ]
         return stretch.first_covering_index(totals, spec.tasks)
 
@@ -86,10 +89,10 @@
         statuses = [status for status in self.statuses.newest.values() if status.matrix]
         if not statuses:
             return []
-        level = self.least_covering_level(statuses, spec)
-        if level is None:
-            level = len(self.samples.stretches) - 1
-        available = [self.availability(status, spec, level) for status in statuses]
+        stretch_index = self.least_covering_level(statuses, spec)
+        if stretch_index is None:
+            stretch_index = len(self.samples.stretches) - 1
+        available = [self.availability(status, spec, stretch_index) for status in statuses]
         if sum(available) == 0:
             return []
         counts = stretch.proportional_shares(available, min(spec.tasks, sum(available)))
