--- a/pitchtally/scheduling/assignment/local_assignment.py
+++ b/pitchtally/scheduling/assignment/local_assignment.py
@@ -86,7 +86,7 @@
             self.samples.stretches[0],
         )
         for shard in led_shards:
-            stretch_index = self.proportional_split.least_covering_level(
+            stretch_index = self.proportional_split.least_covering_index(
                 [self.statuses.newest[shard]], spec
             )
             if (
--- a/pitchtally/scheduling/assignment/proportional_split.py
+++ b/pitchtally/scheduling/assignment/proportional_split.py
@@ -64,7 +64,7 @@
                 unreported = 0.0
         return max(0, total)
 
-    def least_covering_level(
+    def least_covering_index(
         self, statuses: list[ShardStatus], spec: user_api.JobSpec
     ) -> int | None:
         """Return the index of the least stretch sample at which these shards cover the job.
@@ -89,7 +89,7 @@
         statuses = [status for status in self.statuses.newest.values() if status.matrix]
         if not statuses:
             return []
-        stretch_index = self.least_covering_level(statuses, spec)
+        stretch_index = self.least_covering_index(statuses, spec)
         if stretch_index is None:
             stretch_index = len(self.samples.stretches) - 1
         available = [self.availability(status, spec, stretch_index) for status in statuses]
