--- a/pitchtally/scheduling/gangs/free_capacity.py
+++ b/pitchtally/scheduling/gangs/free_capacity.py
@@ -20,14 +20,14 @@
 # Sources that include the capacity that preemption would free.
 _BY_PREEMPTION = (CapacitySource.PREEMPTIBLE, CapacitySource.OVER_GUARANTEE)
 # Peer heartbeat intervals after which a shard's status includes the tasks planned before.
-_BOOKING_INTERVALS = 3
+_BOOKING_HEARTBEAT_INTERVALS = 3
 
 
 class _Booking(NamedTuple):
     """Capacity planned for tasks that the status of their shard may not include yet."""
 
-    at: float
-    place: ShardZone
+    booked_at: float
+    shard_zone: ShardZone
     request: Resources  # what one task requests
     tasks: int
 
@@ -47,23 +47,23 @@
 
     def book(self, now: float, spec: user_api.JobSpec, plan: ZoneCapacities) -> None:
         """Count the tasks of a plan as placed until the statuses include them."""
-        for place, tasks in plan.items():
-            self._bookings.append(_Booking(now, place, resource_request(spec), tasks))
+        for shard_zone, tasks in plan.items():
+            self._bookings.append(_Booking(now, shard_zone, resource_request(spec), tasks))
 
     def by_zone(self, spec: user_api.JobSpec, source: CapacitySource) -> ZoneCapacities:
         """Return how many tasks each shard could start in each zone, less booked capacity."""
-        limit = trio.current_time() - self.policy.heartbeat_interval * _BOOKING_INTERVALS
-        self._bookings = [booking for booking in self._bookings if booking.at > limit]
+        oldest = trio.current_time() - self.policy.heartbeat_interval * _BOOKING_HEARTBEAT_INTERVALS
+        self._bookings = [booking for booking in self._bookings if booking.booked_at > oldest]
         capacities: ZoneCapacities = {}
         for status in self.statuses.newest.values():
             for zone, tasks in self._in_shard(status, spec, source).items():
                 capacities[ShardZone(status.shard, zone)] = tasks
         request = resource_request(spec)
         for booking in self._bookings:
-            free = capacities.get(booking.place)
+            free = capacities.get(booking.shard_zone)
             if free is not None:
-                taken = _tasks_displaced(booking, request)
-                capacities[booking.place] = max(0, free - taken)
+                displaced = _tasks_displaced(booking, request)
+                capacities[booking.shard_zone] = max(0, free - displaced)
         return capacities
 
     def _in_shard(
@@ -77,12 +77,12 @@
         request = resource_request(spec)
         cached = self.statuses.zones.setdefault(status.shard, {})
         key = (source, request, spec.types, spec.zone, spec.spot)
-        found = cached.get(key)
-        if found is not None:
-            return found
-        found = cached[key] = {}
-        for (type_, zone, spot), machines in self.statuses.groups_of(status).items():
-            machine_type = self.machine_types().get(type_)
+        tasks_by_zone = cached.get(key)
+        if tasks_by_zone is not None:
+            return tasks_by_zone
+        tasks_by_zone = cached[key] = {}
+        for (type_name, zone, spot), machines in self.statuses.groups_of(status).items():
+            machine_type = self.machine_types().get(type_name)
             if machine_type is None or not allows_machine_type(spec, machine_type, zone, spot):
                 continue
             total = 0
@@ -93,8 +93,8 @@
                 if fits(request, available):
                     total += count_fitting(request, available)
             if total:
-                found[zone] = found.get(zone, 0) + total
-        return found
+                tasks_by_zone[zone] = tasks_by_zone.get(zone, 0) + total
+        return tasks_by_zone
 
 
 def _available(
@@ -118,9 +118,9 @@
     """Return how many tasks with this request the booked tasks displace."""
     ratio = max(
         (
-            booked / wanted
-            for booked, wanted in zip(booking.request, request, strict=True)
-            if wanted
+            booked / requested
+            for booked, requested in zip(booking.request, request, strict=True)
+            if requested
         ),
         default=0,
     )
--- a/pitchtally/scheduling/range_writer.py
+++ b/pitchtally/scheduling/range_writer.py
@@ -146,9 +146,9 @@
 
         A read can't show that: the store may execute a transaction seconds after the client's
         request timed out. So the key's present value is written under the same preconditions;
-        `present_value` returns it, encoded. Whichever of the two commits is executed first, the preconditions of the
-        other then fail. Also returns when this controller loses the shard, since resolving the
-        outcome is then left to the shard's next leader.
+        `present_value` returns it, encoded. Whichever of the two commits is executed first, the
+        preconditions of the other then fail. Also returns when this controller loses the shard,
+        since resolving the outcome is then left to the shard's next leader.
 
         `versions` are the versions of the key, and of other keys, that the commit expected.
         """
