--- a/pitchtally/scheduling/gangs/planner.py
+++ b/pitchtally/scheduling/gangs/planner.py
@@ -20,9 +20,9 @@
 log = logging.getLogger(__name__)
 
 # The low bits of an attempt number are a counter, the high bits a fencing token.
-_COUNT_BITS = 24
+_COUNTER_BITS = 24
 # Set in attempts that all shards of a gang share; clear in attempts that one shard numbers.
-_SHARED_ATTEMPT_BIT = 1 << 23
+_SHARED_ATTEMPT_FLAG = 1 << 23
 # Share of `start_within` for which one gang alone may reserve machines over several shards.
 _RESERVING_SHARE = 1 / 4
 
@@ -31,7 +31,7 @@
     """The one gang for which machines may be reserved over several shards."""
 
     job_id: str
-    since: float
+    planned_at: float
 
 
 class GangPlanner:
@@ -52,7 +52,7 @@
         self.deadlines = deadlines
         self.free_capacity = free_capacity
         self._shared_attempts = 0  # the number of shared attempts planned by this process
-        self._reserving: _ReservingGang | None = None
+        self._reserving_gang: _ReservingGang | None = None
 
     def plan(self, spec: user_api.JobSpec, token: int, job: Job | None = None) -> Plan | None:
         """Plan all tasks of a gang: in one shard if it has the capacity, else over several.
@@ -67,9 +67,11 @@
         now = trio.current_time()
         for source in self._sources(spec, job, now):
             capacities = self.free_capacity.by_zone(spec, source)
-            found = plan_gang(capacities, spec.tasks, one_zone=spec.one_zone, spread=spec.spread)
-            if found is not None:
-                return self._accept(spec, token, source, found, now)
+            placement = plan_gang(
+                capacities, spec.tasks, one_zone=spec.one_zone, spread=spec.spread
+            )
+            if placement is not None:
+                return self._accept(spec, token, source, placement, now)
         return None
 
     def _sources(self, spec: user_api.JobSpec, job: Job | None, now: float) -> list[CapacitySource]:
@@ -89,15 +91,15 @@
         spec: user_api.JobSpec,
         token: int,
         source: CapacitySource,
-        found: ZoneCapacities,
+        placement: ZoneCapacities,
         now: float,
     ) -> Plan:
         """Book the planned capacity, and return the plan as task ranges."""
-        self.free_capacity.book(now, spec, found)
-        ranges = _ranges(found)
+        self.free_capacity.book(now, spec, placement)
+        ranges = _ranges(placement)
         attempt = self._next_shared_attempt(token) if len(ranges) > 1 else 0
         if source is CapacitySource.RESERVED:
-            self._reserving = _ReservingGang(spec.id, now)
+            self._reserving_gang = _ReservingGang(spec.id, now)
         log.info(
             "gang planned job=%s shards=%d attempt=%d source=%s",
             spec.id,
@@ -105,15 +107,18 @@
             attempt,
             source.name,
         )
-        zone = next(place.zone for place in found) if spec.one_zone else None
+        zone = next(shard_zone.zone for shard_zone in placement) if spec.one_zone else None
         zone_caps = []
         if spec.spread and len(ranges) > 1:
-            zone_caps = [ZoneCap(place.shard, place.zone, tasks) for place, tasks in found.items()]
+            zone_caps = [
+                ZoneCap(shard_zone.shard, shard_zone.zone, tasks)
+                for shard_zone, tasks in placement.items()
+            ]
         return Plan(ranges, zone, attempt, zone_caps)
 
     def _next_shared_attempt(self, token: int) -> int:
         self._shared_attempts += 1
-        return (token << _COUNT_BITS) + _SHARED_ATTEMPT_BIT + self._shared_attempts
+        return (token << _COUNTER_BITS) + _SHARED_ATTEMPT_FLAG + self._shared_attempts
 
     def _may_reserve(self, job_id: str, now: float) -> bool:
         """Return whether machines over several shards may be reserved for this gang.
@@ -121,21 +126,23 @@
         Only one gang at a time may have them: two gangs could each reserve half of the machines
         that the other needs.
         """
-        reserving = self._reserving
-        if reserving is None or reserving.job_id == job_id:
+        current = self._reserving_gang
+        if current is None or current.job_id == job_id:
             return True
-        job = self.job_index.open.get(reserving.job_id)
+        job = self.job_index.open.get(current.job_id)
         pending = job is not None and not any(
             job.id in status.running for status in self.statuses.newest.values()
         )
-        return not pending or now - reserving.since > self.policy.start_within * _RESERVING_SHARE
+        return not pending or now - current.planned_at > self.policy.start_within * _RESERVING_SHARE
 
 
-def _ranges(found: ZoneCapacities) -> list[TaskRange]:
+def _ranges(placement: ZoneCapacities) -> list[TaskRange]:
     """Return the tasks of a gang as one range for each shard, in the order of shard numbers."""
     ranges, first = [], 0
-    for shard in sorted({shard for shard, _ in found}):
-        tasks = sum(count for (other, _), count in found.items() if other == shard)
+    for shard in sorted({shard for shard, _ in placement}):
+        tasks = sum(
+            count for (placed_shard, _), count in placement.items() if placed_shard == shard
+        )
         ranges.append(TaskRange(first, first + tasks, shard))
         first += tasks
     return ranges
