--- a/pitchtally/scheduling/gangs/range_return.py
+++ b/pitchtally/scheduling/gangs/range_return.py
@@ -19,11 +19,11 @@
 from .reservations import is_reserved_for
 
 # Share of `gang_wait_s` for which a job stays pending in a shard before it is returned.
-_WAIT_SHARE = 1 / 2
+_MAX_PENDING_SHARE = 1 / 2
 # Factor on that time if machines are reserved for the job.
-_RESERVED_WAIT_FACTOR = 4
+_RESERVED_MAX_PENDING_FACTOR = 4
 # A gang whose planned machines went to other jobs is returned after this many agent heartbeats.
-_LOST_PLAN_HEARTBEATS = 2
+_LOST_PLAN_MAX_PENDING_HEARTBEATS = 2
 
 
 class RangeReturn:
@@ -76,35 +76,35 @@
     def _stop_if_incomplete(self, allocation: ShardAllocation) -> None:
         """Stop the tasks of an attempt that another shard has returned."""
         job = allocation.job
-        begun = bool(job.finished.count or job.local)
-        if job.record.attempt and not is_fully_assigned(job) and not begun:
+        has_started = bool(job.finished.count or job.local)
+        if job.record.attempt and not is_fully_assigned(job) and not has_started:
             for placement in list(allocation.placed.values()):
                 self.agents.stop(placement, job.spec.save)
 
     def _should_return(self, state: ShardState, allocation: ShardAllocation) -> bool:
         """Return whether a job has been pending here for too long, or its attempt has failed."""
         job = allocation.job
-        begun = bool(job.finished.count or job.local)
-        attempt = job.record.attempt
+        has_started = bool(job.finished.count or job.local)
+        shared_attempt = job.record.attempt
         if (
-            not begun
-            and attempt
-            and (allocation.last_shared_attempt == attempt or not is_fully_assigned(job))
+            not has_started
+            and shared_attempt
+            and (allocation.last_shared_attempt == shared_attempt or not is_fully_assigned(job))
         ):
             return True
-        wait = self.settings.deployment.workers.gang_wait_s * _WAIT_SHARE
+        max_pending_s = self.settings.deployment.workers.gang_wait_s * _MAX_PENDING_SHARE
         if is_reserved_for(self.agents.of_shard(allocation.shard), job.id):
-            wait *= _RESERVED_WAIT_FACTOR
+            max_pending_s *= _RESERVED_MAX_PENDING_FACTOR
         elif (
             allocation.gang
-            and not begun
+            and not has_started
             and not self.deadlines.is_late(job)
             and job.id not in state.ready_gangs
             and self.quotas.limit_left(job.spec) >= job.spec.tasks
         ):
             # Other jobs took the machines on which the gang was planned: have it planned again.
-            wait = self.agent_heartbeat_s * _LOST_PLAN_HEARTBEATS
-        return trio.current_time() - allocation.pending_since >= wait
+            max_pending_s = self.agent_heartbeat_s * _LOST_PLAN_MAX_PENDING_HEARTBEATS
+        return trio.current_time() - allocation.pending_since >= max_pending_s
 
     @staticmethod
     def _ranges_without(job: Job, shard: int) -> list[TaskRange] | None:
@@ -113,13 +113,13 @@
         None if the shard can't return them yet.
         """
         kept: list[tuple[int, int, int]] = []
-        for first, end, other in job.record.ranges:
-            if other != shard:
-                kept.append((first, end, other))
+        for first, end, owner in job.record.ranges:
+            if owner != shard:
+                kept.append((first, end, owner))
             else:
                 # Finished tasks stay with the shard that ran them.
-                done = (task for task in range(first, end) if job.is_finished(task))
-                kept.extend((task, task + 1, shard) for task in done)
+                finished = (task for task in range(first, end) if job.is_finished(task))
+                kept.extend((task, task + 1, shard) for task in finished)
         remaining = merge(kept)
         if len(remaining) <= MAX_RANGES_PER_JOB:
             return remaining
@@ -127,7 +127,7 @@
         # finished tasks are durable.
         if job.local:
             return None
-        return [r for r in job.record.ranges if r.shard != shard]
+        return [task_range for task_range in job.record.ranges if task_range.shard != shard]
 
     async def _return(self, state: ShardState, allocation: ShardAllocation, token: int) -> None:
         job, shard = allocation.job, allocation.shard
