--- a/pitchtally/scheduling/gangs/reservations.py
+++ b/pitchtally/scheduling/gangs/reservations.py
@@ -20,16 +20,16 @@
 log = logging.getLogger(__name__)
 
 # Share of `start_within`: a gang over several machines reserves none that are available later.
-_LATEST_SHARE = 1 / 8
+_MAX_WAIT_SHARE = 1 / 8
 # A reservation lasts for the expected wait times this ratio, plus some agent heartbeats.
-_WAIT_MARGIN = 1.5
+_WAIT_MARGIN_RATIO = 1.5
 _MARGIN_HEARTBEATS = 3
 
 
 class CapacityForecast(NamedTuple):
     """The expected time at which a machine has capacity for the n-th task of a job there."""
 
-    eta: float  # seconds from now
+    wait_s: float  # seconds from now
     machine_name: str
     task_number: int
     machine: Machine
@@ -84,46 +84,60 @@
         state = self.shards[shard]
         now = trio.current_time()
         machines = [
-            m for m in self.agents.of_shard(shard) if m.schedulable and m.quarantined_until < now
+            machine
+            for machine in self.agents.of_shard(shard)
+            if machine.schedulable and machine.quarantined_until < now
         ]
         current = self._current(state, machines, now)
         # Aged jobs are candidates as well: a task may be so large that small tasks always take
         # released capacity first.
-        candidates = [(h.release, id, h) for id, h in state.allocations.items() if h.gang or h.aged]
-        for _, id, allocation in sorted(candidates, key=lambda r: r[:2]):
+        candidates = [
+            (allocation.release, id, allocation)
+            for id, allocation in state.allocations.items()
+            if allocation.gang or allocation.aged
+        ]
+        for _, id, allocation in sorted(candidates, key=lambda row: row[:2]):
             if id in current.job_ids or not self._may_reserve(state, allocation, now):
                 continue
-            wanted = allocation.pending.count if allocation.gang else 1
-            if not self._allowed_beside(current, allocation, wanted):
+            task_count = allocation.pending.count if allocation.gang else 1
+            if not self._allowed_beside(current, allocation, task_count):
                 continue
-            chosen = self._soonest(allocation, machines, wanted, now)
-            if not chosen or chosen[-1].eta <= 0:
+            chosen = self._soonest(allocation, machines, task_count, now)
+            if not chosen or chosen[-1].wait_s <= 0:
                 continue
-            eta = chosen[-1].eta
-            if wanted > 1:
-                if not self._worth_reserving(allocation, wanted, eta):
+            wait_s = chosen[-1].wait_s
+            if task_count > 1:
+                if not self._worth_reserving(allocation, task_count, wait_s):
                     continue
                 current.has_wide_gang = True
             current.has_large_task = current.has_large_task or not allocation.gang
-            self._set_reservations(chosen, id, eta, now)
+            self._set_reservations(chosen, id, wait_s, now)
 
     @staticmethod
     def _current(state: ShardState, machines: list[Machine], now: float) -> _ShardReservations:
         job_ids = {
-            m.reservation.job_id for m in machines if m.reservation and m.reservation.until >= now
+            machine.reservation.job_id
+            for machine in machines
+            if machine.reservation and machine.reservation.until >= now
         }
-        allocations = [h for id in job_ids if (h := state.allocations.get(id)) is not None]
+        allocations = [
+            allocation for id in job_ids if (allocation := state.allocations.get(id)) is not None
+        ]
         return _ShardReservations(
             job_ids,
-            has_wide_gang=any(h.gang and h.spec.tasks > 1 for h in allocations),
-            has_large_task=any(not h.gang and h.aged for h in allocations),
+            has_wide_gang=any(
+                allocation.gang and allocation.spec.tasks > 1 for allocation in allocations
+            ),
+            has_large_task=any(
+                not allocation.gang and allocation.aged for allocation in allocations
+            ),
         )
 
     def _allowed_beside(
-        self, current: _ShardReservations, allocation: ShardAllocation, wanted: int
+        self, current: _ShardReservations, allocation: ShardAllocation, task_count: int
     ) -> bool:
         """Return whether a job may reserve machines in addition to the present reservations."""
-        if wanted > 1 and (current.has_wide_gang or not self.deadlines.is_late(allocation.job)):
+        if task_count > 1 and (current.has_wide_gang or not self.deadlines.is_late(allocation.job)):
             return False
         # Of aged jobs that aren't gangs, only one reserves machines at a time, within its team's
         # limit: while jobs beyond the limit are queued, every array becomes aged.
@@ -132,20 +146,20 @@
             or not self.quotas.tasks_within_limit(allocation.shard, allocation.spec)
         )
 
-    def _worth_reserving(self, allocation: ShardAllocation, wanted: int, eta: float) -> bool:
+    def _worth_reserving(self, allocation: ShardAllocation, task_count: int, wait_s: float) -> bool:
         """Return whether a gang would start soon on the machines, within its team's limit."""
-        if eta > self.policy.start_within * _LATEST_SHARE:
+        if wait_s > self.policy.start_within * _MAX_WAIT_SHARE:
             return False
-        return self.quotas.tasks_within_limit(allocation.shard, allocation.spec) >= wanted
+        return self.quotas.tasks_within_limit(allocation.shard, allocation.spec) >= task_count
 
     def _set_reservations(
-        self, chosen: list[CapacityForecast], job_id: str, eta: float, now: float
+        self, chosen: list[CapacityForecast], job_id: str, wait_s: float, now: float
     ) -> None:
-        names = {forecast.machine.name: forecast.machine for forecast in chosen}
-        until = now + eta * _WAIT_MARGIN + self.agent_heartbeat_s * _MARGIN_HEARTBEATS
-        for machine in names.values():
+        machines = {forecast.machine.name: forecast.machine for forecast in chosen}
+        until = now + wait_s * _WAIT_MARGIN_RATIO + self.agent_heartbeat_s * _MARGIN_HEARTBEATS
+        for machine in machines.values():
             machine.reservation = Reservation(job_id, until)
-        log.info("reserved machines=%d for=%s eta=%.1f", len(names), job_id, eta)
+        log.info("reserved machines=%d for=%s eta=%.1f", len(machines), job_id, wait_s)
 
     def _may_reserve(self, state: ShardState, allocation: ShardAllocation, now: float) -> bool:
         """Return whether a job is pending, and has been for at least one agent heartbeat."""
@@ -157,7 +171,7 @@
         return is_ready(state, allocation.job.id, allocation, now)
 
     def _soonest(
-        self, allocation: ShardAllocation, machines: list[Machine], wanted: int, now: float
+        self, allocation: ShardAllocation, machines: list[Machine], task_count: int, now: float
     ) -> list[CapacityForecast]:
         """Return where that many tasks fit soonest; empty if not all of them ever fit."""
         forecasts = []
@@ -166,13 +180,13 @@
                 continue
             if not machine_allowed(allocation, machine, self.policy.unhealthy_rest):
                 continue
-            for n in range(1, wanted + 1):
-                eta = self._seconds_until(machine, allocation.resources.times(n), now)
-                if eta is None:
+            for task_number in range(1, task_count + 1):
+                wait_s = self._seconds_until(machine, allocation.resources.times(task_number), now)
+                if wait_s is None:
                     break
-                forecasts.append(CapacityForecast(eta, machine.name, n, machine))
-        chosen = sorted(forecasts, key=lambda forecast: forecast[:3])[:wanted]
-        return chosen if len(chosen) == wanted else []
+                forecasts.append(CapacityForecast(wait_s, machine.name, task_number, machine))
+        chosen = sorted(forecasts, key=lambda forecast: forecast[:3])[:task_count]
+        return chosen if len(chosen) == task_count else []
 
     def _seconds_until(self, machine: Machine, request: Resources, now: float) -> float | None:
         """Return in how many seconds a machine can hold the request if nothing more starts there.
@@ -182,16 +196,19 @@
         available = machine.available()
         if fits(request, available):
             return 0.0
-        ends = []
+        expected_ends = []
         for placement in machine.placements.values():
             if placement.spec.is_service:
                 continue  # a service replica never ends by itself
-            ran = now - (placement.running_since or now)
-            ends.append(
-                (max(1.0, self.estimates.expected_run_s(placement.spec) - ran), placement.resources)
+            run_s = now - (placement.running_since or now)
+            expected_ends.append(
+                (
+                    max(1.0, self.estimates.expected_run_s(placement.spec) - run_s),
+                    placement.resources,
+                )
             )
-        for end, freed in sorted(ends):
+        for end_s, freed in sorted(expected_ends):
             available = available.plus(freed)
             if fits(request, available):
-                return end
+                return end_s
         return None
