--- a/pitchtally/scheduling/gangs/range_return.py
+++ b/pitchtally/scheduling/gangs/range_return.py
@@ -76,18 +76,18 @@
     def _stop_if_incomplete(self, allocation: ShardAllocation) -> None:
         """Stop the tasks of an attempt that another shard has returned."""
         job = allocation.job
-        has_started = bool(job.finished.count or job.local)
-        if job.record.attempt and not is_fully_assigned(job) and not has_started:
+        has_finished_tasks = bool(job.finished.count or job.local)
+        if job.record.attempt and not is_fully_assigned(job) and not has_finished_tasks:
             for placement in list(allocation.placed.values()):
                 self.agents.stop(placement, job.spec.save)
 
     def _should_return(self, state: ShardState, allocation: ShardAllocation) -> bool:
         """Return whether a job has been pending here for too long, or its attempt has failed."""
         job = allocation.job
-        has_started = bool(job.finished.count or job.local)
+        has_finished_tasks = bool(job.finished.count or job.local)
         shared_attempt = job.record.attempt
         if (
-            not has_started
+            not has_finished_tasks
             and shared_attempt
             and (allocation.last_shared_attempt == shared_attempt or not is_fully_assigned(job))
         ):
@@ -97,7 +97,7 @@
             max_pending_s *= _RESERVED_MAX_PENDING_FACTOR
         elif (
             allocation.gang
-            and not has_started
+            and not has_finished_tasks
             and not self.deadlines.is_late(job)
             and job.id not in state.ready_gangs
             and self.quotas.limit_left(job.spec) >= job.spec.tasks
