--- a/pitchtally/scheduling/assignment/constrained_assignment.py
+++ b/pitchtally/scheduling/assignment/constrained_assignment.py
@@ -92,7 +92,7 @@
         if best is None:
             return
         zone = self.single_shard_planner.pick_zone(
-            spec, [TaskRange(0, count, best)], bound=job.spec.tasks > 1
+            spec, [TaskRange(0, count, best)], zone_bound=job.spec.tasks > 1
         )
         if zone is None and job.spec.one_zone:
             return
--- a/pitchtally/scheduling/gangs/single_shard_planner.py
+++ b/pitchtally/scheduling/gangs/single_shard_planner.py
@@ -17,24 +17,24 @@
 from .free_capacity import FreeCapacity, ZoneCapacities
 
 # Machines that are expected to take tasks, whether or not agent heartbeats arrive at present.
-_UP_FLAGS = frozenset({MachineFlag.USABLE, MachineFlag.LOST, MachineFlag.SUSPECT})
+_EXPECTED_USABLE_FLAGS = frozenset({MachineFlag.USABLE, MachineFlag.LOST, MachineFlag.SUSPECT})
 # Those, and machines whose first agent heartbeat is still outstanding.
-_COMING_FLAGS = _UP_FLAGS | {MachineFlag.NEW}
+_EXPECTED_USABLE_OR_NEW_FLAGS = _EXPECTED_USABLE_FLAGS | {MachineFlag.NEW}
 
 
 class _ShardCapacity(NamedTuple):
     """A shard that has capacity for all replicas of a service."""
 
-    capacity: int  # replicas that fit, negated, so that the minimum is the best
+    negated_capacity: int  # replicas that fit, negated, so that the minimum is the best
     shard: int
     plan: ZoneCapacities
 
 
 class _ZoneCapacity(NamedTuple):
-    """Number of tasks of a job that fit into a zone."""
+    """Capacity of a zone, in tasks of one job."""
 
-    now: float
-    empty: float  # if nothing else ran there
+    free_tasks: float  # tasks that fit now
+    tasks_if_empty: float  # tasks that would fit if nothing else ran in the zone
 
 
 class SingleShardPlanner:
@@ -74,37 +74,47 @@
             capacities = self.free_capacity.by_zone(spec, source)
             candidates = []
             for shard in shards:
-                here = {place: count for place, count in capacities.items() if place.shard == shard}
-                found = plan_gang(here, spec.tasks, one_zone=spec.one_zone, spread=spec.spread)
-                if found is not None:
-                    candidates.append(_ShardCapacity(-sum(here.values()), shard, found))
+                in_shard = {
+                    shard_zone: count
+                    for shard_zone, count in capacities.items()
+                    if shard_zone.shard == shard
+                }
+                placement = plan_gang(
+                    in_shard, spec.tasks, one_zone=spec.one_zone, spread=spec.spread
+                )
+                if placement is not None:
+                    candidates.append(_ShardCapacity(-sum(in_shard.values()), shard, placement))
             if candidates:
-                _, shard, found = min(candidates, key=lambda row: row[:2])
-                self.free_capacity.book(now, spec, found)
-                bound = spec.one_zone and spec.tasks > 1
-                zone = next(zone for _, zone in found) if bound else None
+                _, shard, placement = min(candidates, key=lambda candidate: candidate[:2])
+                self.free_capacity.book(now, spec, placement)
+                zone_bound = spec.one_zone and spec.tasks > 1
+                zone = next(zone for _, zone in placement) if zone_bound else None
                 return Plan([TaskRange(0, spec.tasks, shard)], zone)
         return None
 
     def pick_zone(
-        self, spec: user_api.JobSpec, ranges: list[TaskRange], *, bound: bool | None = None
+        self, spec: user_api.JobSpec, ranges: list[TaskRange], *, zone_bound: bool | None = None
     ) -> str | None:
         """Return the zone for a one-zone job of several tasks, fixed before its first start.
 
-        `bound` overrides whether the job is bound to a zone, which otherwise follows from the
+        `zone_bound` overrides whether the job is bound to a zone, which otherwise follows from the
         number of tasks in `spec`. Returns None if it isn't bound, or if no zone can hold it.
         """
-        if not spec.one_zone or not (spec.tasks > 1 if bound is None else bound):
+        if not spec.one_zone or not (spec.tasks > 1 if zone_bound is None else zone_bound):
             return None
         if spec.zone is not None:
             return spec.zone
-        wanted = spec.tasks if spec.kind == user_api.GANG else 1
+        task_count = spec.tasks if spec.kind == user_api.GANG else 1
         best = max(
             self._zone_capacities(spec, {shard for _, _, shard in ranges}).items(),
             default=None,
-            key=lambda row: (row[1].now >= wanted, row[1].empty >= wanted, *row[1]),
+            key=lambda item: (
+                item[1].free_tasks >= task_count,
+                item[1].tasks_if_empty >= task_count,
+                *item[1],
+            ),
         )
-        return best[0] if best is not None and best[1].empty >= wanted else None
+        return best[0] if best is not None and best[1].tasks_if_empty >= task_count else None
 
     def _zone_capacities(
         self, spec: user_api.JobSpec, shards: set[int]
@@ -117,14 +127,14 @@
                 continue
             for machine in status.machines:
                 machine_type = self.machine_types().get(machine.type)
-                if machine_type is None or machine.flag not in _COMING_FLAGS:
+                if machine_type is None or machine.flag not in _EXPECTED_USABLE_OR_NEW_FLAGS:
                     continue
                 if not allows_machine_type(spec, machine_type, machine.zone, machine.spot):
                     continue
-                now, empty = capacities.get(machine.zone, (0.0, 0.0))
+                free_tasks, tasks_if_empty = capacities.get(machine.zone, (0.0, 0.0))
                 capacities[machine.zone] = _ZoneCapacity(
-                    now + count_fitting(request, machine.free),
-                    empty + count_fitting(request, capacity_of(machine_type)),
+                    free_tasks + count_fitting(request, machine.free),
+                    tasks_if_empty + count_fitting(request, capacity_of(machine_type)),
                 )
         return capacities
 
@@ -133,31 +143,40 @@
 
         None if no shard's machines could hold the job even when empty.
         """
-        rows = []
+        candidates = []
         for status in self.statuses.newest.values():
             capacity = self._empty_capacity(status, spec)
             if capacity < (spec.tasks if spec.kind == user_api.GANG else 1):
                 continue
-            queued = sum(
+            queued_tasks = sum(
                 count * displacement_ratio(spec, self.job_index.open.get(id))
                 for id, count in status.pending.items()
             )
             unreported = len(self.statuses.unreported.get(status.shard, ()))
-            now = self.statuses.free_capacity(status, spec, by_preemption=False) - unreported
-            soon = self.statuses.free_capacity(status, spec, by_preemption=True) - unreported
-            rows.append((now < spec.tasks, soon < spec.tasks, queued / capacity, status.shard))
-        if not rows:
+            free_tasks = self.statuses.free_capacity(status, spec, by_preemption=False) - unreported
+            tasks_by_preemption = (
+                self.statuses.free_capacity(status, spec, by_preemption=True) - unreported
+            )
+            candidates.append(
+                (
+                    free_tasks < spec.tasks,
+                    tasks_by_preemption < spec.tasks,
+                    queued_tasks / capacity,
+                    status.shard,
+                )
+            )
+        if not candidates:
             return None
-        best = min(rows)[3]
-        self.statuses.record_allocation(best, spec, spec.tasks)
-        return best
+        shard = min(candidates)[3]
+        self.statuses.record_allocation(shard, spec, spec.tasks)
+        return shard
 
     def _empty_capacity(self, status: ShardStatus, spec: user_api.JobSpec) -> int:
         """Return how many tasks a shard's machines could hold if nothing else ran on them."""
         return sum(
             count_fitting(resource_request(spec), capacity_of(machine_type))
             for machine in status.machines
-            if machine.flag in _UP_FLAGS
+            if machine.flag in _EXPECTED_USABLE_FLAGS
             and (machine_type := self.machine_types().get(machine.type)) is not None
             and allows_machine_type(spec, machine_type, machine.zone, machine.spot)
         )
