--- a/pitchtally/scheduling/gangs/starter.py
+++ b/pitchtally/scheduling/gangs/starter.py
@@ -20,7 +20,7 @@
 
 # Peer heartbeat intervals after which a gang no longer waits for a shard whose status is that old,
 # and for which a gang's machines stay reserved while other shards make theirs available.
-_STATUS_INTERVALS = 4
+_MAX_STATUS_AGE_INTERVALS = 4
 
 
 class _MachineCapacity(NamedTuple):
@@ -103,23 +103,25 @@
         tasks at once, they would occupy machines while the tasks in other shards are pending, and
         then be stopped as incomplete.
         """
-        id = allocation.job.id
-        state.ready_gangs.add(id)
-        for other in {p for _, _, p in allocation.job.record.ranges if p != allocation.shard}:
-            if not self._is_shard_ready(other, id, now):
-                until = now + self.policy.heartbeat_interval * _STATUS_INTERVALS
+        job_id = allocation.job.id
+        state.ready_gangs.add(job_id)
+        for other_shard in {
+            shard for _, _, shard in allocation.job.record.ranges if shard != allocation.shard
+        }:
+            if not self._is_shard_ready(other_shard, job_id, now):
+                until = now + self.policy.heartbeat_interval * _MAX_STATUS_AGE_INTERVALS
                 for machine in machines:
-                    machine.reservation = Reservation(id, until)
+                    machine.reservation = Reservation(job_id, until)
                 return False
         return True
 
     def _is_shard_ready(self, shard: int, job_id: str, now: float) -> bool:
         """Return whether a shard has capacity for its tasks of a gang, or its status is too old."""
-        ours = self.shards.get(shard)
-        if ours is not None:
-            return job_id in ours.ready_gangs
-        oldest = now - self.policy.heartbeat_interval * _STATUS_INTERVALS
-        if self.statuses.received_at.get(shard, LONG_AGO) < oldest:
+        state = self.shards.get(shard)
+        if state is not None:
+            return job_id in state.ready_gangs
+        oldest_usable = now - self.policy.heartbeat_interval * _MAX_STATUS_AGE_INTERVALS
+        if self.statuses.received_at.get(shard, LONG_AGO) < oldest_usable:
             return True
         status = self.statuses.newest.get(shard)
         return status is None or job_id in status.ready_gangs
@@ -129,8 +131,8 @@
     ) -> list[Machine] | None:
         """Return a machine for each pending task, within the zone caps; None if some lack one."""
         job = allocation.job
-        wanted = allocation.pending.count
-        if self.quotas.tasks_within_limit(shard, job.spec) < wanted:
+        task_count = allocation.pending.count
+        if self.quotas.tasks_within_limit(shard, job.spec) < task_count:
             return None
         candidates = self._machines_with_capacity(allocation, shard, now)
         # Lowest wasted price first, to leave machines with GPUs to tasks that request GPUs.
@@ -142,25 +144,29 @@
                 job.spec.image not in candidate.machine.cached_images,
             )
         )
-        zone_caps = {zone: cap for p, zone, cap in job.record.zone_caps if p == shard}
-        limit = most_in_zone(job.spec) if job.spec.spread and job.spec.tasks > 1 else wanted
+        zone_caps = {
+            zone: cap for cap_shard, zone, cap in job.record.zone_caps if cap_shard == shard
+        }
+        zone_limit = (
+            most_in_zone(job.spec) if job.spec.spread and job.spec.tasks > 1 else task_count
+        )
         chosen: list[Machine] = []
-        zones: dict[str, int] = {}
-        for machine, tasks in candidates:
-            most = zone_caps.get(machine.zone, 0) if job.record.zone_caps else limit
-            for _ in range(tasks):
-                if len(chosen) == wanted or zones.get(machine.zone, 0) >= most:
+        tasks_by_zone: dict[str, int] = {}
+        for machine, fitting_tasks in candidates:
+            max_tasks = zone_caps.get(machine.zone, 0) if job.record.zone_caps else zone_limit
+            for _ in range(fitting_tasks):
+                if len(chosen) == task_count or tasks_by_zone.get(machine.zone, 0) >= max_tasks:
                     break
-                zones[machine.zone] = zones.get(machine.zone, 0) + 1
+                tasks_by_zone[machine.zone] = tasks_by_zone.get(machine.zone, 0) + 1
                 chosen.append(machine)
-        return chosen if len(chosen) == wanted else None
+        return chosen if len(chosen) == task_count else None
 
     def _machines_with_capacity(
         self, allocation: ShardAllocation, shard: int, now: float
     ) -> list[_MachineCapacity]:
         """Return the machines that the gang may use and that could start a task of it now."""
         request = allocation.resources
-        found = []
+        machines = []
         for machine in self.agents.of_shard(shard):
             if not machine.schedulable or machine.quarantined_until >= now:
                 continue
@@ -174,8 +180,8 @@
                 allocation, machine, self.policy.unhealthy_rest
             ):
                 tasks = count_fitting(request, machine.available())
-                found.append(_MachineCapacity(machine, tasks))
-        return found
+                machines.append(_MachineCapacity(machine, tasks))
+        return machines
 
 
 def _is_reserved(machine: Machine, job_id: str) -> bool:
