--- a/pitchtally/scheduling/rebalancing/queue_balancing.py
+++ b/pitchtally/scheduling/rebalancing/queue_balancing.py
@@ -19,15 +19,15 @@
 from .task_migration import TaskMigration
 
 # A round tries at most this many jobs of a shard, those with the most pending CPUs.
-_MAX_JOBS = 2
+_MAX_JOBS_PER_ROUND = 2
 # A queue is too long if it takes longer than the shortest queue times this ratio, plus some agent
 # heartbeats.
-_IMBALANCE = 1.25
+_IMBALANCE_RATIO = 1.25
 _IMBALANCE_HEARTBEATS = 2
 # Lower bound on a task's work, in GPU- or CPU-seconds, where queued work is divided by it.
-_LEAST_TASK_WORK = 1e-6
+_MIN_TASK_WORK_S = 1e-6
 # Flags of machines that can start tasks now or very soon.
-_ABLE_FLAGS = frozenset({MachineFlag.USABLE, MachineFlag.NEW})
+_STARTABLE_FLAGS = frozenset({MachineFlag.USABLE, MachineFlag.NEW})
 
 
 class QueueDuration(NamedTuple):
@@ -83,7 +83,7 @@
     @staticmethod
     def _candidates(state: ShardState, now: float) -> list[str]:
         """Return the jobs with the most pending CPUs that may be split over shards."""
-        rows = [
+        candidates = [
             (allocation.pending.count * allocation.job.spec.cpus, id)
             for id, allocation in state.allocations.items()
             if is_ready(state, id, allocation, now)
@@ -92,22 +92,25 @@
             and not allocation.service  # replicas never end; placed by free capacity instead
             and len(allocation.job.record.ranges) <= MAX_RANGES_PER_JOB
         ]
-        return [id for _, id in sorted(rows, reverse=True)[:_MAX_JOBS]]
+        return [id for _, id in sorted(candidates, reverse=True)[:_MAX_JOBS_PER_ROUND]]
 
     async def _migrate_excess(self, allocation: ShardAllocation, status: ShardStatus) -> bool:
         """Migrate enough tasks to make the two queues equally long; False if none need to move."""
         spec = allocation.job.spec
-        here, capacity = self.queue_duration(status, spec)
+        own_seconds, capacity = self.queue_duration(status, spec)
         shortest = self._shortest_queue(allocation.shard, spec)
         if shortest is None:
             return False
-        if here <= shortest.seconds * _IMBALANCE + self.agent_heartbeat_s * _IMBALANCE_HEARTBEATS:
+        if (
+            own_seconds
+            <= shortest.seconds * _IMBALANCE_RATIO + self.agent_heartbeat_s * _IMBALANCE_HEARTBEATS
+        ):
             return False
         count = allocation.pending.count  # all of them if no machine of the shard may run the job
         if capacity:
-            amount = spec.gpus if spec.gpus > 0 else spec.cpus
-            task = max(_LEAST_TASK_WORK, amount * self.estimates.expected_run_s(spec))
-            count = min(count, int((here - shortest.seconds) / 2 * capacity / task))
+            resource_count = spec.gpus if spec.gpus > 0 else spec.cpus
+            task_work = max(_MIN_TASK_WORK_S, resource_count * self.estimates.expected_run_s(spec))
+            count = min(count, int((own_seconds - shortest.seconds) / 2 * capacity / task_work))
         if count <= 0:
             return False
         await self.migration.migrate(allocation, shortest.shard, count)
@@ -116,16 +119,16 @@
     def _shortest_queue(self, shard: int, spec: user_api.JobSpec) -> _ShortestQueue | None:
         """Return the other shard where the job's tasks would start soonest."""
         shortest: _ShortestQueue | None = None
-        for other in self.statuses.newest.values():
+        for status in self.statuses.newest.values():
             if (
-                other.shard == shard
-                or not other.reconciled
-                or other.shard in self.statuses.unreported
+                status.shard == shard
+                or not status.reconciled
+                or status.shard in self.statuses.unreported
             ):
                 continue
-            seconds = self.queue_duration(other, spec).seconds
+            seconds = self.queue_duration(status, spec).seconds
             if shortest is None or seconds < shortest.seconds:
-                shortest = _ShortestQueue(seconds, other.shard)
+                shortest = _ShortestQueue(seconds, status.shard)
         return shortest
 
     def queue_duration(self, status: ShardStatus, spec: user_api.JobSpec) -> QueueDuration:
@@ -138,21 +141,21 @@
         capacity = self._capacity(status, spec, by_gpus=by_gpus)
         if not capacity:
             return QueueDuration(math.inf, 0.0)
-        queued = 0.0
+        queued_work = 0.0
         for id, count in status.pending.items():
             job = self.job_index.open.get(id)
             if job is None or RANK[job.spec.rank] > RANK[spec.rank]:
                 continue
-            amount = job.spec.gpus if by_gpus else job.spec.cpus
-            queued += count * amount * self.estimates.expected_run_s(job.spec)
-        return QueueDuration(queued / capacity, capacity)
+            resource_count = job.spec.gpus if by_gpus else job.spec.cpus
+            queued_work += count * resource_count * self.estimates.expected_run_s(job.spec)
+        return QueueDuration(queued_work / capacity, capacity)
 
     def _capacity(self, status: ShardStatus, spec: user_api.JobSpec, *, by_gpus: bool) -> float:
         """Return the number of GPUs or CPUs of a shard's machines that may run the job."""
         capacity = 0.0
-        for (type_, zone, spot), machines in self.statuses.groups_of(status).items():
-            machine_type = self.machine_types().get(type_)
+        for (type_name, zone, spot), machines in self.statuses.groups_of(status).items():
+            machine_type = self.machine_types().get(type_name)
             if machine_type is not None and allows_machine_type(spec, machine_type, zone, spot):
-                able = sum(1 for machine in machines if machine.flag in _ABLE_FLAGS)
-                capacity += able * (machine_type.gpus if by_gpus else machine_type.cpus)
+                machine_count = sum(1 for machine in machines if machine.flag in _STARTABLE_FLAGS)
+                capacity += machine_count * (machine_type.gpus if by_gpus else machine_type.cpus)
         return capacity
--- a/pitchtally/scheduling/rebalancing/rebalancing.py
+++ b/pitchtally/scheduling/rebalancing/rebalancing.py
@@ -17,7 +17,7 @@
 from .task_migration import TaskMigration
 
 # A shard tries to migrate at most this many pending jobs between two statuses of its peers.
-_MAX_JOBS = 24
+_MAX_JOBS_PER_ROUND = 24
 # A task that has been pending for less may still be started by the next agent heartbeat.
 _MIN_PENDING_S = 0.5
 
@@ -63,7 +63,7 @@
     @staticmethod
     def _candidates(state: ShardState, now: float) -> list[str]:
         """Return jobs with tasks that have been pending for a while, by rank and release time."""
-        rows = [
+        candidates = [
             (allocation.rank, allocation.release, id)
             for id, allocation in state.allocations.items()
             if allocation.pending.count
@@ -71,7 +71,7 @@
             and is_ready(state, id, allocation, now)
             and now - allocation.pending_since >= _MIN_PENDING_S
         ]
-        return [id for _, _, id in sorted(rows)[:_MAX_JOBS]]
+        return [id for _, _, id in sorted(candidates)[:_MAX_JOBS_PER_ROUND]]
 
     @staticmethod
     def _may_migrate(allocation: ShardAllocation) -> bool:
@@ -80,43 +80,45 @@
             return False  # the job's zone is fixed, so `RangeReturn` returns it to the leader
         if len(record.ranges) > MAX_RANGES_PER_JOB:
             return False
-        begun = allocation.placed or allocation.pending.count < spec.tasks or record.attempt
-        return not (stays_in_one_shard(spec) and begun)
+        has_started = allocation.placed or allocation.pending.count < spec.tasks or record.attempt
+        return not (stays_in_one_shard(spec) and has_started)
 
     async def _migrate_to_free_capacity(
         self, allocation: ShardAllocation, status: ShardStatus
     ) -> None:
         """Migrate the tasks without capacity in this shard to the first shard that has some."""
         spec, pending = allocation.job.spec, allocation.pending.count
-        here = self.statuses.free_capacity(status, spec, by_preemption=False)
+        startable = self.statuses.free_capacity(status, spec, by_preemption=False)
         if not stays_in_one_shard(spec):
-            here = min(here, self.quotas.tasks_within_limit(allocation.shard, spec))
+            startable = min(startable, self.quotas.tasks_within_limit(allocation.shard, spec))
         elif allocation.job.id in status.reserved_jobs:
             return
         # A job that must stay in one shard waits for quota where it has capacity, since quota
         # is transferred to that shard. If the job migrated, each transfer would go to the shard
         # that it has just left.
-        if here >= pending:
+        if startable >= pending:
             return
-        for other in self.statuses.newest.values():
-            if other.shard == allocation.shard or not other.reconciled:
+        for other_status in self.statuses.newest.values():
+            if other_status.shard == allocation.shard or not other_status.reconciled:
                 continue
-            count = self._migratable(spec, other, pending - here)
+            count = self._migratable(spec, other_status, pending - startable)
             if count > 0:
-                await self.migration.migrate(allocation, other.shard, count)
+                await self.migration.migrate(allocation, other_status.shard, count)
                 return
 
-    def _migratable(self, spec: user_api.JobSpec, other: ShardStatus, most: int) -> int:
+    def _migratable(
+        self, spec: user_api.JobSpec, target_status: ShardStatus, max_tasks: int
+    ) -> int:
         """Return how many tasks another shard can start now, according to its newest status."""
-        available = self.statuses.free_capacity(other, spec, by_preemption=False)
-        unreported = len(self.statuses.unreported.get(other.shard, ()))
+        available = self.statuses.free_capacity(target_status, spec, by_preemption=False)
+        unreported = len(self.statuses.unreported.get(target_status.shard, ()))
         if stays_in_one_shard(spec):
             return spec.tasks if available - unreported >= spec.tasks else 0
         if unreported:
             return 0
         available -= sum(
             count
-            for id, count in other.pending.items()
+            for id, count in target_status.pending.items()
             if displacement_ratio(spec, self.job_index.open.get(id)) > 0
         )
-        return min(available, most)
+        return min(available, max_tasks)
