--- a/pitchtally/scheduling/rebalancing/service_migration.py
+++ b/pitchtally/scheduling/rebalancing/service_migration.py
@@ -92,21 +92,21 @@
             return False
         if not self.quotas.tasks_within_limit(allocation.shard, allocation.spec):
             return False  # the team's limit would also apply in any other shard
-        return self._find(allocation, [allocation.shard], capped=True) is None
+        return self._find_capacity(allocation, [allocation.shard], capped=True) is None
 
     async def _migrate_or_restart(self, allocation: ShardAllocation) -> None:
-        others = [shard for shard in self.statuses.newest if shard != allocation.shard]
+        other_shards = [shard for shard in self.statuses.newest if shard != allocation.shard]
         # The present shard is tried first: its caps may be lower than the zones' limits allow.
-        found = self._find(allocation, [allocation.shard, *others])
-        if found is not None:
-            await self._migrate(allocation, found)
+        target = self._find_capacity(allocation, [allocation.shard, *other_shards])
+        if target is not None:
+            await self._migrate(allocation, target)
         elif (
             trio.current_time() - allocation.pending_since
             >= self.policy.start_within * _RESTART_SHARE
         ):
-            self._restart_elsewhere(allocation, others)
+            self._restart_elsewhere(allocation, other_shards)
 
-    def _find(
+    def _find_capacity(
         self, allocation: ShardAllocation, shards: list[int], *, capped: bool = False
     ) -> ReplicaMigration | None:
         """Return the first of these shards with capacity for all missing replicas, or None.
@@ -119,18 +119,20 @@
         for source in (CapacitySource.FREE, CapacitySource.PREEMPTIBLE):
             capacities = self.free_capacity.by_zone(spec, source)
             for shard in shards:
-                limits = self._remaining_by_zone(allocation, capped=capped)
-                here = {
-                    place: min(available, limits.get(place.zone, missing))
-                    for place, available in capacities.items()
-                    if place.shard == shard and zone in (None, place.zone)
+                remaining = self._remaining_by_zone(allocation, capped=capped)
+                in_shard = {
+                    shard_zone: min(available, remaining.get(shard_zone.zone, missing))
+                    for shard_zone, available in capacities.items()
+                    if shard_zone.shard == shard and zone in (None, shard_zone.zone)
                 }
-                found = plan_gang(here, missing, one_zone=False, spread=False)
-                if found is not None:
-                    return ReplicaMigration(shard, {z: count for (_, z), count in found.items()})
+                placement = plan_gang(in_shard, missing, one_zone=False, spread=False)
+                if placement is not None:
+                    return ReplicaMigration(
+                        shard, {zone_name: count for (_, zone_name), count in placement.items()}
+                    )
         return None
 
-    def _placed(self, allocation: ShardAllocation) -> ZoneCounts:
+    def _placed_by_zone(self, allocation: ShardAllocation) -> ZoneCounts:
         return {zone: allocation.placed_in(zone) for zone in self.settings.deployment.zones}
 
     def _remaining_by_zone(self, allocation: ShardAllocation, *, capped: bool) -> ZoneCounts:
@@ -140,36 +142,36 @@
         """
         if not allocation.spec.spread or allocation.spec.tasks == 1:
             return {}
-        placed = self._placed(allocation)
+        placed = self._placed_by_zone(allocation)
         if capped:
-            return {zone: allocation.most_in_zone(zone) - n for zone, n in placed.items()}
+            return {zone: allocation.most_in_zone(zone) - count for zone, count in placed.items()}
         return remaining_by_zone(allocation.job, placed, allocation.shard)
 
-    async def _migrate(self, allocation: ShardAllocation, found: ReplicaMigration) -> None:
+    async def _migrate(self, allocation: ShardAllocation, target: ReplicaMigration) -> None:
         zone_caps = None
         if allocation.spec.spread:
             zone_caps = caps_after_migration(
-                allocation.job, self._placed(allocation), allocation.shard, found
+                allocation.job, self._placed_by_zone(allocation), allocation.shard, target
             )
         log.info(
             "migrating replicas job=%s from=%d to=%d count=%d",
             allocation.job.id,
             allocation.shard,
-            found.shard,
+            target.shard,
             allocation.pending.count,
         )
         try:
             await self.migration.migrate(
-                allocation, found.shard, allocation.pending.count, zone_caps
+                allocation, target.shard, allocation.pending.count, zone_caps
             )
         except StoreUnavailable as error:
             log.debug("replicas not migrated: %s", error)
 
-    def _restart_elsewhere(self, allocation: ShardAllocation, others: list[int]) -> None:
+    def _restart_elsewhere(self, allocation: ShardAllocation, other_shards: list[int]) -> None:
         """Stop a service whose replicas can't all run in its shard, so that all start elsewhere."""
-        if len({r.shard for r in allocation.job.record.ranges}) > 1:
+        if len({task_range.shard for task_range in allocation.job.record.ranges}) > 1:
             return  # only the leaders of the other shards may stop the replicas there
-        if self.single_shard_planner.plan_service(allocation.spec, others) is None:
+        if self.single_shard_planner.plan_service(allocation.spec, other_shards) is None:
             return
         log.info(
             "stopping service to restart it in another shard job=%s shard=%d",
@@ -186,12 +188,12 @@
 
     The replicas placed in this shard and the caps of all other shards count towards the limit.
     """
-    taken: Counter[str] = Counter(placed)
-    for other, zone, cap in job.record.zone_caps:
-        if other != shard:
-            taken[zone] += cap
-    most = most_in_zone(job.spec)
-    return {zone: max(0, most - taken[zone]) for zone in placed}
+    counted: Counter[str] = Counter(placed)
+    for cap_shard, zone, cap in job.record.zone_caps:
+        if cap_shard != shard:
+            counted[zone] += cap
+    max_per_zone = most_in_zone(job.spec)
+    return {zone: max(0, max_per_zone - counted[zone]) for zone in placed}
 
 
 def caps_after_migration(
@@ -204,11 +206,13 @@
     therefore never add up to more than the zone's limit.
     """
     zone_caps: Counter[tuple[int, str]] = Counter()
-    for other, zone, cap in job.record.zone_caps:
-        if other != shard:
-            zone_caps[(other, zone)] += cap
+    for cap_shard, zone, cap in job.record.zone_caps:
+        if cap_shard != shard:
+            zone_caps[(cap_shard, zone)] += cap
     for zone, count in placed.items():
         zone_caps[(shard, zone)] = count
     for zone, count in migration.zones.items():
         zone_caps[(migration.shard, zone)] += count
-    return [ZoneCap(other, zone, cap) for (other, zone), cap in sorted(zone_caps.items()) if cap]
+    return [
+        ZoneCap(cap_shard, zone, cap) for (cap_shard, zone), cap in sorted(zone_caps.items()) if cap
+    ]
--- a/pitchtally/scheduling/rebalancing/task_migration.py
+++ b/pitchtally/scheduling/rebalancing/task_migration.py
@@ -47,11 +47,11 @@
         token = self.membership.token(shard)
         if token is None:
             return
-        carved = allocation.pending.split_off(count)
+        moved = allocation.pending.split_off(count)
         allocation.moving = True
         version = job.version
         try:
-            ranges = _migrated(job.record.ranges, shard, target, carved)
+            ranges = _migrated(job.record.ranges, shard, target, moved)
             if await self.range_writer.write_ranges(
                 job,
                 {keys.shard(shard): token},
@@ -71,17 +71,21 @@
 
 
 def _migrated(
-    ranges: Iterable[TaskRange], source: int, target: int, carved: list[tuple[int, int]]
+    ranges: Iterable[TaskRange], source: int, target: int, moved: list[tuple[int, int]]
 ) -> list[TaskRange]:
-    """Return a job's ranges after the `carved` tasks of `source` are assigned to `target`."""
+    """Return a job's ranges after the `moved` tasks of `source` are assigned to `target`."""
     migrated: list[tuple[int, int, int]] = []
     for first, end, shard in ranges:
         if shard != source:
             migrated.append((first, end, shard))
             continue
-        cuts = sorted((max(first, a), min(end, b)) for a, b in carved if a < end and b > first)
-        for cut_first, cut_end in cuts:
-            migrated += [(first, cut_first, source), (cut_first, cut_end, target)]
-            first = cut_end
+        overlaps = sorted(
+            (max(first, moved_first), min(end, moved_end))
+            for moved_first, moved_end in moved
+            if moved_first < end and moved_end > first
+        )
+        for moved_first, moved_end in overlaps:
+            migrated += [(first, moved_first, source), (moved_first, moved_end, target)]
+            first = moved_end
         migrated.append((first, end, source))
     return merge(migrated)
