--- a/tests/scheduling/test_gang_plan.py
+++ b/tests/scheduling/test_gang_plan.py
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize(
-    ("tasks", "one_zone", "spread", "fits_"),
+    ("tasks", "one_zone", "spread", "fits"),
     [
         (7, False, False, True),
         (8, False, False, False),
@@ -25,13 +25,16 @@
         (7, False, True, True),
     ],
 )
-def test_plan_gang(tasks: int, one_zone: bool, spread: bool, fits_: bool) -> None:
+def test_plan_gang(tasks: int, one_zone: bool, spread: bool, fits: bool) -> None:
     plan = plan_gang(CAPACITIES, tasks, one_zone=one_zone, spread=spread)
-    assert (plan is not None) == fits_
+    assert (plan is not None) == fits
     if plan is None:
         return
     assert sum(plan.values()) == tasks
-    assert all(n <= CAPACITIES[key] for key, n in plan.items())
-    zones = {z: sum(n for (_, y), n in plan.items() if y == z) for _, z in plan}
-    assert not one_zone or len(zones) == 1
-    assert not spread or max(zones.values()) <= (tasks + 1) // 2
+    assert all(count <= CAPACITIES[shard_zone] for shard_zone, count in plan.items())
+    tasks_by_zone = {
+        zone: sum(count for (_, other_zone), count in plan.items() if other_zone == zone)
+        for _, zone in plan
+    }
+    assert not one_zone or len(tasks_by_zone) == 1
+    assert not spread or max(tasks_by_zone.values()) <= (tasks + 1) // 2
--- a/tests/scheduling/test_service_migration.py
+++ b/tests/scheduling/test_service_migration.py
@@ -28,12 +28,12 @@
     """In any sequence of lost and migrated replicas, no zone gets more than half of them."""
 
     async def main() -> None:
-        migrate_at_random(seed)
+        check_caps_over_random_migrations(seed)
 
     trio.run(main)
 
 
-def migrate_at_random(seed: int) -> None:
+def check_caps_over_random_migrations(seed: int) -> None:
     rng = random.Random(seed)
     spec = parse_job(
         json.dumps(submission(service(1, rows=rng.choice([2, 3, 5, 8]), spread=True))).encode()
@@ -44,27 +44,37 @@
     for zone in ("a", "b", "a", "b", "a", "b", "a", "b")[: spec.tasks]:
         replicas[0][zone] += 1
     for _ in range(30):
-        shard = rng.choice([p for p in replicas if replicas[p].total()])
+        shard = rng.choice(
+            [shard_number for shard_number in replicas if replicas[shard_number].total()]
+        )
         lost_zone = rng.choice(sorted(replicas[shard].elements()))
         replicas[shard][lost_zone] -= 1
         target = rng.randrange(3)
-        job_ = Job("wk-1", record, 1, 8)
+        job = Job("wk-1", record, 1, 8)
         in_shard = {zone: replicas[shard][zone] for zone in ("a", "b", "c")}
-        limits = remaining_by_zone(job_, in_shard, shard)
-        zone = rng.choice([z for z, n in limits.items() if n > 0])
+        remaining_replicas = remaining_by_zone(job, in_shard, shard)
+        zone = rng.choice(
+            [zone_name for zone_name, count in remaining_replicas.items() if count > 0]
+        )
         record.zone_caps = caps_after_migration(
-            job_, in_shard, shard, ReplicaMigration(target, {zone: 1})
+            job, in_shard, shard, ReplicaMigration(target, {zone: 1})
         )
         replicas[target][zone] += 1
         for checked_zone in in_shard:
-            zone_caps = [n for _, z, n in record.zone_caps if z == checked_zone]
+            zone_caps = [
+                count for _, zone_name, count in record.zone_caps if zone_name == checked_zone
+            ]
             assert sum(zone_caps) <= max_in_zone
             assert all(
-                n <= cap_of(record, p, checked_zone)
-                for p in replicas
-                for n in [replicas[p][checked_zone]]
+                count <= cap_of(record, shard_number, checked_zone)
+                for shard_number in replicas
+                for count in [replicas[shard_number][checked_zone]]
             )
 
 
 def cap_of(record: JobRecord, shard: int, zone: str) -> int:
-    return sum(n for p, z, n in record.zone_caps if (p, z) == (shard, zone))
+    return sum(
+        cap
+        for cap_shard, cap_zone, cap in record.zone_caps
+        if (cap_shard, cap_zone) == (shard, zone)
+    )
--- a/tests/scheduling/test_stretch.py
+++ b/tests/scheduling/test_stretch.py
@@ -19,14 +19,14 @@
 ]
 
 
-def any_order_meets(queue: list[QueueEntry], level: float, now: float) -> bool:
+def any_order_meets_all_deadlines(queue: list[QueueEntry], level: float, now: float) -> bool:
     """Return whether some order, not only EDF, meets every deadline."""
     for order in itertools.permutations(queue):
-        end, good = now, True
+        end, on_time = now, True
         for entry in order:
             end += entry.work
-            good = good and end <= entry.release + level * entry.size
-        if good:
+            on_time = on_time and end <= entry.release + level * entry.size
+        if on_time:
             return True
     return False
 
@@ -44,31 +44,39 @@
 
 @pytest.mark.parametrize("queue", QUEUES + random_queues(12))
 @pytest.mark.parametrize("level", [0.1, 0.5, 1.0, 3.0])
-def test_edf_meets_what_any_order_meets(queue: list[QueueEntry], level: float) -> None:
-    assert stretch.meets_all_deadlines(queue, level, 0.0) == any_order_meets(queue, level, 0.0)
+def test_edf_meets_all_deadlines_exactly_if_any_order_does(
+    queue: list[QueueEntry], level: float
+) -> None:
+    assert stretch.meets_all_deadlines(queue, level, 0.0) == any_order_meets_all_deadlines(
+        queue, level, 0.0
+    )
 
 
 @pytest.mark.parametrize("queue", QUEUES[1:] + random_queues(12))
 def test_least_stretch_is_least(queue: list[QueueEntry]) -> None:
-    found = stretch.least_stretch(queue, 0.0, 0.001)
-    assert stretch.meets_all_deadlines(queue, found, 0.0)
-    assert not stretch.meets_all_deadlines(queue, found * 0.99, 0.0)
+    least = stretch.least_stretch(queue, 0.0, 0.001)
+    assert stretch.meets_all_deadlines(queue, least, 0.0)
+    assert not stretch.meets_all_deadlines(queue, least * 0.99, 0.0)
 
 
 @pytest.mark.parametrize("queue", QUEUES + random_queues(12))
 @pytest.mark.parametrize("level", [0.5, 2.0, 8.0])
 @pytest.mark.parametrize("size", [1.0, 12.0, 60.0])
-def test_gap_is_the_largest_work_that_makes_no_one_late(
+def test_gap_is_the_largest_work_that_makes_no_job_late(
     queue: list[QueueEntry], level: float, size: float
 ) -> None:
-    free = stretch.gap(queue, level, 0.0, size, 0.0)
-    assert free >= 0
-    if free > 0:
-        assert any_order_meets([*queue, QueueEntry(0.0, size, free * 0.999)], level, 0.0)
+    gap = stretch.gap(queue, level, 0.0, size, 0.0)
+    assert gap >= 0
+    if gap > 0:
+        assert any_order_meets_all_deadlines(
+            [*queue, QueueEntry(0.0, size, gap * 0.999)], level, 0.0
+        )
     if stretch.meets_all_deadlines(queue, level, 0.0):
-        assert not any_order_meets([*queue, QueueEntry(0.0, size, free + 0.01)], level, 0.0)
+        assert not any_order_meets_all_deadlines(
+            [*queue, QueueEntry(0.0, size, gap + 0.01)], level, 0.0
+        )
     else:
-        assert free == 0
+        assert gap == 0
 
 
 def test_availability_never_falls_with_stretch_or_size() -> None:
@@ -83,15 +91,15 @@
 
 
 @pytest.mark.parametrize(
-    ("counts", "wanted", "found"),
+    ("counts", "tasks", "expected"),
     [([0, 1, 4, 9], 4, 2), ([0, 1, 4, 9], 5, 3), ([5, 5], 1, 0), ([0, 3], 4, None), ([], 1, None)],
 )
-def test_least_cover(counts: list[int], wanted: int, found: int | None) -> None:
-    assert stretch.first_covering_index(counts, wanted) == found
+def test_first_covering_index(counts: list[int], tasks: int, expected: int | None) -> None:
+    assert stretch.first_covering_index(counts, tasks) == expected
 
 
 @pytest.mark.parametrize(
-    ("weights", "total", "out"),
+    ("weights", "total", "expected"),
     [
         ([1, 1], 3, [2, 1]),
         ([3, 1], 4, [3, 1]),
@@ -100,8 +108,8 @@
         ([2, 1, 1], 1, [1, 0, 0]),
     ],
 )
-def test_shares(weights: list[float], total: int, out: list[int]) -> None:
-    assert stretch.proportional_shares(weights, total) == out
+def test_proportional_shares(weights: list[float], total: int, expected: list[int]) -> None:
+    assert stretch.proportional_shares(weights, total) == expected
 
 
 @pytest.mark.parametrize("count", [2, 3, 8, 16, 64])
@@ -111,8 +119,8 @@
     With 8 samples of S instead of 16, a truncated series ended at 2^-5, and no real queue was
     covered.
     """
-    found = stretch.geometric_series(2.0**-12, 8.0, count)
-    assert len(found) == count
-    assert found[0] == 2.0**-12
-    assert found[-1] == pytest.approx(8.0)
-    assert all(a < b for a, b in itertools.pairwise(found))
+    series = stretch.geometric_series(2.0**-12, 8.0, count)
+    assert len(series) == count
+    assert series[0] == 2.0**-12
+    assert series[-1] == pytest.approx(8.0)
+    assert all(a < b for a, b in itertools.pairwise(series))
