--- a/pitchtally/scheduling/assignment/job_assignment.py
+++ b/pitchtally/scheduling/assignment/job_assignment.py
@@ -77,10 +77,10 @@
         spec = job.spec
         if assigned:
             spec = msgspec.structs.replace(spec, tasks=job.record.tasks - assigned)
-        ranges = self.proportional_split.split(spec)
-        if not ranges:
+        split_ranges = self.proportional_split.split(spec)
+        if not split_ranges:
             return
-        added = ((first + assigned, end + assigned, shard) for first, end, shard in ranges)
+        added = ((first + assigned, end + assigned, shard) for first, end, shard in split_ranges)
         await self.range_writer.write_ranges(
             job,
             {keys.shard(CLUSTER_LEADER_SHARD): token},
--- a/pitchtally/scheduling/assignment/proportional_split.py
+++ b/pitchtally/scheduling/assignment/proportional_split.py
@@ -48,19 +48,19 @@
         unreported = sum(
             allocation.work for allocation in self.statuses.unreported.get(status.shard, ())
         )
-        for name, matrix in status.matrix:
+        for name, cells in status.matrix:
             type_name, zone, spot = MachineGroupKey.parse(name)
             machine_type = self.machine_types().get(type_name)
             if machine_type is None or not allows_machine_type(spec, machine_type, zone, spot):
                 continue
-            task_work = self.estimates.expected_run_s(spec) * dominant_share(
+            work_per_task = self.estimates.expected_run_s(spec) * dominant_share(
                 resource_request(spec), machine_type
             )
-            total += matrix[stretch_index][size_index][
-                stretch.first_index_at_least(self.samples.task_work, task_work)
+            total += cells[stretch_index][size_index][
+                stretch.first_index_at_least(self.samples.task_work, work_per_task)
             ]
             if unreported and total:
-                total -= math.ceil(unreported / max(task_work, _MIN_TASK_MACHINE_S))
+                total -= math.ceil(unreported / max(work_per_task, _MIN_TASK_MACHINE_S))
                 unreported = 0.0
         return max(0, total)
 
--- a/pitchtally/scheduling/gangs/single_shard_planner.py
+++ b/pitchtally/scheduling/gangs/single_shard_planner.py
@@ -167,9 +167,9 @@
             )
         if not candidates:
             return None
-        shard = min(candidates)[3]
-        self.statuses.record_allocation(shard, spec, spec.tasks)
-        return shard
+        best = min(candidates)[3]
+        self.statuses.record_allocation(best, spec, spec.tasks)
+        return best
 
     def _empty_capacity(self, status: ShardStatus, spec: user_api.JobSpec) -> int:
         """Return how many tasks a shard's machines could hold if nothing else ran on them."""
