--- a/pitchtally/scheduling/scheduler.py
+++ b/pitchtally/scheduling/scheduler.py
@@ -66,7 +66,7 @@
 # After planning, a loop sleeps this many times as long as the planning took, so that planning
 # uses a tenth of the processor time and leaves the rest to agent heartbeats and user requests.
 _PLANNING_PAUSE_FACTOR = 9.0
-_MIN_GLOBAL_ROUND_S = 0.2
+_MIN_GLOBAL_ROUND_INTERVAL_S = 0.2
 
 
 class Scheduler:
@@ -211,7 +211,7 @@
         while True:
             await trio.sleep(
                 max(
-                    _MIN_GLOBAL_ROUND_S,
+                    _MIN_GLOBAL_ROUND_INTERVAL_S,
                     min(self.agent_heartbeat_s, round_s * _PLANNING_PAUSE_FACTOR),
                 )
             )
