--- a/pitchtally/scheduling/gangs/planner.py
+++ b/pitchtally/scheduling/gangs/planner.py
@@ -51,7 +51,7 @@
         self.quotas = quotas
         self.deadlines = deadlines
         self.free_capacity = free_capacity
-        self._shared_attempts = 0  # the number of shared attempts planned by this process
+        self._shared_attempts = 0  # count of shared attempts planned by this process
         self._reserving_gang: _ReservingGang | None = None
 
     def plan(self, spec: user_api.JobSpec, token: int, job: Job | None = None) -> Plan | None:
--- a/pitchtally/scheduling/gangs/reservations.py
+++ b/pitchtally/scheduling/gangs/reservations.py
@@ -19,7 +19,8 @@
 
 log = logging.getLogger(__name__)
 
-# Share of `start_within`: a gang over several machines reserves none that are available later.
+# A gang over several machines reserves none if it would wait for longer than this share of
+# `start_within`.
 _MAX_WAIT_SHARE = 1 / 8
 # A reservation lasts for the expected wait times this ratio, plus some agent heartbeats.
 _WAIT_MARGIN_RATIO = 1.5
@@ -31,7 +32,7 @@
 
     wait_s: float  # seconds from now
     machine_name: str
-    task_number: int
+    task_number: int  # n, counted from 1
     machine: Machine
 
 
