--- a/pitchtally/scheduling/estimates.py
+++ b/pitchtally/scheduling/estimates.py
@@ -39,18 +39,18 @@
     def __init__(self, horizon_s: float) -> None:
         """Start without corrections; a service replica counts as a run of `horizon_s` seconds."""
         self.horizon_s = horizon_s
-        self.corrections: dict[str, Correction] = {}  # by job class
+        self.corrections_by_class: dict[str, Correction] = {}
 
     def record_run_time(self, spec: user_api.JobSpec, run_s: float) -> None:
         """Update the correction of a job's class with a finished task's run time of `run_s`."""
         if run_s <= 0 or spec.estimate <= 0 or spec.is_service:
             return
-        weight, mean_log_ratio = self.corrections.get(spec.job_class, NO_CORRECTION)
+        weight, mean_log_ratio = self.corrections_by_class.get(spec.job_class, NO_CORRECTION)
         log_ratio = math.log(max(run_s, MIN_RUN_S) / spec.estimate)
         log_ratio = max(-MAX_LOG_RATIO, min(MAX_LOG_RATIO, log_ratio))
         weight = min(weight + 1, MAX_WEIGHT_TASKS)
         mean_log_ratio += (log_ratio - mean_log_ratio) / weight
-        self.corrections[spec.job_class] = Correction(weight, mean_log_ratio)
+        self.corrections_by_class[spec.job_class] = Correction(weight, mean_log_ratio)
 
     def expected_run_s(self, spec: user_api.JobSpec) -> float:
         """Return the expected run time of one task in seconds.
@@ -59,7 +59,7 @@
         """
         if spec.is_service:
             return self.horizon_s
-        weight, mean_log_ratio = self.corrections.get(spec.job_class, NO_CORRECTION)
+        weight, mean_log_ratio = self.corrections_by_class.get(spec.job_class, NO_CORRECTION)
         return max(
             MIN_RUN_S,
             spec.estimate * math.exp(mean_log_ratio * weight / (weight + PRIOR_WEIGHT_TASKS)),
