--- a/pitchtally/scheduling/gangs/free_capacity.py
+++ b/pitchtally/scheduling/gangs/free_capacity.py
@@ -28,7 +28,7 @@
 
     booked_at: float
     shard_zone: ShardZone
-    request: Resources  # what one task requests
+    task_request: Resources
     tasks: int
 
 
@@ -119,7 +119,7 @@
     ratio = max(
         (
             booked / requested
-            for booked, requested in zip(booking.request, request, strict=True)
+            for booked, requested in zip(booking.task_request, request, strict=True)
             if requested
         ),
         default=0,
