--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -104,7 +104,7 @@
 
     def plan_job(self, spec: user_api.JobSpec) -> ScheduleReply:
         """Place a job as the cluster leader."""
-        plan = self._scheduler.decide_as_leader(spec)
+        plan = self._scheduler.plan_as_leader(spec)
         return ScheduleReply(plan.ranges, plan.zone)
 
     async def serve_forwarded(self, request: Request) -> Response:
@@ -203,7 +203,7 @@
             running_tasks=scheduler.statuses.running,
             tasks_within_limit=scheduler.quotas.limit_left,
             slack=scheduler.priorities.slack,
-            task_seconds=scheduler.estimates.task,
+            task_seconds=scheduler.estimates.expected_run_s,
             recent_specs=lambda: scheduler.shards.recent_jobs.values(),
         )
         return Autoscaler(
@@ -227,7 +227,7 @@
             layout=self.layout,
             peers=self.membership,
             scheduler=ApiSchedulerView(
-                plan=self.scheduler.decide, running_tasks=self.scheduler.statuses.running
+                plan=self.scheduler.plan_submission, running_tasks=self.scheduler.statuses.running
             ),
             machine_types=self.autoscaler.catalog.types,
             serve_agent=self.agents.serve,
--- a/pitchtally/scheduling/placement/status_publisher.py
+++ b/pitchtally/scheduling/placement/status_publisher.py
@@ -131,7 +131,9 @@
         queued = 0.0
         for id, count in pending.items():
             allocation = state.allocations[id]
-            queued += count * self.estimates.task(allocation.spec) * allocation.resources[0]
+            queued += (
+                count * self.estimates.expected_run_s(allocation.spec) * allocation.resources[0]
+            )
         return queued
 
     def _matrices(self, state: ShardState, now: float) -> list[GroupMatrix]:
@@ -139,11 +141,11 @@
         matrices = []
         for key, group in state.machine_groups.items():
             queue = machine_queue(state, group, len(user_api.RANKS))
-            cells = stretch.matrix(
+            cells = stretch.availability_matrix(
                 [queue],
                 self.samples.stretches,
                 self.samples.sizes,
-                self.samples.tasks,
+                self.samples.task_work,
                 now,
                 group.batch_machines,
             )
