--- a/pitchtally/scheduling/assignment/proportional_split.py
+++ b/pitchtally/scheduling/assignment/proportional_split.py
@@ -1,4 +1,4 @@
-"""The paper's split of a job over shards, by their summed availability matrices."""
+"""The paper's split of a job over shards, in proportion to their availability."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from ..shards.deadlines import Deadlines
 from ..shards.shard_statuses import ShardStatuses
 
-# Machine-seconds: the least work of a task that what was sent to a shard is divided by.
-_LEAST_TASK_WORK = 1e-6
+# Machine-seconds: lower bound on a task's work where unreported work is divided by it.
+_MIN_TASK_MACHINE_S = 1e-6
 
 
 class ProportionalSplit:
@@ -37,40 +37,51 @@
         self.deadlines = deadlines
         self.single_shard_planner = single_shard_planner
 
-    def availability(self, status: ShardStatus, spec: user_api.JobSpec, level: int) -> int:
-        """Tasks of the job that a shard accepts at the stretch sample with this index.
+    def availability(self, status: ShardStatus, spec: user_api.JobSpec, stretch_index: int) -> int:
+        """Return how many tasks of the job a shard accepts at the stretch sample with this index.
 
-        The cell [S][w][a] of its availability matrices, summed over machine groups, less the
-        work that was assigned since the shard computed them.
+        This is the cell [S][w][a] of the shard's availability matrices, summed over machine
+        groups, less the work assigned since the shard computed them.
         """
         total = 0
-        size = stretch.last_index_at_most(self.samples.sizes, self.deadlines.job_size(spec))
-        unreported = sum(sent.work for sent in self.statuses.unreported.get(status.shard, ()))
+        size_index = stretch.last_index_at_most(self.samples.sizes, self.deadlines.job_size(spec))
+        unreported = sum(
+            allocation.work for allocation in self.statuses.unreported.get(status.shard, ())
+        )
         for name, cells in status.matrix:
-            type_, zone, spot = MachineGroupKey.parse(name)
-            machine_type = self.machine_types().get(type_)
+            type_name, zone, spot = MachineGroupKey.parse(name)
+            machine_type = self.machine_types().get(type_name)
             if machine_type is None or not allows_machine_type(spec, machine_type, zone, spot):
                 continue
-            task = self.estimates.task(spec) * dominant_share(resource_request(spec), machine_type)
-            total += cells[level][size][stretch.first_index_at_least(self.samples.tasks, task)]
+            work_per_task = self.estimates.expected_run_s(spec) * dominant_share(
+                resource_request(spec), machine_type
+            )
+            total += cells[stretch_index][size_index][
+                stretch.first_index_at_least(self.samples.task_work, work_per_task)
+            ]
             if unreported and total:
-                total -= math.ceil(unreported / max(task, _LEAST_TASK_WORK))
+                total -= math.ceil(unreported / max(work_per_task, _MIN_TASK_MACHINE_S))
                 unreported = 0.0
         return max(0, total)
 
-    def least_level(self, statuses: list[ShardStatus], spec: user_api.JobSpec) -> int | None:
-        """Index of the least stretch sample at which these shards together cover the job."""
+    def least_covering_index(
+        self, statuses: list[ShardStatus], spec: user_api.JobSpec
+    ) -> int | None:
+        """Return the index of the least stretch sample at which these shards cover the job.
+
+        None if they don't cover it at any sample.
+        """
         totals = [
-            sum(self.availability(status, spec, level) for status in statuses)
-            for level in range(len(self.samples.stretches))
+            sum(self.availability(status, spec, stretch_index) for status in statuses)
+            for stretch_index in range(len(self.samples.stretches))
         ]
-        return stretch.least_cover(totals, spec.tasks)
+        return stretch.first_covering_index(totals, spec.tasks)
 
     def split(self, spec: user_api.JobSpec) -> list[TaskRange]:
-        """Task ranges in proportion to the shards' availability at the least covering stretch.
+        """Return task ranges in proportion to availability at the least stretch that covers all.
 
-        Where no sample covers the job, the largest one decides, and tasks beyond its
-        availability stay unassigned. Empty if no shard has any.
+        If no stretch sample covers the job, the largest one is used, and tasks beyond the
+        availability there stay unassigned. Empty if no shard has any availability.
         """
         if stays_in_one_shard(spec):
             best = self.single_shard_planner.best_shard(spec)
@@ -78,10 +89,10 @@
         statuses = [status for status in self.statuses.newest.values() if status.matrix]
         if not statuses:
             return []
-        level = self.least_level(statuses, spec)
-        if level is None:
-            level = len(self.samples.stretches) - 1
-        available = [self.availability(status, spec, level) for status in statuses]
+        stretch_index = self.least_covering_index(statuses, spec)
+        if stretch_index is None:
+            stretch_index = len(self.samples.stretches) - 1
+        available = [self.availability(status, spec, stretch_index) for status in statuses]
         if sum(available) == 0:
             return []
         counts = stretch.proportional_shares(available, min(spec.tasks, sum(available)))
@@ -90,7 +101,7 @@
     def _ranges(
         self, spec: user_api.JobSpec, statuses: list[ShardStatus], counts: list[int]
     ) -> list[TaskRange]:
-        """Consecutive ranges with these counts; each lowers its shard's availability at once."""
+        """Return consecutive ranges with these counts, and record each with its shard."""
         ranges, first = [], 0
         for status, count in zip(statuses, counts, strict=True):
             if count:
--- a/pitchtally/scheduling/gangs/reservations.py
+++ b/pitchtally/scheduling/gangs/reservations.py
@@ -1,4 +1,4 @@
-"""Machines reserved for jobs that smaller tasks would keep from starting."""
+"""Reserves machines for jobs that smaller tasks would otherwise delay indefinitely."""
 
 from __future__ import annotations
 
@@ -19,33 +19,34 @@
 
 log = logging.getLogger(__name__)
 
-# Of `start_within`: a gang over several machines waits for no capacity later than this.
-_LATEST_SHARE = 1 / 8
-# A reservation lasts this many times the expected wait, and some agent heartbeats.
-_WAIT_MARGIN = 1.5
+# A gang over several machines reserves none if it would wait for longer than this share of
+# `start_within`.
+_MAX_WAIT_SHARE = 1 / 8
+# A reservation lasts for the expected wait times this ratio, plus some agent heartbeats.
+_WAIT_MARGIN_RATIO = 1.5
 _MARGIN_HEARTBEATS = 3
 
 
-class Opening(NamedTuple):
-    """When a machine has capacity for its n-th task of a job."""
+class CapacityForecast(NamedTuple):
+    """The expected time at which a machine has capacity for the n-th task of a job there."""
 
-    eta: float  # seconds from now
-    name: str
-    n: int
+    wait_s: float  # seconds from now
+    machine_name: str
+    task_number: int  # n, counted from 1
     machine: Machine
 
 
 @dataclass(slots=True)
 class _ShardReservations:
-    """What the machines of a shard are reserved for in one planning round."""
+    """The jobs for which machines of a shard are reserved, during one planning round."""
 
-    job_ids: set[str]  # as of the start of the round
-    has_wide_gang: bool  # one of several tasks
-    has_large_task: bool  # one of an array or a service
+    job_ids: set[str]  # jobs with reservations at the start of the round
+    has_wide_gang: bool  # whether one of the jobs is a gang of several tasks
+    has_large_task: bool  # whether one of the jobs is an array or a service
 
 
 def is_reserved_for(machines: Iterable[Machine], job_id: str) -> bool:
-    """Whether one of these machines is reserved for the job."""
+    """Return whether one of these machines is reserved for the job."""
     now = trio.current_time()
     return any(
         machine.reservation
@@ -74,76 +75,95 @@
         self.quotas = quotas
 
     def reserve(self, shard: int) -> None:
-        """Reserve the machines that soonest have capacity for a pending gang.
+        """Reserve the machines that will have capacity for a pending gang soonest.
 
-        Arrays take capacity task by task as it frees up; a gang of equal rank would wait
-        until they are done. One gang at a time, unless one machine holds it whole, and none
-        whose capacity is far off: reserved machines run nothing new meanwhile.
+        Arrays take capacity task by task as tasks end; without reservations a gang of equal rank
+        would wait until the arrays are done. Reserved machines start no other tasks, so only one
+        gang over several machines has reservations at a time, and none whose capacity becomes
+        available late. A gang that fits on one machine isn't limited in this way.
         """
         state = self.shards[shard]
         now = trio.current_time()
         machines = [
-            m for m in self.agents.of_shard(shard) if m.schedulable and m.quarantined_until < now
+            machine
+            for machine in self.agents.of_shard(shard)
+            if machine.schedulable and machine.quarantined_until < now
         ]
         current = self._current(state, machines, now)
-        # Also for a task so large that small ones always take what frees up first.
-        candidates = [(h.release, id, h) for id, h in state.allocations.items() if h.gang or h.aged]
-        for _, id, allocation in sorted(candidates, key=lambda r: r[:2]):
+        # Aged jobs are candidates as well: a task may be so large that small tasks always take
+        # released capacity first.
+        candidates = [
+            (allocation.release, id, allocation)
+            for id, allocation in state.allocations.items()
+            if allocation.gang or allocation.aged
+        ]
+        for _, id, allocation in sorted(candidates, key=lambda row: row[:2]):
             if id in current.job_ids or not self._may_reserve(state, allocation, now):
                 continue
-            wanted = allocation.pending.count if allocation.gang else 1
-            if not self._allowed_beside(current, allocation, wanted):
+            task_count = allocation.pending.count if allocation.gang else 1
+            if not self._allowed_beside(current, allocation, task_count):
                 continue
-            chosen = self._soonest(allocation, machines, wanted, now)
-            if not chosen or chosen[-1].eta <= 0:
+            chosen = self._soonest(allocation, machines, task_count, now)
+            if not chosen or chosen[-1].wait_s <= 0:
                 continue
-            eta = chosen[-1].eta
-            if wanted > 1:
-                if not self._worth_reserving(allocation, wanted, eta):
+            wait_s = chosen[-1].wait_s
+            if task_count > 1:
+                if not self._worth_reserving(allocation, task_count, wait_s):
                     continue
                 current.has_wide_gang = True
             current.has_large_task = current.has_large_task or not allocation.gang
-            self._set_reservations(chosen, id, eta, now)
+            self._set_reservations(chosen, id, wait_s, now)
 
     @staticmethod
     def _current(state: ShardState, machines: list[Machine], now: float) -> _ShardReservations:
         job_ids = {
-            m.reservation.job_id for m in machines if m.reservation and m.reservation.until >= now
+            machine.reservation.job_id
+            for machine in machines
+            if machine.reservation and machine.reservation.until >= now
         }
-        allocations = [h for id in job_ids if (h := state.allocations.get(id)) is not None]
+        allocations = [
+            allocation for id in job_ids if (allocation := state.allocations.get(id)) is not None
+        ]
         return _ShardReservations(
             job_ids,
-            has_wide_gang=any(h.gang and h.spec.tasks > 1 for h in allocations),
-            has_large_task=any(not h.gang and h.aged for h in allocations),
+            has_wide_gang=any(
+                allocation.gang and allocation.spec.tasks > 1 for allocation in allocations
+            ),
+            has_large_task=any(
+                not allocation.gang and allocation.aged for allocation in allocations
+            ),
         )
 
     def _allowed_beside(
-        self, current: _ShardReservations, allocation: ShardAllocation, wanted: int
+        self, current: _ShardReservations, allocation: ShardAllocation, task_count: int
     ) -> bool:
-        """Whether a job may reserve machines beside the jobs that have reserved some."""
-        if wanted > 1 and (current.has_wide_gang or not self.deadlines.is_late(allocation.job)):
+        """Return whether a job may reserve machines in addition to the present reservations."""
+        if task_count > 1 and (current.has_wide_gang or not self.deadlines.is_late(allocation.job)):
             return False
-        # While jobs beyond the limit queue up, every array has been pending for long.
+        # Of aged jobs that aren't gangs, only one reserves machines at a time, within its team's
+        # limit: while jobs beyond the limit are queued, every array becomes aged.
         return allocation.gang or not (
             current.has_large_task
             or not self.quotas.tasks_within_limit(allocation.shard, allocation.spec)
         )
 
-    def _worth_reserving(self, allocation: ShardAllocation, wanted: int, eta: float) -> bool:
-        """Whether a gang would start soon on the machines, and isn't held up by its limit."""
-        if eta > self.policy.start_within * _LATEST_SHARE:
+    def _worth_reserving(self, allocation: ShardAllocation, task_count: int, wait_s: float) -> bool:
+        """Return whether a gang would start soon on the machines, within its team's limit."""
+        if wait_s > self.policy.start_within * _MAX_WAIT_SHARE:
             return False
-        return self.quotas.tasks_within_limit(allocation.shard, allocation.spec) >= wanted
+        return self.quotas.tasks_within_limit(allocation.shard, allocation.spec) >= task_count
 
-    def _set_reservations(self, chosen: list[Opening], job_id: str, eta: float, now: float) -> None:
-        names = {opening.machine.name: opening.machine for opening in chosen}
-        until = now + eta * _WAIT_MARGIN + self.agent_heartbeat_s * _MARGIN_HEARTBEATS
-        for machine in names.values():
+    def _set_reservations(
+        self, chosen: list[CapacityForecast], job_id: str, wait_s: float, now: float
+    ) -> None:
+        machines = {forecast.machine.name: forecast.machine for forecast in chosen}
+        until = now + wait_s * _WAIT_MARGIN_RATIO + self.agent_heartbeat_s * _MARGIN_HEARTBEATS
+        for machine in machines.values():
             machine.reservation = Reservation(job_id, until)
-        log.info("reserved machines=%d for=%s eta=%.1f", len(names), job_id, eta)
+        log.info("reserved machines=%d for=%s eta=%.1f", len(machines), job_id, wait_s)
 
     def _may_reserve(self, state: ShardState, allocation: ShardAllocation, now: float) -> bool:
-        """Whether a job is pending, and has been for the interval of an agent heartbeat."""
+        """Return whether a job is pending, and has been for at least one agent heartbeat."""
         attempt = allocation.job.record.attempt
         if allocation.placed or (attempt and allocation.last_shared_attempt == attempt):
             return False
@@ -152,36 +172,44 @@
         return is_ready(state, allocation.job.id, allocation, now)
 
     def _soonest(
-        self, allocation: ShardAllocation, machines: list[Machine], wanted: int, now: float
-    ) -> list[Opening]:
-        """Where that many tasks fit soonest; empty if they never all do."""
-        openings = []
+        self, allocation: ShardAllocation, machines: list[Machine], task_count: int, now: float
+    ) -> list[CapacityForecast]:
+        """Return where that many tasks fit soonest; empty if not all of them ever fit."""
+        forecasts = []
         for machine in machines:
             if machine.reservation and machine.reservation.until >= now:
                 continue
             if not machine_allowed(allocation, machine, self.policy.unhealthy_rest):
                 continue
-            for n in range(1, wanted + 1):
-                eta = self._seconds_until(machine, allocation.resources.times(n), now)
-                if eta is None:
+            for task_number in range(1, task_count + 1):
+                wait_s = self._seconds_until(machine, allocation.resources.times(task_number), now)
+                if wait_s is None:
                     break
-                openings.append(Opening(eta, machine.name, n, machine))
-        chosen = sorted(openings, key=lambda opening: opening[:3])[:wanted]
-        return chosen if len(chosen) == wanted else []
+                forecasts.append(CapacityForecast(wait_s, machine.name, task_number, machine))
+        chosen = sorted(forecasts, key=lambda forecast: forecast[:3])[:task_count]
+        return chosen if len(chosen) == task_count else []
 
     def _seconds_until(self, machine: Machine, request: Resources, now: float) -> float | None:
-        """Seconds until a machine has such capacity if nothing more starts there; None: never."""
+        """Return in how many seconds a machine can hold the request if nothing more starts there.
+
+        None if it never can.
+        """
         available = machine.available()
         if fits(request, available):
             return 0.0
-        ends = []
+        expected_ends = []
         for placement in machine.placements.values():
             if placement.spec.is_service:
-                continue  # it never ends by itself
-            ran = now - (placement.running_since or now)
-            ends.append((max(1.0, self.estimates.task(placement.spec) - ran), placement.resources))
-        for end, freed in sorted(ends):
+                continue  # a service replica never ends by itself
+            run_s = now - (placement.running_since or now)
+            expected_ends.append(
+                (
+                    max(1.0, self.estimates.expected_run_s(placement.spec) - run_s),
+                    placement.resources,
+                )
+            )
+        for end_s, freed in sorted(expected_ends):
             available = available.plus(freed)
             if fits(request, available):
-                return end
+                return end_s
         return None
