--- a/pitchtally/http/connection_pool.py
+++ b/pitchtally/http/connection_pool.py
@@ -84,7 +84,7 @@
         oldest_allowed_use = trio.current_time() - self.idle_timeout
         while self.idle:
             address, connections = next(iter(self.idle.items()))
-            too_many = sum(len(idle) for idle in self.idle.values()) > self.max_total
+            too_many = sum(len(pooled) for pooled in self.idle.values()) > self.max_total
             if connections and not too_many and connections[0].last_used_at >= oldest_allowed_use:
                 return
             if connections:
