--- a/pitchtally/autoscaling/scale_out.py
+++ b/pitchtally/autoscaling/scale_out.py
@@ -143,7 +143,9 @@
             missing = self._missing_tasks(demand, machines)
             if missing > 0:
                 count = int(missing / cheapest.tasks_per_machine + 0.999)
-                return MissingMachines(cheapest.group, max(1, min(count, cloud_api.MAX_LAUNCH)))
+                return MissingMachines(
+                    cheapest.group, max(1, min(count, cloud_api.MAX_MACHINES_PER_LAUNCH))
+                )
         return None
 
     def _groups(self) -> Iterable[MachineGroupKey]:
@@ -168,7 +170,9 @@
             if fitting:
                 machine_type = types[group.type]
                 price = price_of(machine_type, spot=group.spot)
-                options.append(_LaunchOption(price / fitting, machine_type.boot, group, fitting))
+                options.append(
+                    _LaunchOption(price / fitting, machine_type.boot_time, group, fitting)
+                )
         return min(options, default=None)
 
     def _missing_tasks(self, demand: PendingDemand, machines: Collection[MachineStatus]) -> float:
--- a/pitchtally/http/sockets.py
+++ b/pitchtally/http/sockets.py
@@ -6,11 +6,11 @@
 
 import trio
 
-CHUNK = 16 * 1024  # bytes that one read takes at most
+MAX_READ_BYTES = 16 * 1024  # limit for one read
 
 
 async def send_all(sock: socket.socket, data: bytes) -> None:
-    """Send all bytes; waits only if the socket doesn't take them at once."""
+    """Send all bytes; waits only while the socket's send buffer is full."""
     offset = 0
     while True:
         try:
@@ -22,8 +22,8 @@
         await trio.lowlevel.wait_writable(sock)
 
 
-def receive(sock: socket.socket, max_bytes: int = CHUNK) -> bytes | None:
-    """Return what has arrived: b"" at the end of the stream, None if there is nothing yet."""
+def receive(sock: socket.socket, max_bytes: int = MAX_READ_BYTES) -> bytes | None:
+    """Return the available bytes: b"" at the end of the stream, None if none have arrived."""
     try:
         return sock.recv(max_bytes)
     except BlockingIOError:
