--- a/pitchtally/agents/manager.py
+++ b/pitchtally/agents/manager.py
@@ -66,7 +66,7 @@
             self.shards,
             commits,
             job_index.gate,
-            deployment.state_to_keep,
+            deployment.effective_state_limits,
             times.report_s,
         )
         self.recovery = ShardRecovery(
--- a/pitchtally/cli/commands.py
+++ b/pitchtally/cli/commands.py
@@ -74,7 +74,7 @@
         sys.exit(EXIT_INVALID_CONFIGURATION)
     for name, value in policy.items():
         click.echo(f"{name} = {value:g}")
-    today, effective = settings.deployment.state, settings.deployment.state_to_keep
+    today, effective = settings.deployment.state, settings.deployment.effective_state_limits
     for name in NextStateLimits.__struct_fields__:
         click.echo(f"state.{name} = {getattr(effective, name):g} (today {getattr(today, name):g})")
 
--- a/pitchtally/config/policy.py
+++ b/pitchtally/config/policy.py
@@ -102,7 +102,11 @@
         if section not in SETTINGS_SECTIONS:
             raise UnknownNameError(f"no section {section!r} in the settings")
         deployment = self._settings.deployment
-        limits = deployment.state_to_keep if section == "state" else getattr(deployment, section)
+        limits = (
+            deployment.effective_state_limits
+            if section == "state"
+            else getattr(deployment, section)
+        )
         value = getattr(limits, name, None)
         if not isinstance(value, int | float):
             raise UnknownNameError(f"no figure {section}.{name} in the settings")
--- a/pitchtally/config/settings.py
+++ b/pitchtally/config/settings.py
@@ -126,7 +126,7 @@
     machine_limits: MachineLimits = field(default_factory=MachineLimits)
 
     @property
-    def state_to_keep(self) -> StateLimits:
+    def effective_state_limits(self) -> StateLimits:
         """The limits of the state store that every request has to keep."""
         return self.state.to_keep()
 
--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -162,7 +162,7 @@
     def _build_state_store(self) -> None:
         """The client of the state store and the replica that its watch keeps."""
         policy, nodes = self.policy, len(self.settings.nodes)
-        limits = self.settings.deployment.state_to_keep
+        limits = self.settings.deployment.effective_state_limits
         self.state_store = StateStoreClient(
             self.settings.endpoints.state, limits, nodes, policy.call_timeout
         )
@@ -178,7 +178,7 @@
         )
         self.job_index = JobIndex(self.replica, self.gate)
         self.commits = JobCommits(self.state_store, self.replica, self.membership.token)
-        self.layout = JobLayout(self.gate, deployment.state_to_keep)
+        self.layout = JobLayout(self.gate, deployment.effective_state_limits)
         self.migration = JobMigration(
             self.job_index, self.commits, self.layout, policy.heartbeat_interval
         )
