--- a/pitchtally/config/settings.py
+++ b/pitchtally/config/settings.py
@@ -82,7 +82,7 @@
     txn_ops: int = 8
     next: NextStateLimits | None = None
 
-    def to_keep(self) -> StateLimits:
+    def effective(self) -> StateLimits:
         """Return the smaller of today's limits and the announced ones, figure by figure.
 
         It isn't known when the announced ones begin, so they are kept from the start on.
@@ -128,7 +128,7 @@
     @property
     def effective_state_limits(self) -> StateLimits:
         """The limits of the state store that every request has to keep."""
-        return self.state.to_keep()
+        return self.state.effective()
 
 
 class Settings(Struct, frozen=True):
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -424,7 +424,7 @@
 ) -> None:
     def body() -> None:
         state = StateLimits(100, 20, 8, 8, announced)
-        assert state.to_keep() == effective
+        assert state.effective() == effective
         config = settings("n0", state=state)
         controller = Controller(config, policy.parse("period = state.write_rps", config))
         assert controller.state_store.limits == effective
