--- a/pitchtally/autoscaling/autoscaler.py
+++ b/pitchtally/autoscaling/autoscaler.py
@@ -114,7 +114,7 @@
     @property
     def types(self) -> dict[str, cloud_api.MachineType]:
         """The machine types that the cloud offers, by name."""
-        return self.catalog.known
+        return self.catalog.types_by_name
 
     # --- the cluster leader's loop ------------------------------------------------
 
--- a/pitchtally/autoscaling/catalog.py
+++ b/pitchtally/autoscaling/catalog.py
@@ -93,7 +93,7 @@
 
 
 class MachineCatalog:
-    """The machine types by name: `known` is empty until they have been read once."""
+    """The machine types by name: `types_by_name` is empty until they have been read once."""
 
     def __init__(
         self,
@@ -110,12 +110,12 @@
         self._machines = machines
         self._is_cluster_leader = is_cluster_leader
         self._list_interval = list_interval
-        self.known: dict[str, cloud_api.MachineType] = {}
+        self.types_by_name: dict[str, cloud_api.MachineType] = {}
         store.subscribe(self._replace)
 
     def types(self) -> dict[str, cloud_api.MachineType]:
         """The machine types that the cloud offers, by name."""
-        return self.known
+        return self.types_by_name
 
     def lay_out(self, machine_types: list[cloud_api.MachineType]) -> list[Write]:
         """The writes that store these types in place of the stored ones."""
@@ -124,7 +124,7 @@
     async def run(self) -> None:
         """Ask the cloud and store changes: the cluster leader, any node while types are unknown."""
         while True:
-            if self.known and not self._is_cluster_leader():
+            if self.types_by_name and not self._is_cluster_leader():
                 await trio.sleep(self._list_interval)
                 continue
             try:
@@ -136,19 +136,19 @@
                 self._errors.recovered()  # an answer, though of no use
             except (CloudUnavailable, StoreUnavailable) as error:
                 self._errors.failed(str(error))
-            intervals = REFRESH_INTERVALS if self.known else FIRST_INTERVALS
+            intervals = REFRESH_INTERVALS if self.types_by_name else FIRST_INTERVALS
             await trio.sleep(self._list_interval * intervals)
 
     def _replace(self, found: list[cloud_api.MachineType]) -> None:
-        self.known = {machine_type.name: machine_type for machine_type in found}
+        self.types_by_name = {machine_type.name: machine_type for machine_type in found}
         for machine in self._machines.values():
-            machine.machine_type = self.known.get(machine.type)
+            machine.machine_type = self.types_by_name.get(machine.type)
 
     def _has_changed(self, found: list[cloud_api.MachineType]) -> bool:
         """Whether shapes have changed, or spot prices by more than a step."""
-        if {machine_type.name for machine_type in found} != set(self.known):
+        if {machine_type.name for machine_type in found} != set(self.types_by_name):
             return True
-        return any(_differs(new, self.known[new.name]) for new in found)
+        return any(_differs(new, self.types_by_name[new.name]) for new in found)
 
 
 def _differs(new: cloud_api.MachineType, old: cloud_api.MachineType) -> bool:
--- a/tests/agents/test_machine_records.py
+++ b/tests/agents/test_machine_records.py
@@ -52,7 +52,7 @@
     def __init__(self) -> None:
         config = settings("n0")
         self.controller = controller = Controller(config, policy.parse("", config))
-        controller.autoscaler.catalog.known = {"big": TYPE}
+        controller.autoscaler.catalog.types_by_name = {"big": TYPE}
         controller.replica.revision = TOKEN
         controller.membership.leadership.leaders[SHARD] = ShardLease(
             ShardLeader("n0", controller.membership.incarnation),
--- a/tests/cluster/test_heartbeat_cost.py
+++ b/tests/cluster/test_heartbeat_cost.py
@@ -46,7 +46,7 @@
 
     async def work(machines: int) -> int:
         leader = leader_of_shard(0, 50)
-        leader.autoscaler.catalog.known["dear"] = EXPENSIVE_TYPE
+        leader.autoscaler.catalog.types_by_name["dear"] = EXPENSIVE_TYPE
         for number in range(0, machines * 3, 3):
             await leader.agents.serve(heartbeat_request(number, 1, 50, []))
         expensive_number = machines * 3
--- a/tests/formats/test_golden.py
+++ b/tests/formats/test_golden.py
@@ -455,7 +455,7 @@
         controller = controller_of(gate_open)
         kinds = controller.autoscaler.catalog
         controller.replica.learn("pt/types", page(names), 10)
-        assert stored(kinds.lay_out(list(kinds.known.values()))) == expected
+        assert stored(kinds.lay_out(list(kinds.types_by_name.values()))) == expected
 
     on_clock(body)
 
--- a/tests/harness/single_controller.py
+++ b/tests/harness/single_controller.py
@@ -26,7 +26,7 @@
     """Return a controller that leads a shard, with none of its loops running."""
     config = settings("n0")
     controller = Controller(config, policy.parse("", config))
-    controller.autoscaler.catalog.known = {"big": MACHINE_TYPE}
+    controller.autoscaler.catalog.types_by_name = {"big": MACHINE_TYPE}
     controller.replica.revision = token
     controller.replica.verified_at = trio.current_time()
     leader = ShardLeader("n0", controller.membership.incarnation)
