--- a/pitchtally/autoscaling/autoscaler.py
+++ b/pitchtally/autoscaling/autoscaler.py
@@ -194,7 +194,7 @@
         """Machines that the cloud has confirmed gone of late."""
         return self._terminations.recent()
 
-    def drain_names(self) -> list[str]:
+    def draining_machines(self) -> list[str]:
         """Machines that are to take no more tasks."""
         return list(self._scale_in.draining)
 
--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -100,7 +100,7 @@
         ]
         heartbeat.shards = self._scheduler.statuses.own()
         heartbeat.terminated = self._autoscaler.terminated_names()
-        heartbeat.draining = self._autoscaler.drain_names()
+        heartbeat.draining = self._autoscaler.draining_machines()
 
     def plan_job(self, spec: user_api.JobSpec) -> ScheduleReply:
         """Place a job as the cluster leader."""
