--- a/pitchtally/autoscaling/autoscaler.py
+++ b/pitchtally/autoscaling/autoscaler.py
@@ -190,7 +190,7 @@
 
     # --- what nodes tell each other -----------------------------------------------
 
-    def terminated_names(self) -> list[str]:
+    def terminated_machines(self) -> list[str]:
         """Machines that the cloud has confirmed gone of late."""
         return self._terminations.recent()
 
--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -99,7 +99,7 @@
             Cancellation(*row) for row in self._job_index.cancelled_after(revision)
         ]
         heartbeat.shards = self._scheduler.statuses.own()
-        heartbeat.terminated = self._autoscaler.terminated_names()
+        heartbeat.terminated = self._autoscaler.terminated_machines()
         heartbeat.draining = self._autoscaler.draining_machines()
 
     def plan_job(self, spec: user_api.JobSpec) -> ScheduleReply:
