--- a/pitchtally/autoscaling/autoscaler.py
+++ b/pitchtally/autoscaling/autoscaler.py
@@ -181,7 +181,7 @@
         """Measure for how long machines are unreachable."""
         await self._timeouts.run()
 
-    async def run_own_drains(self) -> None:
+    async def run_local_drains(self) -> None:
         """Apply the cluster leader's drains to its own machines; others learn them by heartbeat."""
         while True:
             await trio.sleep(self._config.heartbeat_interval)
--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -337,7 +337,7 @@
             ("catalog", self.autoscaler.catalog.run),
             ("heartbeat_timeouts", self.autoscaler.run_heartbeat_timeouts),
             ("read_barrier", self.api.read_barrier.run),
-            ("drains", self.autoscaler.run_own_drains),
+            ("drains", self.autoscaler.run_local_drains),
             ("decisions", lambda: self.decisions.run(self.policy.period)),
             *[batcher] * CONCURRENT_COMMITS,
         ]
