--- a/pitchtally/autoscaling/autoscaler.py
+++ b/pitchtally/autoscaling/autoscaler.py
@@ -198,7 +198,7 @@
         """Machines that are to take no more tasks."""
         return list(self._scale_in.draining)
 
-    def take_heartbeat(self, heartbeat: PeerHeartbeat) -> None:
+    def apply_peer_heartbeat(self, heartbeat: PeerHeartbeat) -> None:
         """Apply what a peer says of this node's machines."""
         for name in heartbeat.terminated:
             if name not in self._agents.terminated or name in self._agents.machines:
--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -91,7 +91,7 @@
     def heartbeat_received(self, heartbeat: PeerHeartbeat) -> None:
         """A peer's newest heartbeat."""
         self._scheduler.statuses.take_heartbeat(heartbeat)
-        self._autoscaler.take_heartbeat(heartbeat)
+        self._autoscaler.apply_peer_heartbeat(heartbeat)
 
     def add_updates(self, heartbeat: PeerHeartbeat, revision: int) -> None:
         """What the components tell a peer whose replica covers that revision."""
