--- a/pitchtally/autoscaling/autoscaler.py
+++ b/pitchtally/autoscaling/autoscaler.py
@@ -108,7 +108,7 @@
         )
         self._scale_in = ScaleIn(config, catalog.types, open_jobs, scheduler, self._terminations)
         self._scale_out = ScaleOut(
-            cloud, catalog.types, open_jobs, scheduler, self._booting, config.launch_patience
+            cloud, catalog.types, open_jobs, scheduler, self._booting, config.max_queue_slack_share
         )
 
     @property
--- a/pitchtally/autoscaling/config.py
+++ b/pitchtally/autoscaling/config.py
@@ -22,7 +22,7 @@
     demand_interval: float  # between two samples of demand
     demand_window: float  # for which the peak demand of a job shape is remembered
     idle_timeout: float  # an idle machine is terminated after this long
-    launch_patience: float  # of the slack of a job: the share that its queue may take
+    max_queue_slack_share: float  # of the slack of a job: the share that its queue may take
 
     @classmethod
     def of(cls, settings: Settings, policy: Policy) -> AutoscalerConfig:
@@ -39,5 +39,5 @@
             demand_interval=policy.period,
             demand_window=policy.ready_for,
             idle_timeout=policy.idle_release,
-            launch_patience=policy.hire_patience,
+            max_queue_slack_share=policy.hire_patience,
         )
