--- a/pitchtally/autoscaling/config.py
+++ b/pitchtally/autoscaling/config.py
@@ -25,7 +25,7 @@
     max_queue_slack_share: float  # of the slack of a job: the share that its queue may take
 
     @classmethod
-    def of(cls, settings: Settings, policy: Policy) -> AutoscalerConfig:
+    def from_settings(cls, settings: Settings, policy: Policy) -> AutoscalerConfig:
         """The figures as operators have set them."""
         deployment = settings.deployment
         return cls(
--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -207,7 +207,7 @@
             recent_specs=lambda: scheduler.shards.recent_jobs.values(),
         )
         return Autoscaler(
-            AutoscalerConfig.of(self.settings, self.policy),
+            AutoscalerConfig.from_settings(self.settings, self.policy),
             cloud,
             catalog,
             self.membership,
--- a/tests/autoscaling/cluster_views.py
+++ b/tests/autoscaling/cluster_views.py
@@ -28,7 +28,7 @@
 def config() -> AutoscalerConfig:
     """The figures of the simulation's deployment under the usual policy."""
     found = settings("n0")
-    return AutoscalerConfig.of(found, policy.parse("", found))
+    return AutoscalerConfig.from_settings(found, policy.parse("", found))
 
 
 def open_job(number: int, **more: Any) -> Job:
