--- a/pitchtally/autoscaling/autoscaler.py
+++ b/pitchtally/autoscaling/autoscaler.py
@@ -32,7 +32,7 @@
 LEADERSHIP_POLL_S = 0.3
 # The pause between two rounds, in seconds at most; shorter where the list is read often.
 MAX_ROUND_PAUSE_S = 2.0
-ROUNDS_PER_LIST = 3
+ROUNDS_PER_LIST_INTERVAL = 3
 
 
 class ClusterLeadership(Protocol):
@@ -120,7 +120,7 @@
 
     async def run(self) -> None:
         """Read the machine list, terminate machines, launch others; as cluster leader."""
-        pause = min(MAX_ROUND_PAUSE_S, self._config.list_interval / ROUNDS_PER_LIST)
+        pause = min(MAX_ROUND_PAUSE_S, self._config.list_interval / ROUNDS_PER_LIST_INTERVAL)
         while True:
             token = self._membership.verified_cluster_leader()
             if token is None or self._replica.revision < 0:
