--- a/pitchtally/autoscaling/catalog.py
+++ b/pitchtally/autoscaling/catalog.py
@@ -21,7 +21,7 @@
 from .cloud_client import CloudClient, CloudUnavailable, InsufficientCapacity
 
 # Spot prices drift all the time: a change by a smaller share of the price isn't worth a write.
-PRICE_STEP = 0.1
+MIN_PRICE_CHANGE_RATIO = 0.1
 # Intervals of the machine list between two requests for the types: once they are known, before.
 REFRESH_INTERVALS, FIRST_INTERVALS = 6.0, 0.5
 
@@ -154,5 +154,5 @@
 def _differs(new: cloud_api.MachineType, old: cloud_api.MachineType) -> bool:
     if (new.cpus, new.gpus, new.memory, new.zones) != (old.cpus, old.gpus, old.memory, old.zones):
         return True
-    step = PRICE_STEP * (old.spot_price or 1)
+    step = MIN_PRICE_CHANGE_RATIO * (old.spot_price or 1)
     return abs((new.spot_price or 0) - (old.spot_price or 0)) > step
