--- a/pitchtally/autoscaling/catalog.py
+++ b/pitchtally/autoscaling/catalog.py
@@ -23,7 +23,7 @@
 # Spot prices drift all the time: a change by a smaller share of the price isn't worth a write.
 MIN_PRICE_CHANGE_RATIO = 0.1
 # Intervals of the machine list between two requests for the types: once they are known, before.
-REFRESH_INTERVALS, FIRST_INTERVALS = 6.0, 0.5
+REFRESH_INTERVALS, INITIAL_RETRY_INTERVALS = 6.0, 0.5
 
 _decode = msgspec.json.Decoder(list[cloud_api.MachineType]).decode
 _encode = msgspec.json.encode
@@ -136,7 +136,7 @@
                 self._errors.recovered()  # an answer, though of no use
             except (CloudUnavailable, StoreUnavailable) as error:
                 self._errors.failed(str(error))
-            intervals = REFRESH_INTERVALS if self.types_by_name else FIRST_INTERVALS
+            intervals = REFRESH_INTERVALS if self.types_by_name else INITIAL_RETRY_INTERVALS
             await trio.sleep(self._list_interval * intervals)
 
     def _replace(self, found: list[cloud_api.MachineType]) -> None:
