--- a/pitchtally/autoscaling/cloud_client.py
+++ b/pitchtally/autoscaling/cloud_client.py
@@ -17,7 +17,7 @@
 log = logging.getLogger(__name__)
 
 # Of the rate limit, which the provider measures by a clock of its own.
-RATE_SHARE = 0.8
+RATE_LIMIT_SHARE = 0.8
 
 _T = TypeVar("_T")
 _encode = msgspec.json.encode
@@ -57,7 +57,7 @@
         self.errors = CloudErrorLog()
         self._address = host_port(settings.endpoints.cloud)
         self._timeout = policy.cloud_timeout
-        rate = settings.deployment.cloud.rps * RATE_SHARE
+        rate = settings.deployment.cloud.rps * RATE_LIMIT_SHARE
         self._requests = TokenBucket(rate, rate)
         self._client = Client(max_idle_per_address=2)
 
