--- a/pitchtally/autoscaling/inventory.py
+++ b/pitchtally/autoscaling/inventory.py
@@ -10,7 +10,7 @@
 from .cloud_client import CloudClient
 
 # Times the list's lag for which a machine must be missing before it counts as gone.
-ABSENCE_LAGS = 2
+ABSENCE_TIMEOUT_LAGS = 2
 
 
 class MachineInventory:
@@ -54,6 +54,6 @@
     def _drop_absent(self, now: float) -> None:
         # A list can be older than the one before: only long absence counts.
         for name, since in list(self._absent_since.items()):
-            if now - since > self._list_lag * ABSENCE_LAGS:
+            if now - since > self._list_lag * ABSENCE_TIMEOUT_LAGS:
                 self.machines.pop(name, None)
                 del self._absent_since[name]
