--- a/pitchtally/autoscaling/machine_health.py
+++ b/pitchtally/autoscaling/machine_health.py
@@ -23,7 +23,7 @@
 # Seconds that a machine boots whose type isn't known.
 DEFAULT_BOOT_S = 30.0
 # Times its usual boot that a machine may take.
-MAX_BOOTS = 4
+MAX_BOOT_TIMES = 4
 # Heartbeat timeouts for which a machine may be listed as running without any heartbeat.
 NO_HEARTBEAT_TIMEOUTS = 2
 
@@ -155,7 +155,7 @@
         elif name in statuses or not self._is_shard_reconciled(name):
             # Right after a failover a shard leader has yet to hear from its machines.
             self._unheard_since.pop(name, None)
-        elif machine.age > self._boot_seconds(machine.type) * MAX_BOOTS:
+        elif machine.age > self._boot_seconds(machine.type) * MAX_BOOT_TIMES:
             since = self._unheard_since.setdefault(name, now)
             if now - since > self._config.heartbeat_timeout * NO_HEARTBEAT_TIMEOUTS:
                 self._terminations.request(name, TerminationCause.NO_HEARTBEAT)
@@ -190,7 +190,7 @@
 
     def _boot_timeout(self, machine_type: str) -> float:
         """Seconds after which a machine that is still not up never will be."""
-        return self._boot_seconds(machine_type) * MAX_BOOTS + self._config.list_lag
+        return self._boot_seconds(machine_type) * MAX_BOOT_TIMES + self._config.list_lag
 
     def _boot_seconds(self, machine_type: str) -> float:
         catalog_entry = self._machine_types().get(machine_type)
