--- a/pitchtally/autoscaling/scale_in.py
+++ b/pitchtally/autoscaling/scale_in.py
@@ -18,7 +18,7 @@
 from .terminations import TerminationCause, Terminations
 
 # A job whose slack is at most this many boots can't wait for a machine to be launched.
-READY_BOOTS = 2
+MAX_STANDBY_SLACK_BOOTS = 2
 
 
 class _ReadyOption(NamedTuple):
@@ -121,7 +121,7 @@
             machine_type = types.get(status.type)
             if machine_type is None or status.flag or status.name in self._draining:
                 continue
-            if slack > machine_type.boot * READY_BOOTS:
+            if slack > machine_type.boot * MAX_STANDBY_SLACK_BOOTS:
                 continue
             group = MachineGroupKey(status.type, status.zone, status.spot)
             fitting = tasks_per_machine(spec, group, types)
