--- a/pitchtally/autoscaling/scale_out.py
+++ b/pitchtally/autoscaling/scale_out.py
@@ -25,7 +25,7 @@
 
 log = logging.getLogger(__name__)
 
-LAUNCHES_PER_ROUND = 6
+MAX_LAUNCHES_PER_ROUND = 6
 # Seconds for which a group is left alone that had no machine, or not as many as asked for.
 FIRST_BACKOFF_S, MAX_BACKOFF_S, PARTIAL_BACKOFF_S = 5.0, 60.0, 20.0
 
@@ -96,7 +96,7 @@
     async def run_round(self, token: FencingToken, is_verified: Callable[[], bool]) -> None:
         """Launch what is missing, while leadership is verified; raises `CloudUnavailable`."""
         now = trio.current_time()
-        for _ in range(LAUNCHES_PER_ROUND):
+        for _ in range(MAX_LAUNCHES_PER_ROUND):
             if not is_verified():
                 return
             if self._unanswered is None:
