--- a/pitchtally/autoscaling/scale_out.py
+++ b/pitchtally/autoscaling/scale_out.py
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MissingMachines:
+class PlannedLaunch:
     """Machines to launch."""
 
     group: MachineGroupKey
@@ -129,7 +129,7 @@
         for name in names:
             self._booting[name] = BootingMachine(group, now)
 
-    def _next_launch(self, now: float) -> MissingMachines | None:
+    def _next_launch(self, now: float) -> PlannedLaunch | None:
         """The next launch that pending tasks call for, cheapest per task first."""
         groups = [g for g in self._groups() if self._is_available(g, now)]
         if not groups:
@@ -143,7 +143,7 @@
             missing = self._missing_tasks(demand, machines)
             if missing > 0:
                 count = int(missing / cheapest.tasks_per_machine + 0.999)
-                return MissingMachines(cheapest.group, max(1, min(count, cloud_api.MAX_LAUNCH)))
+                return PlannedLaunch(cheapest.group, max(1, min(count, cloud_api.MAX_LAUNCH)))
         return None
 
     def _groups(self) -> Iterable[MachineGroupKey]:
