--- a/pitchtally/autoscaling/terminations.py
+++ b/pitchtally/autoscaling/terminations.py
@@ -14,7 +14,7 @@
 log = logging.getLogger(__name__)
 
 # Seconds for which peers are told that a machine is terminated.
-TERMINATED_MEMORY_S = 120.0
+TERMINATED_RETENTION_S = 120.0
 
 
 class TerminationCause(StrEnum):
@@ -52,7 +52,7 @@
     def recent(self) -> list[str]:
         """Machines that the cloud has confirmed gone of late."""
         now = trio.current_time()
-        expired = [n for n, at in self._terminated_at.items() if now - at > TERMINATED_MEMORY_S]
+        expired = [n for n, at in self._terminated_at.items() if now - at > TERMINATED_RETENTION_S]
         for name in expired:
             del self._terminated_at[name]
         return list(self._terminated_at)
