--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -52,7 +52,7 @@
 PEER_SHARE = 0.05
 MAX_PEER_MESSAGE_BYTES = 1 << 22
 # Timeouts of the servers, as multiples of the agents' lease and heartbeat interval.
-IDLE_USER_LEASES = 3
+USER_IDLE_TIMEOUT_LEASES = 3
 USER_REQUEST_HEARTBEATS = 2
 
 
@@ -289,7 +289,7 @@
         users = Server(
             self.api.serve,
             max_connections=int(connections * (1 - OUTBOUND_SHARE - PEER_SHARE)),
-            idle_timeout=times.lease_s * IDLE_USER_LEASES,
+            idle_timeout=times.lease_s * USER_IDLE_TIMEOUT_LEASES,
             request_timeout=times.report_s * USER_REQUEST_HEARTBEATS,
             priority_paths=frozenset({HEARTBEATS}),
         )
