--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -53,7 +53,7 @@
 MAX_PEER_MESSAGE_BYTES = 1 << 22
 # Timeouts of the servers, as multiples of the agents' lease and heartbeat interval.
 USER_IDLE_TIMEOUT_LEASES = 3
-USER_REQUEST_HEARTBEATS = 2
+USER_REQUEST_TIMEOUT_HEARTBEATS = 2
 
 
 class _ShardLeaderships:
@@ -290,7 +290,7 @@
             self.api.serve,
             max_connections=int(connections * (1 - OUTBOUND_SHARE - PEER_SHARE)),
             idle_timeout=times.lease_s * USER_IDLE_TIMEOUT_LEASES,
-            request_timeout=times.report_s * USER_REQUEST_HEARTBEATS,
+            request_timeout=times.report_s * USER_REQUEST_TIMEOUT_HEARTBEATS,
             priority_paths=frozenset({HEARTBEATS}),
         )
         peers = Server(
