--- a/pitchtally/config/timing.py
+++ b/pitchtally/config/timing.py
@@ -18,7 +18,7 @@
 from .settings import AgentTimes
 
 # Steady clocks drift by up to 0.05 %, each of two; the rest covers timers that fire late.
-DRIFT = 1.002
+CLOCK_DRIFT_FACTOR = 1.002
 
 # An agent looks at its lease so many times in each heartbeat interval.
 LEASE_CHECKS_PER_HEARTBEAT = 4
@@ -31,9 +31,11 @@
 
 def lease_expired_at(answered_at: float, times: AgentTimes) -> float:
     """Return when an agent's lease has certainly expired, if it was last answered then."""
-    return answered_at + times.lease_s * DRIFT + timer_delay(times)
+    return answered_at + times.lease_s * CLOCK_DRIFT_FACTOR + timer_delay(times)
 
 
 def max_freshness_bound(times: AgentTimes) -> float:
     """Return for how long, in seconds, leases may be renewed without news of cancellations."""
-    return (times.cancel_s - timer_delay(times)) / DRIFT - times.lease_s * DRIFT
+    return (
+        times.cancel_s - timer_delay(times)
+    ) / CLOCK_DRIFT_FACTOR - times.lease_s * CLOCK_DRIFT_FACTOR
