--- a/pitchtally/config/timing.py
+++ b/pitchtally/config/timing.py
@@ -24,18 +24,18 @@
 LEASE_CHECKS_PER_HEARTBEAT = 4
 
 
-def timer_delay(times: AgentTimes) -> float:
+def max_timer_delay(times: AgentTimes) -> float:
     """Return the longest time, in seconds, in which an agent notices that its lease expired."""
     return times.report_s / LEASE_CHECKS_PER_HEARTBEAT
 
 
 def lease_expired_at(answered_at: float, times: AgentTimes) -> float:
     """Return when an agent's lease has certainly expired, if it was last answered then."""
-    return answered_at + times.lease_s * CLOCK_DRIFT_FACTOR + timer_delay(times)
+    return answered_at + times.lease_s * CLOCK_DRIFT_FACTOR + max_timer_delay(times)
 
 
 def max_freshness_bound(times: AgentTimes) -> float:
     """Return for how long, in seconds, leases may be renewed without news of cancellations."""
     return (
-        times.cancel_s - timer_delay(times)
+        times.cancel_s - max_timer_delay(times)
     ) / CLOCK_DRIFT_FACTOR - times.lease_s * CLOCK_DRIFT_FACTOR
