--- a/pitchtally/config/expression.py
+++ b/pitchtally/config/expression.py
@@ -46,7 +46,7 @@
     """A name that stands for nothing; the text is the reason that the user is given."""
 
 
-class Names(Protocol):
+class NameResolver(Protocol):
     """What the names of an expression stand for."""
 
     def value(self, name: str) -> Value:
@@ -56,7 +56,7 @@
         """Return the value of `section.name`; raises UnknownNameError."""
 
 
-def evaluate(text: str, names: Names) -> Value:
+def evaluate(text: str, names: NameResolver) -> Value:
     """Return the value of an expression; raises ExpressionError, and what `names` raises."""
     try:
         tree = ast.parse(text, mode="eval")
@@ -74,7 +74,7 @@
 class _Evaluator:
     """Evaluates the nodes of one expression."""
 
-    def __init__(self, names: Names) -> None:
+    def __init__(self, names: NameResolver) -> None:
         self._names = names
 
     def value(self, node: ast.expr) -> Value:
