--- a/pitchtally/autoscaling/machine_health.py
+++ b/pitchtally/autoscaling/machine_health.py
@@ -133,7 +133,7 @@
         for name, machine in list(self._booting.items()):
             if name in statuses:
                 del self._booting[name]
-            elif now - machine.since > self._boot_timeout(machine.group.type):
+            elif now - machine.booting_since > self._boot_timeout(machine.group.type):
                 del self._booting[name]
                 self._terminations.request(name, TerminationCause.BOOT_TIMEOUT)
 
--- a/pitchtally/autoscaling/scale_out.py
+++ b/pitchtally/autoscaling/scale_out.py
@@ -35,7 +35,7 @@
     """A machine that was launched and has sent no heartbeat yet."""
 
     group: MachineGroupKey
-    since: float  # steady clock, seconds
+    booting_since: float  # steady clock, seconds
 
 
 class _Backoff(NamedTuple):
