--- a/pitchtally/autoscaling/demand.py
+++ b/pitchtally/autoscaling/demand.py
@@ -45,7 +45,7 @@
     """The pending tasks of one shape in all shards."""
 
     spec: user_api.JobSpec  # of one of the jobs
-    seconds: float = 0.0  # expected task-seconds
+    task_seconds: float = 0.0  # expected task-seconds
     tasks: int = 0
 
 
@@ -68,7 +68,7 @@
         spec = found.spec
         demand = demands.setdefault(JobShape.of(spec), PendingDemand(spec))
         demand.spec = spec
-        demand.seconds += count * scheduler.task_seconds(spec)
+        demand.task_seconds += count * scheduler.task_seconds(spec)
         demand.tasks += count
     return list(demands.values())
 
--- a/pitchtally/autoscaling/scale_out.py
+++ b/pitchtally/autoscaling/scale_out.py
@@ -196,10 +196,10 @@
             return min(demand.tasks - free - yielding - booting, allowed)
         # Tasks that the present machines finish before a new one has booted need none.
         patience = self._patience * self._scheduler.slack(spec)
-        if slots and demand.seconds / slots <= patience:
+        if slots and demand.task_seconds / slots <= patience:
             return 0.0
         # More machines than the team's limit can use would only cost.
-        return min(demand.seconds / patience - slots, demand.tasks, allowed)
+        return min(demand.task_seconds / patience - slots, demand.tasks, allowed)
 
 
 def price_of(machine_type: cloud_api.MachineType, *, spot: bool) -> float:
--- a/tests/autoscaling/test_demand.py
+++ b/tests/autoscaling/test_demand.py
@@ -20,7 +20,7 @@
         statuses = {0: shard([], wk_000001=2)}
         demands = pending_demands(statuses.values(), jobs, view(statuses))
         # 2 pending in the shard and 6 of each job that no shard has been assigned yet.
-        assert [(d.spec.job_class, d.tasks, d.seconds) for d in demands] == [
+        assert [(d.spec.job_class, d.tasks, d.task_seconds) for d in demands] == [
             ("c", 14, 14 * 4.0),
             ("other", 6, 6 * 4.0),
         ]
