--- a/pitchtally/autoscaling/autoscaler.py
+++ b/pitchtally/autoscaling/autoscaler.py
@@ -67,7 +67,7 @@
     """The leadership that the loop's state belongs to."""
 
     token: FencingToken
-    since: float
+    started_at: float
 
 
 class Autoscaler:
@@ -128,8 +128,8 @@
                     self._leadership = None
                 await trio.sleep(LEADERSHIP_POLL_S)
                 continue
-            if not self._continues(token):
-                self._start(token)
+            if not self._is_current_leadership(token):
+                self._begin_leadership(token)
             try:
                 await self._run_round(token)
                 self._errors.recovered()
@@ -139,15 +139,15 @@
                 pass
             await trio.sleep(pause)
 
-    def _continues(self, token: FencingToken) -> bool:
+    def _is_current_leadership(self, token: FencingToken) -> bool:
         """Whether this is the leadership of the last round, without a pause of the process."""
         return (
             self._leadership is not None
             and self._leadership.token == token
-            and self._leadership.since >= self._membership.resumed_at()
+            and self._leadership.started_at >= self._membership.resumed_at()
         )
 
-    def _start(self, token: FencingToken) -> None:
+    def _begin_leadership(self, token: FencingToken) -> None:
         """Begin without state: launches of an earlier leader are known once the list is read."""
         self._leadership = _Leadership(token, trio.current_time())
         self._inventory.reset()
