--- a/pitchtally/autoscaling/catalog.py
+++ b/pitchtally/autoscaling/catalog.py
@@ -45,15 +45,15 @@
     def subscribe(self, listener: Callable[[list[cloud_api.MachineType]], None]) -> None:
         """Have a listener called with all types whenever a stored page changes."""
 
-        def page_changed(rest: str, value: bytes | None, version: int) -> None:
-            key = keys.absolute(keys.MACHINE_TYPES_PREFIX, rest)
+        def page_changed(key_suffix: str, value: bytes | None, version: int) -> None:
+            key = keys.absolute(keys.MACHINE_TYPES_PREFIX, key_suffix)
             if value is None:
                 self._pages.pop(key, None)
             else:
                 self._pages[key] = _decode(value)
-            found = [machine_type for page in self._pages.values() for machine_type in page]
-            if found:
-                listener(found)
+            machine_types = [machine_type for page in self._pages.values() for machine_type in page]
+            if machine_types:
+                listener(machine_types)
 
         self._replica.listen(keys.MACHINE_TYPES_PREFIX, page_changed)
 
@@ -128,10 +128,10 @@
                 await trio.sleep(self._list_interval)
                 continue
             try:
-                found = await self._cloud.machine_types()
-                if found and self._has_changed(found):
-                    await self._store.save(found)
-                    self._replace(found)
+                machine_types = await self._cloud.machine_types()
+                if machine_types and self._has_changed(machine_types):
+                    await self._store.save(machine_types)
+                    self._replace(machine_types)
             except InsufficientCapacity:
                 self._errors.recovered()  # an answer, though of no use
             except (CloudUnavailable, StoreUnavailable) as error:
@@ -139,20 +139,20 @@
             intervals = REFRESH_INTERVALS if self.types_by_name else INITIAL_RETRY_INTERVALS
             await trio.sleep(self._list_interval * intervals)
 
-    def _replace(self, found: list[cloud_api.MachineType]) -> None:
-        self.types_by_name = {machine_type.name: machine_type for machine_type in found}
+    def _replace(self, machine_types: list[cloud_api.MachineType]) -> None:
+        self.types_by_name = {machine_type.name: machine_type for machine_type in machine_types}
         for machine in self._machines.values():
             machine.machine_type = self.types_by_name.get(machine.type)
 
-    def _has_changed(self, found: list[cloud_api.MachineType]) -> bool:
+    def _has_changed(self, machine_types: list[cloud_api.MachineType]) -> bool:
         """Whether shapes have changed, or spot prices by more than a step."""
-        if {machine_type.name for machine_type in found} != set(self.types_by_name):
+        if {machine_type.name for machine_type in machine_types} != set(self.types_by_name):
             return True
-        return any(_differs(new, self.types_by_name[new.name]) for new in found)
+        return any(_differs(new, self.types_by_name[new.name]) for new in machine_types)
 
 
 def _differs(new: cloud_api.MachineType, old: cloud_api.MachineType) -> bool:
     if (new.cpus, new.gpus, new.memory, new.zones) != (old.cpus, old.gpus, old.memory, old.zones):
         return True
-    step = MIN_PRICE_CHANGE_RATIO * (old.spot_price or 1)
-    return abs((new.spot_price or 0) - (old.spot_price or 0)) > step
+    min_change = MIN_PRICE_CHANGE_RATIO * (old.spot_price or 1)
+    return abs((new.spot_price or 0) - (old.spot_price or 0)) > min_change
