--- a/pitchtally/autoscaling/cloud_client.py
+++ b/pitchtally/autoscaling/cloud_client.py
@@ -68,16 +68,16 @@
 
     async def machines(self) -> dict[str, cloud_api.ListedMachine]:
         """Every machine that the cloud lists, by name."""
-        found: dict[str, cloud_api.ListedMachine] = {}
-        after = ""
+        machines: dict[str, cloud_api.ListedMachine] = {}
+        last_name = ""
         while True:
-            since = f"since={after}&" if after else ""
-            body = await self._call("GET", f"/machines?{since}limit={cloud_api.LIST_PAGE}")
+            start = f"since={last_name}&" if last_name else ""
+            body = await self._call("GET", f"/machines?{start}limit={cloud_api.LIST_PAGE}")
             page = _decode(body, cloud_api.MachineList)
-            found.update((machine.name, machine) for machine in page.machines)
+            machines.update((machine.name, machine) for machine in page.machines)
             if not page.more or not page.machines:
-                return found
-            after = page.machines[-1].name
+                return machines
+            last_name = page.machines[-1].name
 
     async def launch(self, request: cloud_api.LaunchRequest) -> list[str]:
         """Launch machines; the names of those launched, perhaps fewer than asked for.
@@ -110,8 +110,8 @@
         return response.body
 
 
-def _decode(body: bytes, kind: type[_T]) -> _T:
+def _decode(body: bytes, message_type: type[_T]) -> _T:
     try:
-        return msgspec.json.decode(body, type=kind)
+        return msgspec.json.decode(body, type=message_type)
     except msgspec.MsgspecError as error:
         raise CloudUnavailable(str(error)) from None
