--- a/pitchtally/autoscaling/demand.py
+++ b/pitchtally/autoscaling/demand.py
@@ -62,10 +62,10 @@
             pending[job.id] += unassigned
     demands: dict[JobShape, PendingDemand] = {}
     for id, count in pending.items():
-        found = open_jobs.get(id)
-        if found is None:
+        job = open_jobs.get(id)
+        if job is None:
             continue
-        spec = found.spec
+        spec = job.spec
         demand = demands.setdefault(JobShape.of(spec), PendingDemand(spec))
         demand.spec = spec
         demand.task_seconds += count * scheduler.task_seconds(spec)
@@ -77,7 +77,7 @@
     statuses: Iterable[ShardStatus], open_jobs: Mapping[str, Job], scheduler: SchedulerView
 ) -> list[user_api.JobSpec]:
     """One job of each request that is pending in a shard and within its team's limit."""
-    found: dict[_RequestShape, user_api.JobSpec] = {}
+    specs: dict[_RequestShape, user_api.JobSpec] = {}
     for status in statuses:
         for id in status.pending:
             job = open_jobs.get(id)
@@ -86,8 +86,8 @@
                 shape = _RequestShape(
                     resource_request(spec), spec.team, spec.types, spec.zone, spec.spot
                 )
-                found.setdefault(shape, spec)
-    return [spec for spec in found.values() if scheduler.tasks_within_limit(spec)]
+                specs.setdefault(shape, spec)
+    return [spec for spec in specs.values() if scheduler.tasks_within_limit(spec)]
 
 
 def tasks_per_machine(
@@ -103,7 +103,7 @@
 
 
 class _Sample(NamedTuple):
-    at: float
+    sampled_at: float
     tasks: int
 
 
@@ -120,13 +120,13 @@
         counts: Counter[JobShape] = Counter()
         for job in open_jobs:
             spec = job.spec
-            left = spec.tasks - job.finished.count
+            unfinished = spec.tasks - job.finished.count
             startable = 1 + scheduler.tasks_within_limit(spec) + scheduler.running_tasks(job.id)
-            counts[JobShape.of(spec)] += min(left, startable)
+            counts[JobShape.of(spec)] += min(unfinished, startable)
         for shape, tasks in counts.items():
             self._samples.setdefault(shape, []).append(_Sample(now, tasks))
         for shape in list(self._samples):
-            recent = [s for s in self._samples[shape] if now - s.at < self._window]
+            recent = [s for s in self._samples[shape] if now - s.sampled_at < self._window]
             self._samples[shape] = recent
             if not recent:
                 del self._samples[shape]
