--- a/pitchtally/autoscaling/inventory.py
+++ b/pitchtally/autoscaling/inventory.py
@@ -36,13 +36,13 @@
         now = trio.current_time()
         if self._has_read and now - self._read_at < self._list_interval:
             return
-        found = await self._cloud.machines()
+        listed = await self._cloud.machines()
         self._read_at = now
         self._has_read = True
         for name in self.machines:
-            if name not in found:
+            if name not in listed:
                 self._absent_since.setdefault(name, now)
-        for name, machine in found.items():
+        for name, machine in listed.items():
             self._absent_since.pop(name, None)
             self.machines[name] = machine
         self._drop_absent(now)
@@ -53,7 +53,7 @@
 
     def _drop_absent(self, now: float) -> None:
         # A list can be older than the one before: only long absence counts.
-        for name, since in list(self._absent_since.items()):
-            if now - since > self._list_lag * ABSENCE_TIMEOUT_LAGS:
+        for name, absent_since in list(self._absent_since.items()):
+            if now - absent_since > self._list_lag * ABSENCE_TIMEOUT_LAGS:
                 self.machines.pop(name, None)
                 del self._absent_since[name]
