--- a/pitchtally/autoscaling/machine_health.py
+++ b/pitchtally/autoscaling/machine_health.py
@@ -29,8 +29,8 @@
 
 
 @dataclass(slots=True)
-class _Timeout:
-    since: float
+class _UnreachablePeriod:
+    started_at: float
     confirmed_at: float
 
 
@@ -51,13 +51,13 @@
         self._config = config
         self._scheduler = scheduler
         self._resumed_at = resumed_at
-        self._timeouts: dict[str, _Timeout] = {}
+        self._periods: dict[str, _UnreachablePeriod] = {}
         self._observed_at = -math.inf
 
     def unreachable_for(self, name: str, now: float) -> float | None:
         """Seconds for which a machine has been unreachable, None if it isn't."""
-        timeout = self._timeouts.get(name)
-        return None if timeout is None else now - timeout.since
+        period = self._periods.get(name)
+        return None if period is None else now - period.started_at
 
     async def run(self) -> None:
         """Observe again and again."""
@@ -68,19 +68,19 @@
     def _observe(self) -> None:
         now = trio.current_time()
         if self._resumed_at() > self._observed_at:
-            self._timeouts.clear()  # this process was paused and received nothing
+            self._periods.clear()  # this process was paused and received nothing
         self._observed_at = now
         for name, status in self._scheduler.machine_statuses().items():
             if status.flag not in UNREACHABLE_FLAGS:
-                self._timeouts.pop(name, None)
-            elif self._is_fresh(name, now):
-                self._timeouts.setdefault(name, _Timeout(now, now)).confirmed_at = now
+                self._periods.pop(name, None)
+            elif self._is_status_recent(name, now):
+                self._periods.setdefault(name, _UnreachablePeriod(now, now)).confirmed_at = now
         # What nobody has confirmed for long may have ended unseen.
         max_age = self._config.agent_lease / 2
-        for name in [n for n, t in self._timeouts.items() if now - t.confirmed_at > max_age]:
-            del self._timeouts[name]
+        for name in [n for n, p in self._periods.items() if now - p.confirmed_at > max_age]:
+            del self._periods[name]
 
-    def _is_fresh(self, machine: str, now: float) -> bool:
+    def _is_status_recent(self, machine: str, now: float) -> bool:
         """Whether this node leads the machine's shard, or has heard its leader of late."""
         shard = shard_of(machine, self._config.shard_count)
         if self._scheduler.leads_shard(shard):
@@ -113,11 +113,11 @@
         self._booting = booting
         self._timeouts = timeouts
         self._terminations = terminations
-        self._unheard_since: dict[str, float] = {}  # listed as up, reported by no shard leader
+        self._no_heartbeat_since: dict[str, float] = {}  # listed as up, reported by no shard leader
 
     def reset(self) -> None:
         """Forget what an earlier leadership observed."""
-        self._unheard_since.clear()
+        self._no_heartbeat_since.clear()
 
     def check(self, statuses: Mapping[str, MachineStatus], now: float) -> None:
         """Request the termination of each machine that has to go."""
@@ -154,23 +154,23 @@
                 self._booting[name] = BootingMachine(group, now - machine.age)
         elif name in statuses or not self._is_shard_reconciled(name):
             # Right after a failover a shard leader has yet to hear from its machines.
-            self._unheard_since.pop(name, None)
+            self._no_heartbeat_since.pop(name, None)
         elif machine.age > self._boot_seconds(machine.type) * MAX_BOOT_TIMES:
-            since = self._unheard_since.setdefault(name, now)
-            if now - since > self._config.heartbeat_timeout * NO_HEARTBEAT_TIMEOUTS:
+            no_heartbeat_since = self._no_heartbeat_since.setdefault(name, now)
+            if now - no_heartbeat_since > self._config.heartbeat_timeout * NO_HEARTBEAT_TIMEOUTS:
                 self._terminations.request(name, TerminationCause.NO_HEARTBEAT)
 
     def _check_reported(self, name: str, status: MachineStatus, now: float) -> None:
         if status.flag in UNREACHABLE_FLAGS:
             unreachable_for = self._timeouts.unreachable_for(name, now)
-            if unreachable_for is not None and unreachable_for > self._max_unreachable(status):
+            if unreachable_for is not None and unreachable_for > self._unreachable_timeout(status):
                 self._terminations.request(name, TerminationCause.HEARTBEAT_TIMEOUT)
         if status.flag == MachineFlag.NOTICE and status.tasks == 0:
             self._terminations.request(name, TerminationCause.PREEMPTED)
         if status.flag == MachineFlag.QUARANTINED and status.tasks == 0:
             self._terminations.request(name, TerminationCause.QUARANTINED)
 
-    def _max_unreachable(self, status: MachineStatus) -> float:
+    def _unreachable_timeout(self, status: MachineStatus) -> float:
         """Seconds after which an unreachable machine is terminated.
 
         Suspect: a failover waits for it. Unresponsive: its heartbeats arrive, but its lease
