--- a/pitchtally/autoscaling/scale_in.py
+++ b/pitchtally/autoscaling/scale_in.py
@@ -21,7 +21,7 @@
 MAX_STANDBY_SLACK_BOOTS = 2
 
 
-class _ReadyOption(NamedTuple):
+class _StandbyOption(NamedTuple):
     """A machine that can be kept ready for a job shape, the cheapest first in order."""
 
     price_per_task: float
@@ -67,12 +67,12 @@
         self._terminate_drained(statuses)
 
     def _drain_idle(self, statuses: Mapping[str, MachineStatus]) -> None:
-        ready = self._kept_ready(statuses)
+        standby = self._standby_machines(statuses)
         queued = queued_specs(
             self._scheduler.shard_statuses().values(), self._open_jobs, self._scheduler
         )
         for name, status in statuses.items():
-            if status.flag or status.tasks or name in ready or name in self._draining:
+            if status.flag or status.tasks or name in standby or name in self._draining:
                 continue
             if status.idle_for < self._config.idle_timeout:
                 continue
@@ -95,25 +95,25 @@
             allows_machine_type(spec, machine_type, status.zone, status.spot) for spec in queued
         )
 
-    def _kept_ready(self, statuses: Mapping[str, MachineStatus]) -> set[str]:
+    def _standby_machines(self, statuses: Mapping[str, MachineStatus]) -> set[str]:
         """Machines that stay although they are idle: for each job shape its recent peak.
 
         Only for shapes whose slack is shorter than two boots: these would miss their
         objective if machines were launched on demand.
         """
-        kept: set[str] = set()
+        standby: set[str] = set()
         for spec in self._scheduler.recent_specs():
-            missing = self._peaks.peak(JobShape.of(spec))
-            for option in sorted(self._ready_options(spec, statuses.values())):
-                if missing <= 0:
+            missing_tasks = self._peaks.peak(JobShape.of(spec))
+            for option in sorted(self._standby_options(spec, statuses.values())):
+                if missing_tasks <= 0:
                     break
-                kept.add(option.name)
-                missing -= option.tasks
-        return kept
+                standby.add(option.name)
+                missing_tasks -= option.tasks
+        return standby
 
-    def _ready_options(
+    def _standby_options(
         self, spec: user_api.JobSpec, statuses: Iterable[MachineStatus]
-    ) -> Iterable[_ReadyOption]:
+    ) -> Iterable[_StandbyOption]:
         """Usable machines that a job of short slack may run on."""
         types = self._machine_types()
         slack = self._scheduler.slack(spec)
@@ -124,10 +124,10 @@
             if slack > machine_type.boot * MAX_STANDBY_SLACK_BOOTS:
                 continue
             group = MachineGroupKey(status.type, status.zone, status.spot)
-            fitting = tasks_per_machine(spec, group, types)
-            if fitting:
+            fitting_tasks = tasks_per_machine(spec, group, types)
+            if fitting_tasks:
                 price = price_of(machine_type, spot=status.spot)
-                yield _ReadyOption(price / fitting, status.name, fitting)
+                yield _StandbyOption(price / fitting_tasks, status.name, fitting_tasks)
 
 
 def apply_drains(names: Iterable[str], machines: Iterable[Machine]) -> None:
