--- a/pitchtally/autoscaling/demand.py
+++ b/pitchtally/autoscaling/demand.py
@@ -62,10 +62,10 @@
             pending[job.id] += unassigned
     demands: dict[JobShape, PendingDemand] = {}
     for id, count in pending.items():
-        job = open_jobs.get(id)
-        if job is None:
+        pending_job = open_jobs.get(id)
+        if pending_job is None:
             continue
-        spec = job.spec
+        spec = pending_job.spec
         demand = demands.setdefault(JobShape.of(spec), PendingDemand(spec))
         demand.spec = spec
         demand.task_seconds += count * scheduler.task_seconds(spec)
