--- a/pitchtally/autoscaling/terminations.py
+++ b/pitchtally/autoscaling/terminations.py
@@ -52,7 +52,11 @@
     def recent(self) -> list[str]:
         """Machines that the cloud has confirmed gone of late."""
         now = trio.current_time()
-        expired = [n for n, at in self._terminated_at.items() if now - at > TERMINATED_RETENTION_S]
+        expired = [
+            name
+            for name, terminated_at in self._terminated_at.items()
+            if now - terminated_at > TERMINATED_RETENTION_S
+        ]
         for name in expired:
             del self._terminated_at[name]
         return list(self._terminated_at)
