--- a/pitchtally/autoscaling/scale_out.py
+++ b/pitchtally/autoscaling/scale_out.py
@@ -72,26 +72,26 @@
         open_jobs: Mapping[str, Job],
         scheduler: SchedulerView,
         booting: dict[str, BootingMachine],
-        patience: float,
+        max_queue_slack_share: float,
     ):
         """`booting`: shared with the health checks; launched machines are added.
 
-        `patience`: the share of a job's slack within which present machines must finish its
-        queue, else more are launched.
+        `max_queue_slack_share`: more machines are launched if the present ones would take longer
+        than this share of a job's slack to finish its queue.
         """
         self._cloud = cloud
         self._machine_types = machine_types
         self._open_jobs = open_jobs
         self._scheduler = scheduler
         self._booting = booting
-        self._patience = patience
+        self._max_queue_slack_share = max_queue_slack_share
         self._backoffs: dict[MachineGroupKey, _Backoff] = {}
-        self._unanswered: cloud_api.LaunchRequest | None = None
+        self._unanswered_request: cloud_api.LaunchRequest | None = None
         self._counter = 0
 
     def reset(self) -> None:
         """Drop the request of an earlier leadership."""
-        self._unanswered = None
+        self._unanswered_request = None
 
     async def run_round(self, token: FencingToken, is_verified: Callable[[], bool]) -> None:
         """Launch what is missing, while leadership is verified; raises `CloudUnavailable`."""
@@ -99,28 +99,28 @@
         for _ in range(MAX_LAUNCHES_PER_ROUND):
             if not is_verified():
                 return
-            if self._unanswered is None:
-                missing = self._next_launch(now)
-                if missing is None:
+            if self._unanswered_request is None:
+                launch = self._next_launch(now)
+                if launch is None:
                     return
                 self._counter += 1
-                self._unanswered = cloud_api.LaunchRequest(
-                    f"h-{token}-{self._counter}", *missing.group, missing.count
+                self._unanswered_request = cloud_api.LaunchRequest(
+                    f"h-{token}-{self._counter}", *launch.group, launch.count
                 )
-            await self._launch(self._unanswered, now)
+            await self._launch(self._unanswered_request, now)
 
     async def _launch(self, request: cloud_api.LaunchRequest, now: float) -> None:
         group = MachineGroupKey(request.type, request.zone, request.spot)
         try:
             names = await self._cloud.launch(request)
         except InsufficientCapacity:
-            self._unanswered = None
-            before = self._backoffs.get(group)
-            seconds = min((before.seconds if before else FIRST_BACKOFF_S) * 2, MAX_BACKOFF_S)
+            self._unanswered_request = None
+            previous = self._backoffs.get(group)
+            seconds = min((previous.seconds if previous else FIRST_BACKOFF_S) * 2, MAX_BACKOFF_S)
             self._backoffs[group] = _Backoff(now + seconds, seconds)
             log.info("launch refused type=%s zone=%s spot=%s", *group)
             return
-        self._unanswered = None
+        self._unanswered_request = None
         if len(names) < request.count:
             self._backoffs[group] = _Backoff(now + PARTIAL_BACKOFF_S, PARTIAL_BACKOFF_S)
         else:
@@ -140,9 +140,9 @@
             cheapest = self._cheapest(demand.spec, groups)
             if cheapest is None:
                 continue
-            missing = self._missing_tasks(demand, machines)
-            if missing > 0:
-                count = int(missing / cheapest.tasks_per_machine + 0.999)
+            missing_tasks = self._missing_tasks(demand, machines)
+            if missing_tasks > 0:
+                count = int(missing_tasks / cheapest.tasks_per_machine + 0.999)
                 return PlannedLaunch(cheapest.group, max(1, min(count, cloud_api.MAX_LAUNCH)))
         return None
 
@@ -164,11 +164,13 @@
         types = self._machine_types()
         options = []
         for group in groups:
-            fitting = tasks_per_machine(spec, group, types)
-            if fitting:
+            fitting_tasks = tasks_per_machine(spec, group, types)
+            if fitting_tasks:
                 machine_type = types[group.type]
                 price = price_of(machine_type, spot=group.spot)
-                options.append(_LaunchOption(price / fitting, machine_type.boot, group, fitting))
+                options.append(
+                    _LaunchOption(price / fitting_tasks, machine_type.boot, group, fitting_tasks)
+                )
         return min(options, default=None)
 
     def _missing_tasks(self, demand: PendingDemand, machines: Collection[MachineStatus]) -> float:
@@ -176,16 +178,16 @@
         spec = demand.spec
         types = self._machine_types()
         resources = resource_request(spec)
-        slots = free = yielding = 0
+        slots = free = preemptible = 0
         for machine in machines:
             group = MachineGroupKey(machine.type, machine.zone, machine.spot)
-            slots_here = tasks_per_machine(spec, group, types)
+            machine_slots = tasks_per_machine(spec, group, types)
             if machine.flag in (MachineFlag.USABLE, MachineFlag.NEW):
-                slots += slots_here
-            if machine.flag == MachineFlag.USABLE and slots_here:
+                slots += machine_slots
+            if machine.flag == MachineFlag.USABLE and machine_slots:
                 free += count_fitting(resources, machine.free)
                 if spec.is_service:
-                    yielding += count_fitting(resources, machine.preemptible)
+                    preemptible += count_fitting(resources, machine.preemptible)
         booting = sum(
             tasks_per_machine(spec, machine.group, types) for machine in self._booting.values()
         )
@@ -193,13 +195,13 @@
         allowed = self._scheduler.tasks_within_limit(spec) - free - booting
         if spec.is_service:
             # A service never frees its machines for what is queued behind it.
-            return min(demand.tasks - free - yielding - booting, allowed)
+            return min(demand.tasks - free - preemptible - booting, allowed)
         # Tasks that the present machines finish before a new one has booted need none.
-        patience = self._patience * self._scheduler.slack(spec)
-        if slots and demand.task_seconds / slots <= patience:
+        max_queue_seconds = self._max_queue_slack_share * self._scheduler.slack(spec)
+        if slots and demand.task_seconds / slots <= max_queue_seconds:
             return 0.0
         # More machines than the team's limit can use would only cost.
-        return min(demand.task_seconds / patience - slots, demand.tasks, allowed)
+        return min(demand.task_seconds / max_queue_seconds - slots, demand.tasks, allowed)
 
 
 def price_of(machine_type: cloud_api.MachineType, *, spot: bool) -> float:
