--- a/pitchtally/autoscaling/autoscaler.py
+++ b/pitchtally/autoscaling/autoscaler.py
@@ -1,4 +1,4 @@
-"""The cluster leader's autoscaling loop, and what nodes tell each other of its decisions."""
+"""The cluster leader's autoscaling loop, and the peer heartbeat fields that carry its results."""
 
 from __future__ import annotations
 
@@ -28,50 +28,50 @@
 
 log = logging.getLogger(__name__)
 
-# Seconds between two looks whether this node has become the cluster leader.
+# Interval at which a node that isn't the cluster leader checks whether it has become it.
 LEADERSHIP_POLL_S = 0.3
-# The pause between two rounds, in seconds at most; shorter where the list is read often.
+# Pause between rounds: a fraction of the list interval, limited to this many seconds.
 MAX_ROUND_PAUSE_S = 2.0
 ROUNDS_PER_LIST_INTERVAL = 3
 
 
 class ClusterLeadership(Protocol):
-    """What autoscaling asks of the membership."""
+    """The part of the membership that autoscaling uses."""
 
     @property
     def cluster_leader_token(self) -> FencingToken | None:
-        """This node's fencing token as cluster leader, None if it isn't."""
+        """This node's fencing token as cluster leader, None if it isn't the leader."""
 
     def verified_cluster_leader(self) -> FencingToken | None:
-        """The same, but None too unless it was verified within one session TTL."""
+        """Return the token if leadership was verified within the last session TTL, else None."""
 
     def leader(self, shard: ShardId) -> str | None:
-        """The node that leads a shard, as far as the replica shows."""
+        """Return the leader of a shard according to the local replica."""
 
     def resumed_at(self) -> float:
-        """When this process last continued after a pause."""
+        """Return when this process last resumed after a pause (steady clock, seconds)."""
 
 
 class Agents(Protocol):
-    """What autoscaling asks of the machines of this node's shards."""
+    """The part of the agent manager that autoscaling uses: machines of this node's shards."""
 
     machines: dict[str, Machine]
-    terminated: set[str]  # machines known to be terminated
+    terminated: set[str]  # names of machines whose termination the cloud has confirmed
 
     def machine_terminated(self, name: str) -> None:
-        """Nothing runs on the machine any more."""
+        """Remove a machine that the cloud has terminated, with its tasks."""
 
 
 @dataclass(slots=True)
 class _Leadership:
-    """The leadership that the loop's state belongs to."""
+    """The term of cluster leadership during which the loop's state was collected."""
 
     token: FencingToken
     started_at: float
 
 
 class Autoscaler:
-    """Composes scale out, scale in and machine health into the cluster leader's loop."""
+    """Runs scale out, scale in and machine health checks in the cluster leader's loop."""
 
     def __init__(
         self,
@@ -84,7 +84,7 @@
         scheduler: SchedulerView,
         replica: Replica,
     ):
-        """Nine parameters, as it builds the components of this package and hands these on."""
+        """Take nine parameters, since the components of this package are built and wired here."""
         self.catalog = catalog
         self._config = config
         self._errors = cloud.errors
@@ -119,7 +119,7 @@
     # --- the cluster leader's loop ------------------------------------------------
 
     async def run(self) -> None:
-        """Read the machine list, terminate machines, launch others; as cluster leader."""
+        """Read the machine list, terminate and launch machines while this is the cluster leader."""
         pause = min(MAX_ROUND_PAUSE_S, self._config.list_interval / ROUNDS_PER_LIST_INTERVAL)
         while True:
             token = self._membership.verified_cluster_leader()
@@ -140,7 +140,7 @@
             await trio.sleep(pause)
 
     def _is_current_leadership(self, token: FencingToken) -> bool:
-        """Whether this is the leadership of the last round, without a pause of the process."""
+        """Return whether the state was built under this token, and after the last process pause."""
         return (
             self._leadership is not None
             and self._leadership.token == token
@@ -148,7 +148,7 @@
         )
 
     def _begin_leadership(self, token: FencingToken) -> None:
-        """Begin without state: launches of an earlier leader are known once the list is read."""
+        """Clear all state; launches of an earlier leader show up in the machine list."""
         self._leadership = _Leadership(token, trio.current_time())
         self._inventory.reset()
         self._health.reset()
@@ -178,28 +178,28 @@
     # --- every node's loops -------------------------------------------------------
 
     async def run_heartbeat_timeouts(self) -> None:
-        """Measure for how long machines are unreachable."""
+        """Track for how long machines have been unreachable."""
         await self._timeouts.run()
 
     async def run_local_drains(self) -> None:
-        """Apply the cluster leader's drains to its own machines; others learn them by heartbeat."""
+        """Drain machines of the cluster leader's own shards; peers get the names by heartbeat."""
         while True:
             await trio.sleep(self._config.heartbeat_interval)
             if self._membership.cluster_leader_token is not None:
                 apply_drains(self._scale_in.draining, self._agents.machines.values())
 
-    # --- what nodes tell each other -----------------------------------------------
+    # --- peer heartbeats ----------------------------------------------------------
 
     def terminated_machines(self) -> list[str]:
-        """Machines that the cloud has confirmed gone of late."""
+        """Return the names of recently terminated machines."""
         return self._terminations.recent()
 
     def draining_machines(self) -> list[str]:
-        """Machines that are to take no more tasks."""
+        """Return the names of the machines to drain."""
         return list(self._scale_in.draining)
 
     def apply_peer_heartbeat(self, heartbeat: PeerHeartbeat) -> None:
-        """Apply what a peer says of this node's machines."""
+        """Apply terminations from any peer, and drains if the peer is the cluster leader."""
         for name in heartbeat.terminated:
             if name not in self._agents.terminated or name in self._agents.machines:
                 self._agents.machine_terminated(name)
--- a/pitchtally/autoscaling/catalog.py
+++ b/pitchtally/autoscaling/catalog.py
@@ -1,6 +1,6 @@
 """The machine catalog: the machine types that the cloud offers, kept in the state store.
 
-Nodes follow the stored catalog, so that they know the types during an outage of the cloud too.
+Nodes follow the stored catalog, so the types are available during a cloud outage too.
 """
 
 from __future__ import annotations
@@ -20,9 +20,10 @@
 from ..state_store.replica import Replica
 from .cloud_client import CloudClient, CloudUnavailable, InsufficientCapacity
 
-# Spot prices drift all the time: a change by a smaller share of the price isn't worth a write.
+# Spot prices change constantly; changes below this share of the price aren't stored.
 MIN_PRICE_CHANGE_RATIO = 0.1
-# Intervals of the machine list between two requests for the types: once they are known, before.
+# Interval between requests for the machine types, as a multiple of the machine list interval:
+# after the first successful read, and before it.
 REFRESH_INTERVALS, INITIAL_RETRY_INTERVALS = 6.0, 0.5
 
 _decode = msgspec.json.Decoder(list[cloud_api.MachineType]).decode
@@ -32,18 +33,19 @@
 class CatalogStore:
     """The stored catalog.
 
-    One value holds all types. More than fit go into pages, `pt/types/<n>`, of which an earlier
-    version would take one for all there are: so only once the format gate is open.
+    A single value holds all types. If they exceed the size limit of a value they are split into
+    pages, `pt/types/<n>`, but only once the format gate is open: earlier versions would take
+    a single page for the complete list.
     """
 
     def __init__(self, state_store: StateStoreClient, replica: Replica, gate: FormatGate):
         self._state_store = state_store
         self._replica = replica
         self._gate = gate
-        self._pages: dict[str, list[cloud_api.MachineType]] = {}  # by key
+        self._pages: dict[str, list[cloud_api.MachineType]] = {}  # keyed by state store key
 
     def subscribe(self, listener: Callable[[list[cloud_api.MachineType]], None]) -> None:
-        """Have a listener called with all types whenever a stored page changes."""
+        """Call a listener with all types whenever a stored page changes."""
 
         def page_changed(key_suffix: str, value: bytes | None, version: int) -> None:
             key = keys.absolute(keys.MACHINE_TYPES_PREFIX, key_suffix)
@@ -58,7 +60,10 @@
         self._replica.listen(keys.MACHINE_TYPES_PREFIX, page_changed)
 
     async def save(self, machine_types: list[cloud_api.MachineType]) -> None:
-        """Store these types, unless another node writes first; raises `StoreUnavailable`."""
+        """Store these types; stop if another node has written concurrently.
+
+        Raises `StoreUnavailable`.
+        """
         for change in self.lay_out(machine_types):
             try:
                 revision = await self._state_store.commit(
@@ -71,7 +76,7 @@
             self._replica.apply_own_commit([change], revision)
 
     def lay_out(self, machine_types: list[cloud_api.MachineType]) -> list[Write]:
-        """The writes that store these types; those that delete a page come last."""
+        """Return the writes that store these types; deletions of pages come last."""
         max_bytes = int(self._state_store.limits.value_kb * 1024)
         if not self._gate.open or len(_encode(machine_types)) <= max_bytes:
             pages = {keys.MACHINE_TYPES: machine_types}
@@ -93,7 +98,7 @@
 
 
 class MachineCatalog:
-    """The machine types by name: `types_by_name` is empty until they have been read once."""
+    """The machine types; `types_by_name` is empty until they have been read once."""
 
     def __init__(
         self,
@@ -103,7 +108,7 @@
         is_cluster_leader: Callable[[], bool],
         list_interval: float,
     ):
-        """`machines`: those of this node's shards, whose type is set as the catalog changes."""
+        """`machines`: machines of this node's shards; their type is updated with the catalog."""
         self._store = store
         self._cloud = cloud
         self._errors = cloud.errors
@@ -114,15 +119,18 @@
         store.subscribe(self._replace)
 
     def types(self) -> dict[str, cloud_api.MachineType]:
-        """The machine types that the cloud offers, by name."""
+        """Return the machine types that the cloud offers, by name."""
         return self.types_by_name
 
     def lay_out(self, machine_types: list[cloud_api.MachineType]) -> list[Write]:
-        """The writes that store these types in place of the stored ones."""
+        """Return the writes that replace the stored types with these."""
         return self._store.lay_out(machine_types)
 
     async def run(self) -> None:
-        """Ask the cloud and store changes: the cluster leader, any node while types are unknown."""
+        """Poll the cloud's machine types and store changes.
+
+        Only the cluster leader polls, or any node that has no types yet.
+        """
         while True:
             if self.types_by_name and not self._is_cluster_leader():
                 await trio.sleep(self._list_interval)
@@ -133,7 +141,7 @@
                     await self._store.save(machine_types)
                     self._replace(machine_types)
             except InsufficientCapacity:
-                self._errors.recovered()  # an answer, though of no use
+                self._errors.recovered()  # the cloud responded, so the outage is over
             except (CloudUnavailable, StoreUnavailable) as error:
                 self._errors.failed(str(error))
             intervals = REFRESH_INTERVALS if self.types_by_name else INITIAL_RETRY_INTERVALS
@@ -145,7 +153,7 @@
             machine.machine_type = self.types_by_name.get(machine.type)
 
     def _has_changed(self, machine_types: list[cloud_api.MachineType]) -> bool:
-        """Whether shapes have changed, or spot prices by more than a step."""
+        """Return whether types or zones have changed, or a spot price by a relevant amount."""
         if {machine_type.name for machine_type in machine_types} != set(self.types_by_name):
             return True
         return any(_differs(new, self.types_by_name[new.name]) for new in machine_types)
--- a/pitchtally/autoscaling/cloud_client.py
+++ b/pitchtally/autoscaling/cloud_client.py
@@ -1,4 +1,4 @@
-"""Client of the cloud provider's API, within the rate limit that all nodes share."""
+"""Client of the cloud provider's API, kept within the rate limit of the deployment."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 log = logging.getLogger(__name__)
 
-# Of the rate limit, which the provider measures by a clock of its own.
+# Share of the rate limit in use; the margin covers clock differences with the provider.
 RATE_LIMIT_SHARE = 0.8
 
 _T = TypeVar("_T")
@@ -24,11 +24,11 @@
 
 
 class CloudUnavailable(Exception):
-    """The cloud gave no usable answer; a launch may have been carried out all the same."""
+    """The cloud sent no usable response; the outcome of a launch is unknown."""
 
 
 class InsufficientCapacity(Exception):
-    """The cloud has no machine of the group that was asked for."""
+    """The cloud has no free machine of the requested group."""
 
 
 class CloudErrorLog:
@@ -38,20 +38,20 @@
         self._cause = ""
 
     def failed(self, cause: str) -> None:
-        """A request failed; a cause that lasts is logged once."""
+        """Log a failed request, unless the last one failed for the same cause."""
         if cause != self._cause:
             log.info("cloud error cause=%s", cause[:80])
             self._cause = cause
 
     def recovered(self) -> None:
-        """Requests succeed."""
+        """Log the end of an outage, if there was one."""
         if self._cause:
             log.info("cloud recovered")
             self._cause = ""
 
 
 class CloudClient:
-    """Typed calls; each raises `CloudUnavailable` if no usable answer comes."""
+    """Typed calls; each raises `CloudUnavailable` if there is no usable response."""
 
     def __init__(self, settings: Settings, policy: Policy):
         self.errors = CloudErrorLog()
@@ -62,12 +62,12 @@
         self._client = Client(max_idle_per_address=2)
 
     async def machine_types(self) -> list[cloud_api.MachineType]:
-        """Every machine type on offer; may raise `InsufficientCapacity` too."""
+        """Return all machine types on offer; may also raise `InsufficientCapacity`."""
         body = await self._call("GET", "/flavors")
         return _decode(body, cloud_api.MachineTypeList).types
 
     async def machines(self) -> dict[str, cloud_api.ListedMachine]:
-        """Every machine that the cloud lists, by name."""
+        """Return all machines that the cloud lists, by name."""
         machines: dict[str, cloud_api.ListedMachine] = {}
         last_name = ""
         while True:
@@ -80,19 +80,20 @@
             last_name = page.machines[-1].name
 
     async def launch(self, request: cloud_api.LaunchRequest) -> list[str]:
-        """Launch machines; the names of those launched, perhaps fewer than asked for.
+        """Launch machines and return their names, which may be fewer than requested.
 
-        Idempotent by the request's name. Raises `InsufficientCapacity` if there are none.
+        Idempotent by the name of the request. Raises `InsufficientCapacity` if no machine is
+        available.
         """
         body = await self._call("POST", "/machines", _encode(request))
         return _decode(body, cloud_api.MachineNames).machines
 
     async def terminate(self, names: Iterable[str]) -> None:
-        """Terminate machines; once this returns nothing runs on them."""
+        """Terminate machines; no task runs on them once this has returned."""
         await self._call("POST", "/machines/release", _encode(cloud_api.MachineNames(list(names))))
 
     async def _call(self, method: str, target: str, body: bytes = b"") -> bytes:
-        """One request, once the shared limit allows it; the body of its answer."""
+        """Send a request when the rate limit allows it, and return the response body."""
         await self._requests.acquire(Priority.PROGRESS)
         try:
             response = await self._client.call(
--- a/pitchtally/autoscaling/config.py
+++ b/pitchtally/autoscaling/config.py
@@ -1,4 +1,4 @@
-"""The figures of settings and policy that autoscaling uses."""
+"""The settings and policy values that autoscaling uses."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 
 @dataclass(frozen=True, slots=True)
 class AutoscalerConfig:
-    """Limits and periods of autoscaling, in seconds unless said otherwise."""
+    """Limits and periods of autoscaling, in seconds unless noted otherwise."""
 
-    shard_count: int  # of the cluster
-    list_interval: float  # between two reads of the machine list
-    list_lag: float  # how far the machine list may be behind
+    shard_count: int  # number of shards in the cluster
+    list_interval: float  # interval between reads of the machine list
+    list_lag: float  # maximum staleness of the machine list
     agent_lease: float
-    session_ttl: float  # of a controller
-    heartbeat_interval: float  # between controllers
-    heartbeat_timeout: float  # a machine without heartbeats for this long is given up
-    demand_interval: float  # between two samples of demand
-    demand_window: float  # for which the peak demand of a job shape is remembered
+    session_ttl: float  # lifetime of a controller's session lease
+    heartbeat_interval: float  # interval of peer heartbeats
+    heartbeat_timeout: float  # unreachable machines are terminated after at most this long
+    demand_interval: float  # interval between samples of demand
+    demand_window: float  # period over which the peak demand of a job shape is taken
     idle_timeout: float  # an idle machine is terminated after this long
-    max_queue_slack_share: float  # of the slack of a job: the share that its queue may take
+    max_queue_slack_share: float  # share of a job's slack that its queue may take before scale out
 
     @classmethod
     def from_settings(cls, settings: Settings, policy: Policy) -> AutoscalerConfig:
-        """The figures as operators have set them."""
+        """Take the values from a deployment's settings and policy."""
         deployment = settings.deployment
         return cls(
             shard_count=deployment.count,
--- a/pitchtally/autoscaling/demand.py
+++ b/pitchtally/autoscaling/demand.py
@@ -1,4 +1,4 @@
-"""Demand: what pending and recent jobs ask of machines, as pure functions over views."""
+"""Demand of pending and recent jobs for machines, computed from status reports."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class JobShape(NamedTuple):
-    """What jobs have in common that may use the same machines and take about as long."""
+    """Groups jobs that may use the same machines and have tasks of about the same length."""
 
     job_class: str
     types: tuple[str, ...] | None
@@ -26,12 +26,12 @@
 
     @classmethod
     def of(cls, spec: user_api.JobSpec) -> JobShape:
-        """The shape of a job."""
+        """Return the shape of a job."""
         return cls(spec.job_class, spec.types, spec.zone, spec.spot)
 
 
 class _RequestShape(NamedTuple):
-    """What decides whether a job's pending tasks need a machine."""
+    """The properties of a job that decide whether its pending tasks can use a machine."""
 
     resources: Resources
     team: str
@@ -42,9 +42,9 @@
 
 @dataclass(slots=True)
 class PendingDemand:
-    """The pending tasks of one shape in all shards."""
+    """The pending tasks of one job shape in all shards."""
 
-    spec: user_api.JobSpec  # of one of the jobs
+    spec: user_api.JobSpec  # a job of this shape, as an example
     task_seconds: float = 0.0  # expected task-seconds
     tasks: int = 0
 
@@ -52,7 +52,7 @@
 def pending_demands(
     statuses: Iterable[ShardStatus], open_jobs: Mapping[str, Job], scheduler: SchedulerView
 ) -> list[PendingDemand]:
-    """What is pending, assigned to a shard or not yet, by shape."""
+    """Return the demand by job shape, including tasks not yet assigned to a shard."""
     pending: Counter[str] = Counter()
     for status in statuses:
         pending.update(status.pending)
@@ -76,7 +76,7 @@
 def queued_specs(
     statuses: Iterable[ShardStatus], open_jobs: Mapping[str, Job], scheduler: SchedulerView
 ) -> list[user_api.JobSpec]:
-    """One job of each request that is pending in a shard and within its team's limit."""
+    """Return one pending job per distinct request, without jobs of teams at their limit."""
     specs: dict[_RequestShape, user_api.JobSpec] = {}
     for status in statuses:
         for id in status.pending:
@@ -95,7 +95,7 @@
     group: MachineGroupKey,
     types: Mapping[str, cloud_api.MachineType],
 ) -> int:
-    """Tasks of a job that fit an empty machine of a group; 0 if the job doesn't allow it."""
+    """Return how many tasks of a job fit an empty machine of a group; 0 if it isn't allowed."""
     machine_type = types.get(group.type)
     if machine_type is None or not allows_machine_type(spec, machine_type, group.zone, group.spot):
         return 0
@@ -108,15 +108,15 @@
 
 
 class RecentPeaks:
-    """How many tasks of each shape ran or were startable at once, within a window."""
+    """The peak number of tasks of each job shape that were running or startable at once."""
 
     def __init__(self, window: float):
-        """`window`: seconds for which a sample counts."""
+        """`window`: age in seconds at which a sample is dropped."""
         self._window = window
         self._samples: dict[JobShape, list[_Sample]] = {}
 
     def sample(self, now: float, open_jobs: Iterable[Job], scheduler: SchedulerView) -> None:
-        """Record the present demand, and drop what is older than the window."""
+        """Record the current demand, and drop samples older than the window."""
         counts: Counter[JobShape] = Counter()
         for job in open_jobs:
             spec = job.spec
@@ -132,5 +132,5 @@
                 del self._samples[shape]
 
     def peak(self, shape: JobShape) -> int:
-        """The largest sample; 1 for a shape without samples."""
+        """Return the largest sample; 1 for a shape without samples."""
         return max((sample.tasks for sample in self._samples.get(shape, ())), default=1)
--- a/pitchtally/autoscaling/inventory.py
+++ b/pitchtally/autoscaling/inventory.py
@@ -9,15 +9,15 @@
 from ..protocol import cloud_api
 from .cloud_client import CloudClient
 
-# Times the list's lag for which a machine must be missing before it counts as gone.
+# A machine missing from the list for this many times the list's lag is dropped.
 ABSENCE_TIMEOUT_LAGS = 2
 
 
 class MachineInventory:
-    """The machine list as read so far, with machines that only recent reads lack."""
+    """The machine list; machines missing from recent reads are kept for a while."""
 
     def __init__(self, cloud: CloudClient, list_interval: float, list_lag: float):
-        """`list_interval`, `list_lag`: seconds between reads, and a list may be behind."""
+        """`list_interval`: seconds between reads; `list_lag`: maximum staleness in seconds."""
         self._cloud = cloud
         self._list_interval = list_interval
         self._list_lag = list_lag
@@ -27,7 +27,7 @@
         self._read_at = -math.inf
 
     def reset(self) -> None:
-        """Start over: the next refresh reads the list."""
+        """Clear the list and force the next refresh to read it."""
         self._has_read = False
         self.machines.clear()
 
@@ -48,11 +48,11 @@
         self._drop_absent(now)
 
     def remove(self, name: str) -> None:
-        """A machine is terminated."""
+        """Remove a terminated machine."""
         self.machines.pop(name, None)
 
     def _drop_absent(self, now: float) -> None:
-        # A list can be older than the one before: only long absence counts.
+        # Responses may be out of order: a list can be older than the previous one.
         for name, absent_since in list(self._absent_since.items()):
             if now - absent_since > self._list_lag * ABSENCE_TIMEOUT_LAGS:
                 self.machines.pop(name, None)
--- a/pitchtally/autoscaling/machine_health.py
+++ b/pitchtally/autoscaling/machine_health.py
@@ -1,4 +1,4 @@
-"""Machines that must be terminated: failed, never up, unreachable, preempted, quarantined."""
+"""Health checks that find failed, unreachable, preempted and quarantined machines."""
 
 from __future__ import annotations
 
@@ -18,13 +18,14 @@
 from .scheduler_view import SchedulerView
 from .terminations import TerminationCause, Terminations
 
-# Flags of machines that can't be reached, or don't receive what they are told.
+# Flags of machines that send no heartbeats or don't receive the responses.
 UNREACHABLE_FLAGS = frozenset({MachineFlag.LOST, MachineFlag.SUSPECT, MachineFlag.UNREACHABLE})
-# Seconds that a machine boots whose type isn't known.
+# Assumed boot time of a machine whose type isn't in the catalog.
 DEFAULT_BOOT_S = 30.0
-# Times its usual boot that a machine may take.
+# A machine that takes more than this many usual boot times counts as failed.
 MAX_BOOT_TIMES = 4
-# Heartbeat timeouts for which a machine may be listed as running without any heartbeat.
+# A machine listed as running is terminated after this many heartbeat timeouts without any
+# heartbeat.
 NO_HEARTBEAT_TIMEOUTS = 2
 
 
@@ -35,10 +36,10 @@
 
 
 class HeartbeatTimeouts:
-    """For how long machines have been unreachable, measured on every node.
+    """Tracks for how long machines have been unreachable; runs on every node.
 
-    A new cluster leader would otherwise start over, and with it the shard that waits for a dead
-    machine, though all nodes have seen it unreachable for long.
+    If only the cluster leader did so, a new leader would start from zero, and a shard whose
+    failover waits for a dead machine would wait for another full timeout.
     """
 
     def __init__(
@@ -47,7 +48,7 @@
         scheduler: SchedulerView,
         resumed_at: Callable[[], float],
     ):
-        """`resumed_at`: when this process last continued after a pause."""
+        """`resumed_at`: returns when this process last resumed after a pause."""
         self._config = config
         self._scheduler = scheduler
         self._resumed_at = resumed_at
@@ -55,12 +56,12 @@
         self._observed_at = -math.inf
 
     def unreachable_for(self, name: str, now: float) -> float | None:
-        """Seconds for which a machine has been unreachable, None if it isn't."""
+        """Return for how many seconds a machine has been unreachable, None if it is reachable."""
         period = self._periods.get(name)
         return None if period is None else now - period.started_at
 
     async def run(self) -> None:
-        """Observe again and again."""
+        """Update the periods once per heartbeat interval."""
         while True:
             await trio.sleep(self._config.heartbeat_interval)
             self._observe()
@@ -68,20 +69,20 @@
     def _observe(self) -> None:
         now = trio.current_time()
         if self._resumed_at() > self._observed_at:
-            self._periods.clear()  # this process was paused and received nothing
+            self._periods.clear()  # heartbeats may have been missed during the pause
         self._observed_at = now
         for name, status in self._scheduler.machine_statuses().items():
             if status.flag not in UNREACHABLE_FLAGS:
                 self._periods.pop(name, None)
             elif self._is_status_recent(name, now):
                 self._periods.setdefault(name, _UnreachablePeriod(now, now)).confirmed_at = now
-        # What nobody has confirmed for long may have ended unseen.
+        # Without recent confirmation a machine may have become reachable unnoticed.
         max_age = self._config.agent_lease / 2
         for name in [n for n, p in self._periods.items() if now - p.confirmed_at > max_age]:
             del self._periods[name]
 
     def _is_status_recent(self, machine: str, now: float) -> bool:
-        """Whether this node leads the machine's shard, or has heard its leader of late."""
+        """Return whether this node leads the machine's shard or has a recent status from it."""
         shard = shard_of(machine, self._config.shard_count)
         if self._scheduler.leads_shard(shard):
             return True
@@ -102,9 +103,10 @@
         timeouts: HeartbeatTimeouts,
         terminations: Terminations,
     ):
-        """One argument for each view of the machines that is compared, hence eight.
+        """Take the views of the machines that are compared with each other.
 
-        `booting`: shared with scale out; machines that came up, or never will, are removed.
+        `booting`: shared with scale out; entries are removed once a machine has sent a
+        heartbeat or its boot has timed out.
         """
         self._config = config
         self._scheduler = scheduler
@@ -113,14 +115,14 @@
         self._booting = booting
         self._timeouts = timeouts
         self._terminations = terminations
-        self._no_heartbeat_since: dict[str, float] = {}  # listed as up, reported by no shard leader
+        self._no_heartbeat_since: dict[str, float] = {}  # listed machines, not in any status
 
     def reset(self) -> None:
-        """Forget what an earlier leadership observed."""
+        """Clear the observations of an earlier leadership."""
         self._no_heartbeat_since.clear()
 
     def check(self, statuses: Mapping[str, MachineStatus], now: float) -> None:
-        """Request the termination of each machine that has to go."""
+        """Request the termination of all unhealthy machines."""
         self._check_booting(statuses, now)
         for name, machine in list(self._inventory.machines.items()):
             if not self._terminations.is_terminated(name):
@@ -153,7 +155,7 @@
                 group = MachineGroupKey(machine.type, machine.zone, machine.spot)
                 self._booting[name] = BootingMachine(group, now - machine.age)
         elif name in statuses or not self._is_shard_reconciled(name):
-            # Right after a failover a shard leader has yet to hear from its machines.
+            # After a failover a shard leader has not yet received heartbeats of all its machines.
             self._no_heartbeat_since.pop(name, None)
         elif machine.age > self._boot_seconds(machine.type) * MAX_BOOT_TIMES:
             no_heartbeat_since = self._no_heartbeat_since.setdefault(name, now)
@@ -171,25 +173,26 @@
             self._terminations.request(name, TerminationCause.QUARANTINED)
 
     def _unreachable_timeout(self, status: MachineStatus) -> float:
-        """Seconds after which an unreachable machine is terminated.
-
-        Suspect: a failover waits for it. Unresponsive: its heartbeats arrive, but its lease
-        expires all the same. Lost: its lease has expired, its tasks start elsewhere, and other
-        machines are launched in its place. It may only hang, or its zone be partitioned; if it
-        has died the list says so soon. Terminated at once, dozens of machines that were about
-        to continue would have to boot again.
+        """Return after how many seconds an unreachable machine is terminated.
+
+        The timeout is shorter for suspect machines, since a failover waits for them, and for
+        unreachable ones, whose heartbeats arrive but whose lease expires all the same. A lost
+        machine delays nothing: its lease has expired, its tasks are restarted elsewhere, and
+        other machines are launched in its place. It may only hang, or its zone may be
+        partitioned; if it has died, the machine list soon shows that. If lost machines were
+        terminated at once, dozens that were about to resume would have to boot again.
         """
         timeout = self._config.heartbeat_timeout
         return timeout if status.flag == MachineFlag.LOST else timeout / 2
 
     def _is_shard_reconciled(self, machine: str) -> bool:
-        """Whether the leader of the machine's shard knows all its machines by now."""
+        """Return whether the leader of the machine's shard has completed reconciliation."""
         shard = shard_of(machine, self._config.shard_count)
         status = self._scheduler.shard_statuses().get(shard)
         return status is not None and status.reconciled
 
     def _boot_timeout(self, machine_type: str) -> float:
-        """Seconds after which a machine that is still not up never will be."""
+        """Return after how many seconds a booting machine counts as failed."""
         return self._boot_seconds(machine_type) * MAX_BOOT_TIMES + self._config.list_lag
 
     def _boot_seconds(self, machine_type: str) -> float:
--- a/pitchtally/autoscaling/scale_in.py
+++ b/pitchtally/autoscaling/scale_in.py
@@ -1,4 +1,4 @@
-"""Scale in: idle machines are drained, and terminated once they are empty."""
+"""Scale in: drains idle machines and terminates them once they are empty."""
 
 from __future__ import annotations
 
@@ -17,12 +17,13 @@
 from .scheduler_view import SchedulerView
 from .terminations import TerminationCause, Terminations
 
-# A job whose slack is at most this many boots can't wait for a machine to be launched.
+# Jobs whose slack is at most this many boot times can't wait for a launch: they get standby
+# machines.
 MAX_STANDBY_SLACK_BOOTS = 2
 
 
 class _StandbyOption(NamedTuple):
-    """A machine that can be kept ready for a job shape, the cheapest first in order."""
+    """A machine that can be kept on standby for a job shape; the cheapest sorts first."""
 
     price_per_task: float
     name: str
@@ -30,7 +31,7 @@
 
 
 class ScaleIn:
-    """Drains machines that are idle and not needed; run by the cluster leader."""
+    """Drains and terminates idle machines that are not needed; run by the cluster leader."""
 
     def __init__(
         self,
@@ -47,19 +48,19 @@
         self._terminations = terminations
         self._peaks = RecentPeaks(config.demand_window)
         self._sampled_at = -math.inf
-        self._draining: dict[str, None] = {}  # an ordered set
+        self._draining: dict[str, None] = {}  # used as an ordered set
 
     @property
     def draining(self) -> Collection[str]:
-        """Machines that take no more tasks."""
+        """Names of the machines that take no more tasks."""
         return self._draining.keys()
 
     def reset(self) -> None:
-        """Forget the drains of an earlier leadership."""
+        """Clear the drains of an earlier leadership."""
         self._draining.clear()
 
     def check(self, statuses: Mapping[str, MachineStatus], now: float) -> None:
-        """Drain machines that are idle, and request the termination of those that are drained."""
+        """Drain idle machines, and request the termination of drained ones that are empty."""
         if now - self._sampled_at >= self._config.demand_interval:
             self._sampled_at = now
             self._peaks.sample(now, self._open_jobs.values(), self._scheduler)
@@ -89,17 +90,17 @@
                 self._terminations.request(name, TerminationCause.IDLE)
 
     def _is_needed(self, status: MachineStatus, queued: Iterable[user_api.JobSpec]) -> bool:
-        """Whether a queued job may run on the machine; also if its type isn't known."""
+        """Return whether a queued job may run on the machine, or its type isn't known."""
         machine_type = self._machine_types().get(status.type)
         return machine_type is None or any(
             allows_machine_type(spec, machine_type, status.zone, status.spot) for spec in queued
         )
 
     def _standby_machines(self, statuses: Mapping[str, MachineStatus]) -> set[str]:
-        """Machines that stay although they are idle: for each job shape its recent peak.
+        """Return idle machines to keep for the recent peak demand of each job shape.
 
-        Only for shapes whose slack is shorter than two boots: these would miss their
-        objective if machines were launched on demand.
+        This covers only shapes whose slack is at most `MAX_STANDBY_SLACK_BOOTS` (two) boot
+        times: they would miss their objective if machines were launched on demand.
         """
         standby: set[str] = set()
         for spec in self._scheduler.recent_specs():
@@ -114,7 +115,7 @@
     def _standby_options(
         self, spec: user_api.JobSpec, statuses: Iterable[MachineStatus]
     ) -> Iterable[_StandbyOption]:
-        """Usable machines that a job of short slack may run on."""
+        """Yield usable machines that the job may run on, if its slack is short."""
         types = self._machine_types()
         slack = self._scheduler.slack(spec)
         for status in statuses:
@@ -131,7 +132,7 @@
 
 
 def apply_drains(names: Iterable[str], machines: Iterable[Machine]) -> None:
-    """Drain the machines of this node's shards that the cluster leader names, and no others."""
+    """Drain exactly the named machines among those of this node's shards."""
     draining = set(names)
     for machine in machines:
         machine.draining = machine.name in draining
--- a/pitchtally/autoscaling/scale_out.py
+++ b/pitchtally/autoscaling/scale_out.py
@@ -1,7 +1,7 @@
-"""Scale out: launches of machines for pending tasks.
+"""Scale out: launches machines for pending tasks.
 
-Launch requests are named after the cluster leader's fencing token and a counter, so that no two
-nodes ever use one name; a request without an answer is repeated under its name.
+Launch requests are named after the cluster leader's fencing token and a counter, so no two nodes
+ever use the same name. A request without a response is retried under the same name.
 """
 
 from __future__ import annotations
@@ -26,27 +26,28 @@
 log = logging.getLogger(__name__)
 
 MAX_LAUNCHES_PER_ROUND = 6
-# Seconds for which a group is left alone that had no machine, or not as many as asked for.
+# Delay before the next launch in a group that had no machines available (doubled each time), or
+# fewer than requested. The delay after the first refusal is twice FIRST_BACKOFF_S.
 FIRST_BACKOFF_S, MAX_BACKOFF_S, PARTIAL_BACKOFF_S = 5.0, 60.0, 20.0
 
 
 @dataclass(frozen=True, slots=True)
 class BootingMachine:
-    """A machine that was launched and has sent no heartbeat yet."""
+    """A launched machine that has not sent a heartbeat yet."""
 
     group: MachineGroupKey
     booting_since: float  # steady clock, seconds
 
 
 class _Backoff(NamedTuple):
-    """A group that the cloud refused."""
+    """The delay before the next launch in a group."""
 
     until: float
     seconds: float
 
 
 class _LaunchOption(NamedTuple):
-    """Machines of a group for one job, the best option first in order."""
+    """The cost of running a job on machines of a group; the best option sorts first."""
 
     price_per_task: float
     boot: float
@@ -56,14 +57,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedLaunch:
-    """Machines to launch."""
+    """A number of machines of a group to launch."""
 
     group: MachineGroupKey
     count: int
 
 
 class ScaleOut:
-    """Launches what pending tasks need, the cheapest machines for a task first."""
+    """Launches machines for pending tasks, choosing those with the lowest price per task."""
 
     def __init__(
         self,
@@ -74,7 +75,7 @@
         booting: dict[str, BootingMachine],
         max_queue_slack_share: float,
     ):
-        """`booting`: shared with the health checks; launched machines are added.
+        """`booting`: shared with the health checks; launched machines are added to it.
 
         `max_queue_slack_share`: more machines are launched if the present ones would take longer
         than this share of a job's slack to finish its queue.
@@ -90,11 +91,11 @@
         self._counter = 0
 
     def reset(self) -> None:
-        """Drop the request of an earlier leadership."""
+        """Drop an unanswered request of an earlier leadership."""
         self._unanswered_request = None
 
     async def run_round(self, token: FencingToken, is_verified: Callable[[], bool]) -> None:
-        """Launch what is missing, while leadership is verified; raises `CloudUnavailable`."""
+        """Launch missing machines while leadership is verified; raises `CloudUnavailable`."""
         now = trio.current_time()
         for _ in range(MAX_LAUNCHES_PER_ROUND):
             if not is_verified():
@@ -130,7 +131,7 @@
             self._booting[name] = BootingMachine(group, now)
 
     def _next_launch(self, now: float) -> PlannedLaunch | None:
-        """The next launch that pending tasks call for, cheapest per task first."""
+        """Return the next launch for pending tasks, None if none is needed or possible."""
         groups = [g for g in self._groups() if self._is_available(g, now)]
         if not groups:
             return None
@@ -160,7 +161,7 @@
     def _cheapest(
         self, spec: user_api.JobSpec, groups: Iterable[MachineGroupKey]
     ) -> _LaunchOption | None:
-        """The group whose machines cost least per task."""
+        """Return the group with the lowest price per task, None if none can run the job."""
         types = self._machine_types()
         options = []
         for group in groups:
@@ -174,7 +175,7 @@
         return min(options, default=None)
 
     def _missing_tasks(self, demand: PendingDemand, machines: Collection[MachineStatus]) -> float:
-        """How many tasks lack a machine if the demand is to be met in time."""
+        """Return how many more task slots are needed to finish the pending tasks in time."""
         spec = demand.spec
         types = self._machine_types()
         resources = resource_request(spec)
@@ -194,18 +195,18 @@
         slots += booting
         allowed = self._scheduler.tasks_within_limit(spec) - free - booting
         if spec.is_service:
-            # A service never frees its machines for what is queued behind it.
+            # Service tasks don't end, so each pending one needs a slot of its own.
             return min(demand.tasks - free - preemptible - booting, allowed)
-        # Tasks that the present machines finish before a new one has booted need none.
+        # No launch if the running and booting machines will finish the queue early enough.
         max_queue_seconds = self._max_queue_slack_share * self._scheduler.slack(spec)
         if slots and demand.task_seconds / slots <= max_queue_seconds:
             return 0.0
-        # More machines than the team's limit can use would only cost.
+        # The team's limit leaves machines above it without tasks.
         return min(demand.task_seconds / max_queue_seconds - slots, demand.tasks, allowed)
 
 
 def price_of(machine_type: cloud_api.MachineType, *, spot: bool) -> float:
-    """The price of a machine; on demand if there is no spot price."""
+    """Return the price of a machine; the on-demand price if there is no spot price."""
     if spot:
         return machine_type.spot_price or machine_type.price
     return machine_type.price
--- a/pitchtally/autoscaling/scheduler_view.py
+++ b/pitchtally/autoscaling/scheduler_view.py
@@ -1,4 +1,4 @@
-"""What autoscaling reads of the scheduler."""
+"""The read-only view of the scheduler that autoscaling uses."""
 
 from __future__ import annotations
 
@@ -12,19 +12,23 @@
 
 @dataclass(frozen=True, slots=True)
 class SchedulerView:
-    """Read-only access to the scheduler, one function for each question."""
+    """Read-only access to the scheduler, with one function per query."""
 
-    shard_statuses: Callable[[], Mapping[ShardId, ShardStatus]]  # newest status of every shard
-    status_received_at: Callable[[ShardId], float | None]  # by shard; None: never by a peer
-    leads_shard: Callable[[ShardId], bool]  # whether this node leads it
-    running_tasks: Callable[[str], int]  # of a job, on machines known here
-    tasks_within_limit: Callable[[user_api.JobSpec], int]  # that the team's limit still allows
-    slack: Callable[[user_api.JobSpec], float]  # seconds that a job may wait
-    task_seconds: Callable[[user_api.JobSpec], float]  # expected length of one task
-    recent_specs: Callable[[], Iterable[user_api.JobSpec]]  # one of each job shape seen lately
+    shard_statuses: Callable[[], Mapping[ShardId, ShardStatus]]  # latest status of every shard
+    status_received_at: Callable[
+        [ShardId], float | None
+    ]  # steady clock; None if never received from a peer
+    leads_shard: Callable[[ShardId], bool]  # whether this node leads the shard
+    running_tasks: Callable[[str], int]  # tasks of a job, as far as statuses show
+    tasks_within_limit: Callable[
+        [user_api.JobSpec], int
+    ]  # further tasks that the team's limit allows
+    slack: Callable[[user_api.JobSpec], float]  # seconds that a job may wait and meet its objective
+    task_seconds: Callable[[user_api.JobSpec], float]  # expected duration of one task
+    recent_specs: Callable[[], Iterable[user_api.JobSpec]]  # one job of each recent shape
 
     def machine_statuses(self) -> dict[str, MachineStatus]:
-        """Every machine that any shard leader reports, by name."""
+        """Return the machines reported by all shard leaders, by name."""
         return {
             machine.name: machine
             for status in self.shard_statuses().values()
--- a/pitchtally/autoscaling/terminations.py
+++ b/pitchtally/autoscaling/terminations.py
@@ -1,4 +1,4 @@
-"""Termination of machines: requested by several checks, carried out by the cluster leader."""
+"""Termination of machines: requested by several checks, executed by the cluster leader."""
 
 from __future__ import annotations
 
@@ -13,44 +13,44 @@
 
 log = logging.getLogger(__name__)
 
-# Seconds for which peers are told that a machine is terminated.
+# Period during which heartbeats list a terminated machine.
 TERMINATED_RETENTION_S = 120.0
 
 
 class TerminationCause(StrEnum):
     """Why a machine is terminated."""
 
-    FAILED = "failed"  # says the cloud
+    FAILED = "failed"  # reported as failed by the cloud
     BOOT_TIMEOUT = "boot_timeout"
-    NO_HEARTBEAT = "no_heartbeat"  # it is up, but no heartbeat has come ever
+    NO_HEARTBEAT = "no_heartbeat"  # running according to the cloud, but has never sent a heartbeat
     HEARTBEAT_TIMEOUT = "heartbeat_timeout"
-    PREEMPTED = "preempted"  # the provider takes the spot instance back, and it is empty
-    QUARANTINED = "quarantined"  # tasks of several good jobs failed on it, and it is empty
+    PREEMPTED = "preempted"  # empty spot instance with a preemption notice
+    QUARANTINED = "quarantined"  # empty, after tasks of several good jobs failed on it
     IDLE = "idle"
 
 
 class Terminations:
-    """Machines that are to be terminated, and those that were of late."""
+    """Pending termination requests, and recently terminated machines."""
 
     def __init__(self, cloud: CloudClient, on_terminated: Callable[[str], None]):
-        """`on_terminated`: called with the name once nothing runs on a machine any more."""
+        """`on_terminated`: called with a machine's name once the cloud has terminated it."""
         self._cloud = cloud
         self._on_terminated = on_terminated
         self._requested: dict[str, TerminationCause] = {}
         self._terminated_at: dict[str, float] = {}
 
     def request(self, name: str, cause: TerminationCause) -> None:
-        """Have a machine terminated in the next `flush`."""
+        """Queue a machine for termination by the next `flush`."""
         if name not in self._requested:
             log.info("terminating machine=%s cause=%s", name, cause)
             self._requested[name] = cause
 
     def is_terminated(self, name: str) -> bool:
-        """Whether the cloud has confirmed that the machine is gone."""
+        """Return whether the cloud has confirmed the termination recently."""
         return name in self._terminated_at
 
     def recent(self) -> list[str]:
-        """Machines that the cloud has confirmed gone of late."""
+        """Return the machines whose termination the cloud has confirmed recently."""
         now = trio.current_time()
         expired = [
             name
@@ -62,9 +62,9 @@
         return list(self._terminated_at)
 
     async def flush(self, is_verified: Callable[[], bool]) -> None:
-        """Terminate what was requested, while leadership is verified.
+        """Terminate all queued machines while leadership is verified.
 
-        Raises `CloudUnavailable`; what is left is tried again by the next call.
+        Raises `CloudUnavailable`; the remaining machines stay queued for the next call.
         """
         while self._requested and is_verified():
             names = list(self._requested)[: cloud_api.MAX_TERMINATE]
