--- a/pitchtally/autoscaling/autoscaler.py
+++ b/pitchtally/autoscaling/autoscaler.py
@@ -119,7 +119,7 @@
     # --- the cluster leader's loop ------------------------------------------------
 
     async def run(self) -> None:
-        """Read the machine list, terminate and launch machines while this is the cluster leader."""
+        """Read the machine list, terminate and launch machines, while cluster leader."""
         pause = min(MAX_ROUND_PAUSE_S, self._config.list_interval / ROUNDS_PER_LIST_INTERVAL)
         while True:
             token = self._membership.verified_cluster_leader()
@@ -148,7 +148,7 @@
         )
 
     def _begin_leadership(self, token: FencingToken) -> None:
-        """Clear all state; launches of an earlier leader show up in the machine list."""
+        """Reset the state; launches by an earlier leader appear in the machine list."""
         self._leadership = _Leadership(token, trio.current_time())
         self._inventory.reset()
         self._health.reset()
--- a/pitchtally/autoscaling/machine_health.py
+++ b/pitchtally/autoscaling/machine_health.py
@@ -39,7 +39,7 @@
     """Tracks for how long machines have been unreachable; runs on every node.
 
     If only the cluster leader did so, a new leader would start from zero, and a shard whose
-    failover waits for a dead machine would wait for another full timeout.
+    failover waits for a dead machine would wait for the timeout once more.
     """
 
     def __init__(
@@ -82,7 +82,7 @@
             del self._periods[name]
 
     def _is_status_recent(self, machine: str, now: float) -> bool:
-        """Return whether this node leads the machine's shard or has a recent status from it."""
+        """Return whether this node leads the machine's shard or has a recent status of it."""
         shard = shard_of(machine, self._config.shard_count)
         if self._scheduler.leads_shard(shard):
             return True
--- a/pitchtally/autoscaling/scale_in.py
+++ b/pitchtally/autoscaling/scale_in.py
@@ -97,7 +97,7 @@
         )
 
     def _standby_machines(self, statuses: Mapping[str, MachineStatus]) -> set[str]:
-        """Return idle machines to keep for the recent peak demand of each job shape.
+        """Return machines to keep, even if idle, for the recent peak demand of each job shape.
 
         This covers only shapes whose slack is at most `MAX_STANDBY_SLACK_BOOTS` (two) boot
         times: they would miss their objective if machines were launched on demand.
--- a/pitchtally/autoscaling/scale_out.py
+++ b/pitchtally/autoscaling/scale_out.py
@@ -201,7 +201,7 @@
         max_queue_seconds = self._max_queue_slack_share * self._scheduler.slack(spec)
         if slots and demand.task_seconds / slots <= max_queue_seconds:
             return 0.0
-        # The team's limit leaves machines above it without tasks.
+        # Machines beyond the team's limit would stay without tasks and only add cost.
         return min(demand.task_seconds / max_queue_seconds - slots, demand.tasks, allowed)
 
 
