--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -96,7 +96,7 @@
     def add_updates(self, heartbeat: PeerHeartbeat, revision: int) -> None:
         """What the components tell a peer whose replica covers that revision."""
         heartbeat.cancellations = [
-            Cancellation(*row) for row in self._job_index.cancelled_after(revision)
+            Cancellation(*entry) for entry in self._job_index.cancelled_after(revision)
         ]
         heartbeat.shards = self._scheduler.statuses.own()
         heartbeat.terminated = self._autoscaler.terminated_machines()
@@ -269,7 +269,11 @@
         """Serve and run every loop until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
-            for name, loop in [*self._server_loops(), *self._own_loops(), *self._peer_loops()]:
+            for name, loop in [
+                *self._server_loops(),
+                *self._component_loops(),
+                *self._peer_loops(),
+            ]:
                 nursery.start_soon(self.loops.supervise, name, loop)
             objectives = [
                 f"{objective.kind}:{objective.job_class or ''}"
@@ -284,20 +288,20 @@
 
     def _server_loops(self) -> list[tuple[str, Loop]]:
         """The servers for users and agents, and for peers."""
-        times = self.settings.deployment.workers
+        agent_times = self.settings.deployment.workers
         connections = self.settings.deployment.machine_limits.max_connections
         users = Server(
             self.api.serve,
             max_connections=int(connections * (1 - OUTBOUND_SHARE - PEER_SHARE)),
-            idle_timeout=times.lease_s * USER_IDLE_TIMEOUT_LEASES,
-            request_timeout=times.report_s * USER_REQUEST_TIMEOUT_HEARTBEATS,
+            idle_timeout=agent_times.lease_s * USER_IDLE_TIMEOUT_LEASES,
+            request_timeout=agent_times.report_s * USER_REQUEST_TIMEOUT_HEARTBEATS,
             priority_paths=frozenset({HEARTBEATS}),
         )
         peers = Server(
             self.membership.serve,
             max_connections=int(connections * PEER_SHARE),
-            idle_timeout=times.lease_s,
-            request_timeout=times.report_s,
+            idle_timeout=agent_times.lease_s,
+            request_timeout=agent_times.report_s,
             max_body=MAX_PEER_MESSAGE_BYTES,
         )
         host, port = host_port(self.settings.public_addr)
@@ -315,7 +319,7 @@
             for peer in self.membership.peers.values()
         ]
 
-    def _own_loops(self) -> list[tuple[str, Loop]]:
+    def _component_loops(self) -> list[tuple[str, Loop]]:
         """Every loop but those of the servers and of single peers, by name."""
         batcher: tuple[str, Loop] = ("submission_batcher", self.api.submission_batcher.run)
         return [
