--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -1,8 +1,8 @@
-"""The composition root: one controller's components, connected, and their loops run.
+"""The composition root: builds and connects the components of a controller, and runs their loops.
 
-Only this module knows all packages. Components are built from the bottom layer upwards, each with
-the narrow view that it needs of the ones below; where a lower layer calls a higher one, it does so
-through a listener interface of its own that is connected last.
+Only this module depends on all packages. Components are built from the bottom layer upwards, each
+with a narrow view of the components below it. A lower layer calls a higher one only through a
+listener interface that the lower layer defines; the listeners are connected last.
 """
 
 from __future__ import annotations
@@ -46,35 +46,35 @@
 
 log = logging.getLogger(__name__)
 
-# Shares of the sockets that a controller may hold. One survivor of three may get every agent and
-# every user, so what its own calls and its peers need is set aside, and the rest serves these.
+# Shares of the connection limit that are reserved for outbound calls and for peers. The rest serves
+# users and agents: one survivor of three controllers may have to serve all of them.
 OUTBOUND_SHARE = 0.12
 PEER_SHARE = 0.05
 MAX_PEER_MESSAGE_BYTES = 1 << 22
-# Timeouts of the servers, as multiples of the agents' lease and heartbeat interval.
+# Timeouts of the server for users and agents, as multiples of the agents' lease and heartbeat interval.
 USER_IDLE_TIMEOUT_LEASES = 3
 USER_REQUEST_TIMEOUT_HEARTBEATS = 2
 
 
 class _ShardLeaderships:
-    """Passes on to agents and scheduler which shards this node begins or ceases to lead."""
+    """Notifies agents and scheduler when this node starts or stops leading a shard."""
 
     def __init__(self, agents: AgentManager, scheduler: Scheduler):
         self._agents = agents
         self._scheduler = scheduler
 
     def shard_acquired(self, shard: ShardId, token: FencingToken) -> None:
-        """The agents' side first: the scheduler asks it for the shard's machines."""
+        """Notify the agent manager first: the scheduler reads the shard's machines from it."""
         self._agents.shard_acquired(shard, token)
         self._scheduler.shards.shard_acquired(shard)
 
     def shard_lost(self, shard: ShardId) -> None:
-        """The agents' side tells the scheduler."""
+        """Notify the agent manager, which notifies the scheduler."""
         self._agents.shard_lost(shard)
 
 
 class _PeerMessages:
-    """Connects peers' heartbeats and requests with the components that they concern."""
+    """Dispatches peer heartbeats and requests to the components that handle them."""
 
     def __init__(self, job_index: JobIndex, scheduler: Scheduler, autoscaler: Autoscaler, api: Api):
         self._job_index = job_index
@@ -83,18 +83,18 @@
         self._api = api
 
     def cancellation_received(self, cancellation: Cancellation) -> None:
-        """A peer knows of a committed cancellation."""
+        """Apply a committed cancellation received from a peer."""
         self._job_index.learn_cancelled(
             cancellation.job, cancellation.version, cancellation.tasks, cancellation.done
         )
 
     def heartbeat_received(self, heartbeat: PeerHeartbeat) -> None:
-        """A peer's newest heartbeat."""
+        """Apply the latest heartbeat of a peer."""
         self._scheduler.statuses.take_heartbeat(heartbeat)
         self._autoscaler.apply_peer_heartbeat(heartbeat)
 
     def add_updates(self, heartbeat: PeerHeartbeat, revision: int) -> None:
-        """What the components tell a peer whose replica covers that revision."""
+        """Add the components' updates to a heartbeat for a peer whose replica is at `revision`."""
         heartbeat.cancellations = [
             Cancellation(*entry) for entry in self._job_index.cancelled_after(revision)
         ]
@@ -108,18 +108,18 @@
         return ScheduleReply(plan.ranges, plan.zone)
 
     async def serve_forwarded(self, request: Request) -> Response:
-        """Answer a user's request that a peer has passed on."""
+        """Handle a user's request that a peer has forwarded."""
         return await self._api.local(request)
 
 
 class Controller:
-    """One controller: its components, put together."""
+    """One controller and its components."""
 
     def __init__(self, settings: Settings, policy: Policy):
         self.settings = settings
         self.policy = policy
         self.loops = LoopSupervisor()
-        self._nursery: trio.Nursery | None = None  # while this controller runs
+        self._nursery: trio.Nursery | None = None  # set while this controller runs
         self._build_state_store()
         self.membership = Membership(settings, policy, self.state_store, self.replica)
         self._build_jobs()
@@ -160,7 +160,7 @@
         self._connect()
 
     def _build_state_store(self) -> None:
-        """The client of the state store and the replica that its watch keeps."""
+        """Build the state store client, and the replica that its watch keeps current."""
         policy, nodes = self.policy, len(self.settings.nodes)
         limits = self.settings.deployment.effective_state_limits
         self.state_store = StateStoreClient(
@@ -170,7 +170,7 @@
         self.replica = Replica(self.state_store, 1 / watch_rate, policy.session_ttl / 2)
 
     def _build_jobs(self) -> None:
-        """The format gate, the index of jobs, and what commits their records."""
+        """Build the format gate, the job index, and the components that commit job records."""
         policy, deployment = self.policy, self.settings.deployment
         self.gate = FormatGate(self.replica, deployment.state.value_kb)
         self.format_negotiation = FormatNegotiation(
@@ -247,7 +247,7 @@
         agents.connect(scheduler.shards, scheduler.placer)
 
     def _leader_precondition(self) -> Precondition | None:
-        """What a cluster leader's write rests on, None if this node is not the leader."""
+        """Return the precondition for writes as cluster leader, None if another node leads."""
         token = self.membership.cluster_leader_token
         return None if token is None else Precondition(keys.shard(CLUSTER_LEADER_SHARD), token)
 
@@ -261,7 +261,7 @@
         )
 
     def _counters(self) -> dict[str, int]:
-        """Totals that other components count."""
+        """Return the counters of other components for the decision log."""
         faults = {f"fault_{name}": count for name, count in self.loops.faults.items()}
         return {**self.api.read_barrier.counts, **self.agents.endpoint.responses, **faults}
 
@@ -287,7 +287,7 @@
             )
 
     def _server_loops(self) -> list[tuple[str, Loop]]:
-        """The servers for users and agents, and for peers."""
+        """Return the loops of the servers: one for users and agents, one for peers."""
         agent_times = self.settings.deployment.workers
         connections = self.settings.deployment.machine_limits.max_connections
         users = Server(
@@ -312,7 +312,7 @@
         ]
 
     def _peer_loops(self) -> list[tuple[str, Loop]]:
-        """The heartbeats to each peer."""
+        """Return the loops that send heartbeats, one for each peer."""
         heartbeats = self.membership.heartbeats
         return [
             (f"heartbeats_{peer.name}", partial(heartbeats.run, peer))
@@ -320,7 +320,7 @@
         ]
 
     def _component_loops(self) -> list[tuple[str, Loop]]:
-        """Every loop but those of the servers and of single peers, by name."""
+        """Return all loops, by name, except those of the servers and of single peers."""
         batcher: tuple[str, Loop] = ("submission_batcher", self.api.submission_batcher.run)
         return [
             ("pause_detector", self.membership.pause_detector.run),
