--- a/pitchtally/cli/commands.py
+++ b/pitchtally/cli/commands.py
@@ -1,4 +1,4 @@
-"""The click commands; `entry` serves the platform's own call without loading them."""
+"""The click commands; `entry` handles the platform's invocation without loading this module."""
 
 from __future__ import annotations
 
@@ -41,11 +41,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A controller's answer to one request."""
+    """A controller's response to one request."""
 
     status: int
-    body: Mapping[str, object]  # empty if the answer held no JSON
-    retry_after: str  # seconds, as the header gave them; empty without it
+    body: Mapping[str, object]  # empty if the response contained no JSON
+    retry_after: str  # value of the Retry-After header, in seconds; empty if absent
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -104,8 +104,8 @@
 
 
 def _request(node: str, method: str, path: str, body: bytes = b"") -> Reply:
-    """Send one request to a controller; without an answer, say so and exit."""
-    # Imported late: `check` and `--help` need no HTTP.
+    """Send one request to a controller; report an error and exit if there is no response."""
+    # Deferred import: `check` and `--help` need no HTTP client.
     import trio
 
     from ..http import Client, HttpError, Response
@@ -127,12 +127,12 @@
 
 
 def _print_reply(reply: Reply) -> None:
-    """Print a successful answer's body; report any other answer, and exit."""
+    """Print the body of a successful response; report any other response and exit."""
     if reply.status in (OK, CREATED):
         click.echo(json.dumps(reply.body))
         return
     field = f"{reply.body['field']}: " if reply.body.get("field") else ""
     reason = reply.body.get("error", "no reason given")
-    retry = f" (come back in {reply.retry_after} s)" if reply.retry_after else ""
+    retry = f" (retry after {reply.retry_after} s)" if reply.retry_after else ""
     click.echo(f"pitchtally: {reply.status}: {field}{reason}{retry}", err=True)
     sys.exit(EXIT_FAILED)
--- a/pitchtally/cli/configuration.py
+++ b/pitchtally/cli/configuration.py
@@ -1,4 +1,4 @@
-"""Reads the configuration of one controller: the platform's settings and the policy."""
+"""Loads the configuration of one controller: the platform's settings and the policy."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 
 class Configuration(NamedTuple):
-    """What a controller is started with."""
+    """The settings and policy of a controller."""
 
     settings: Settings
     policy: Policy
 
 
 def load_configuration(settings_path: str, policy_path: str | None) -> Configuration:
-    """Read and check both files; raises SettingsError.
+    """Load and validate both files; raises SettingsError.
 
-    Without a path the policy comes from the file that `PITCHTALLY_POLICY` names, else from
-    `deploy/policy.conf` if there is one, else it consists of the defaults.
+    Without a path the policy is loaded from the file named by `PITCHTALLY_POLICY`, else from
+    `deploy/policy.conf` if that exists, else the defaults apply.
     """
     settings = settings_file.load(settings_path)
     path = policy_path or os.environ.get(POLICY_VARIABLE) or _default_policy_file()
--- a/pitchtally/cli/entry.py
+++ b/pitchtally/cli/entry.py
@@ -1,4 +1,4 @@
-"""The entry of `run.py`: the platform's own call serves without loading click."""
+"""The entry point of `run.py`; the platform's invocation doesn't load click."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 def entry(arguments: Sequence[str]) -> None:
     """Run the command line with these arguments, and exit.
 
-    The platform calls with `--config FILE`, which serves; anything else is left to the click
-    commands. Loading click would delay each start of a controller.
+    The platform invokes the program with `--config FILE`, which starts a controller; all other
+    arguments are handled by the click commands. Loading click would delay the start.
     """
     if len(arguments) == 2 and arguments[0] == "--config":
         sys.exit(serve(arguments[1]))
--- a/pitchtally/cli/serving.py
+++ b/pitchtally/cli/serving.py
@@ -14,20 +14,20 @@
 EXIT_STOPPED = 1
 EXIT_INVALID_CONFIGURATION = 2
 
-# Allocations before a collection of the youngest generation, then collections of each
-# generation before one of the next.
+# Allocations before a collection of the youngest generation, then for each following generation
+# the number of collections of the one before it.
 GC_THRESHOLDS = (5000, 20, 50)
 
 
 def serve(settings_path: str, policy_path: str | None = None) -> int:
-    """Run a controller until the process is ended; return the exit code."""
+    """Run a controller until the process is stopped; return the exit code."""
     configure_logging()
     try:
         configuration = load_configuration(settings_path, policy_path)
     except SettingsError as error:
         print(f"pitchtally: {error}", file=sys.stderr)
         return EXIT_INVALID_CONFIGURATION
-    # Imported late: an invalid configuration is reported without loading the whole program.
+    # Deferred import: an invalid configuration is reported without loading the controller.
     from ..controller import Controller
 
     _tune_garbage_collector()
@@ -39,7 +39,7 @@
 
 
 def _tune_garbage_collector() -> None:
-    """Exempt the objects of the start, which live as long as the process, from collections."""
+    """Exempt startup objects, which live as long as the process, from garbage collection."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
--- a/pitchtally/config/__init__.py
+++ b/pitchtally/config/__init__.py
@@ -1,8 +1,8 @@
-"""The platform's settings and the operators' policy, both checked as they are read.
+"""The platform's settings and the operators' policy, both validated on loading.
 
-Duty: turn two files into immutable records, or into a one-line `SettingsError` that names
-file, field and reason. The package owns no state: `Settings` and `Policy` are made once,
-before a controller starts, and nobody changes them afterwards. Invariant: a record that was
-returned holds only values that the program can run with, among them a freshness bound that
-keeps the promise on cancellations (`timing`).
+Responsibility: load two files into immutable records, or raise a one-line `SettingsError` that
+names file, field and reason. The package owns no state: `Settings` and `Policy` are created once,
+before a controller starts, and never change afterwards. Invariant: a returned record holds only
+values that the program can run with, including a freshness bound that lets cancelled tasks end
+within `cancel_s` (`timing`).
 """
--- a/pitchtally/config/clock.py
+++ b/pitchtally/config/clock.py
@@ -1,6 +1,6 @@
-"""Times on the steady clock of a process, in seconds: what stands for a time that never was."""
+"""A sentinel for times on the steady clock of a process, in seconds."""
 
 from __future__ import annotations
 
-# Before any time that the clock gives: stands for something that has not happened yet.
+# Time of an event that has not occurred yet; earlier than any time that the clock returns.
 LONG_AGO = -1e9
--- a/pitchtally/config/expression.py
+++ b/pitchtally/config/expression.py
@@ -1,8 +1,8 @@
-"""The expression language of the policy: Python's syntax, checked against a whitelist.
+"""The expression language of the policy: a subset of Python's expression syntax.
 
 An expression is arithmetic over numbers and names, with `min`, `max`, comparisons,
 `and`/`or`/`not` and `a if c else b`. It is parsed with `ast` and evaluated by walking the
-tree; a node that isn't listed here is refused, so nothing else of Python can be reached.
+tree. Node types that aren't handled here are rejected, so an expression can't execute other code.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 class ExpressionError(Exception):
-    """An expression that can't be evaluated: the reason, and the column from 1 on."""
+    """An expression that can't be evaluated, with the reason and the column, counted from 1."""
 
     def __init__(self, column: int, reason: str) -> None:
         super().__init__(reason)
@@ -43,11 +43,11 @@
 
 
 class UnknownNameError(Exception):
-    """A name that stands for nothing; the text is the reason that the user is given."""
+    """An undefined name in an expression; the text is shown to the user as the reason."""
 
 
 class NameResolver(Protocol):
-    """What the names of an expression stand for."""
+    """Resolves the names in an expression to values."""
 
     def value(self, name: str) -> Value:
         """Return the value of a plain name; raises UnknownNameError."""
@@ -67,7 +67,7 @@
 
 
 def is_number(value: Value) -> bool:
-    """Whether a value is a number; truth values aren't, although Python counts with them."""
+    """Return whether a value is a number; a bool isn't, although it is an `int` in Python."""
     return not isinstance(value, bool)
 
 
@@ -128,7 +128,7 @@
             case ast.UnaryOp(op=ast.Not(), operand=operand):
                 return not self.value(operand)
             case ast.BoolOp(op=op, values=operands):
-                # All operands are evaluated, so that a fault in any of them is found.
+                # All operands are evaluated, so that an error in any of them is reported.
                 values = [bool(self.value(operand)) for operand in operands]
                 return all(values) if isinstance(op, ast.And) else any(values)
             case ast.Compare(left=left, ops=[op], comparators=[right]) if type(op) in _COMPARE:
--- a/pitchtally/config/policy.py
+++ b/pitchtally/config/policy.py
@@ -1,6 +1,6 @@
-"""The operators' policy: reads a policy file and evaluates its figures.
+"""The operators' policy: loads a policy file and evaluates its figures (numeric parameters).
 
-A policy file holds lines `name = expression`, with `#` before a comment. An expression
+A policy file consists of lines `name = expression`; `#` starts a comment. An expression
 (`expression`) may use the platform's settings (`workers.lease_s`, `state.rps`, ...), `count`
 (the number of controllers) and other figures of the policy. All figures are evaluated once,
 before the controller starts; those that the file doesn't set have their defaults (`figures`).
@@ -22,12 +22,12 @@
 
 
 class PolicyError(SettingsError):
-    """A policy that can't be used; the text is one line."""
+    """An invalid policy; the text is one line."""
 
 
 @dataclass(frozen=True)
 class Policy:
-    """The evaluated figures; `figures.FIGURES` says what each one means."""
+    """The evaluated figures; `figures.FIGURES` describes each of them."""
 
     period: float
     bound: float
@@ -52,25 +52,25 @@
     list_every: float
 
     def items(self) -> list[tuple[str, float]]:
-        """Return names and values as pairs, in order of names."""
+        """Return pairs of name and value, sorted by name."""
         return sorted((field.name, getattr(self, field.name)) for field in fields(self))
 
 
 class _Source(NamedTuple):
-    """Where a figure's value comes from."""
+    """The expression of a figure and where it was set."""
 
     expression: str
-    location: str  # for error messages: file and line, or that it is the default
+    location: str  # for error messages: file and line, or "default of" the figure
 
 
 class _Figures:
-    """Evaluates figures, each once; stands for the names in their expressions."""
+    """Evaluates each figure once, and resolves the names in their expressions."""
 
     def __init__(self, settings: Settings, sources: dict[str, _Source]) -> None:
         self._settings = settings
         self._sources = sources
         self._values: dict[str, float] = {}
-        self._open: list[str] = []  # figures under evaluation, each named by the one before
+        self._open: list[str] = []  # figures under evaluation, each referenced by the one before it
 
     def figure(self, name: str) -> float:
         """Return a figure's value; raises PolicyError."""
@@ -98,7 +98,7 @@
         raise UnknownNameError(f"unknown name {name!r}")
 
     def attribute(self, section: str, name: str) -> Value:
-        """Return a figure of the platform's settings."""
+        """Return a numeric value of the platform's settings."""
         if section not in SETTINGS_SECTIONS:
             raise UnknownNameError(f"no section {section!r} in the settings")
         deployment = self._settings.deployment
@@ -122,7 +122,7 @@
 
 
 def parse(text: str, settings: Settings, file: str = "policy") -> Policy:
-    """Evaluate a policy's text over the defaults; raises PolicyError with file and line."""
+    """Evaluate a policy's text on top of the defaults; raises PolicyError with file and line."""
     sources = {
         name: _Source(figure.default, f"default of {name}") for name, figure in FIGURES.items()
     }
@@ -134,7 +134,7 @@
 
 
 def _read_lines(text: str, file: str) -> dict[str, _Source]:
-    """Return the figures that a policy's text sets, by their present names."""
+    """Return the figures that a policy's text sets, by their current names."""
     sources: dict[str, _Source] = {}
     for number, line in enumerate(text.splitlines(), 1):
         body = line.partition("#")[0].strip()
@@ -154,17 +154,17 @@
 
 
 def _check_freshness_bound(policy: Policy, settings: Settings, location: str) -> None:
-    """Refuse leases that would keep cancelled tasks running for longer than users are told."""
+    """Reject a freshness bound with which cancelled tasks could outlive `cancel_s`."""
     highest = max_freshness_bound(settings.deployment.workers)
     if policy.max_evidence_age > highest:
         raise PolicyError(
             f"{location}: max_evidence_age: {policy.max_evidence_age:g} s"
-            f" and a lease go beyond cancel_s, at most {highest:g}"
+            f" plus the agent lease exceeds cancel_s; must be at most {highest:g} s"
         )
 
 
 def load(path: str | Path | None, settings: Settings) -> Policy:
-    """Read a policy file, or take the defaults without a path; raises PolicyError."""
+    """Load a policy file, or the defaults if `path` is None; raises PolicyError."""
     if path is None:
         return parse("", settings)
     try:
--- a/pitchtally/config/settings.py
+++ b/pitchtally/config/settings.py
@@ -1,7 +1,7 @@
-"""The platform's settings file, as typed records that were checked on reading.
+"""The platform's settings file, as typed records that are validated on loading.
 
-Unknown fields are ignored, so that a later platform can add some. Units are part of the
-names: `_s` seconds, `_ms` milliseconds, `_kb` kibibytes, `rps` requests per second.
+Unknown fields are ignored, so that later platform versions can add fields. Units are part of
+the names: `_s` seconds, `_ms` milliseconds, `_kb` kibibytes, `rps` requests per second.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class SettingsError(Exception):
-    """A settings or policy file that cannot be used; the text is one line."""
+    """An invalid settings or policy file; the text is one line."""
 
 
 class Member(Struct, frozen=True):
@@ -26,14 +26,14 @@
 
 
 class Endpoints(Struct, frozen=True):
-    """Where the cloud and the state store listen."""
+    """Addresses of the cloud's and the state store's APIs."""
 
     cloud: str
     state: str
 
 
 class Team(Struct, frozen=True):
-    """A team's quota: guaranteed and highest use; 0: none."""
+    """A team's quota: guaranteed resources and limits; 0 stands for none."""
 
     name: str
     cpus: float = 0.0
@@ -43,7 +43,7 @@
 
 
 class Objective(Struct, frozen=True):
-    """A service-level objective: what the users expect of one class of jobs, or of all."""
+    """A service-level objective for one class of jobs, or for all jobs."""
 
     kind: str
     job_class: str | None = field(name="class", default=None)
@@ -65,7 +65,10 @@
 
 
 class NextStateLimits(Struct, frozen=True):
-    """Limits announced for the state store, in force from an unknown time on; None: as today."""
+    """Announced limits of the state store; None: unchanged.
+
+    The time from which they apply isn't known.
+    """
 
     rps: float | None = None
     write_rps: float | None = None
@@ -74,7 +77,7 @@
 
 
 class StateLimits(Struct, frozen=True):
-    """Limits of the state store, for all controllers together."""
+    """Limits of the state store, shared by all controllers."""
 
     rps: float = 100.0
     write_rps: float = 20.0
@@ -83,9 +86,9 @@
     next: NextStateLimits | None = None
 
     def effective(self) -> StateLimits:
-        """Return the smaller of today's limits and the announced ones, figure by figure.
+        """Return the smaller of the current and the announced value of each limit.
 
-        It isn't known when the announced ones begin, so they are kept from the start on.
+        The time from which the announced limits apply isn't known, so they are observed at once.
         """
         if self.next is None:
             return self
@@ -98,7 +101,7 @@
 
 
 class CloudLimits(Struct, frozen=True):
-    """Limits of the cloud's interface, for all controllers together."""
+    """Limits of the cloud's API, shared by all controllers."""
 
     rps: float = 2.0
     list_lag_s: float = 10.0
@@ -113,7 +116,7 @@
 
 
 class Deployment(Struct, frozen=True):
-    """What all controllers of a deployment have in common."""
+    """The settings shared by all controllers of a deployment."""
 
     count: int
     workers: AgentTimes
@@ -127,7 +130,7 @@
 
     @property
     def effective_state_limits(self) -> StateLimits:
-        """The limits of the state store that every request has to keep."""
+        """The limits of the state store that requests must observe."""
         return self.state.effective()
 
 
@@ -144,7 +147,7 @@
 
     @property
     def nodes(self) -> list[str]:
-        """The names of all controllers, in the order that all of them agree on."""
+        """The names of all controllers, in an order that is the same on each of them."""
         return sorted({self.name, *(m.name for m in self.members)})
 
 
@@ -156,7 +159,7 @@
     return host, int(port)
 
 
-# Figures that must be above zero: the program divides by them or waits for them.
+# Settings that must be above zero: they are used as divisors or as waiting times.
 _POSITIVE = {
     "deployment.workers": ("report_s", "lease_s", "gang_wait_s", "gang_peer_s", "cancel_s"),
     "deployment.state": ("rps", "write_rps", "value_kb", "txn_ops"),
@@ -167,7 +170,7 @@
 
 
 def load(path: str | Path) -> Settings:
-    """Read and check a settings file; raises SettingsError."""
+    """Load and validate a settings file; raises SettingsError."""
     try:
         raw = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as error:
@@ -183,7 +186,7 @@
 
 
 def _check(path: str | Path, settings: Settings) -> None:
-    """Refuse figures and addresses that the program can't run with; raises SettingsError."""
+    """Reject values and addresses that the program can't run with; raises SettingsError."""
     for section, names in _POSITIVE.items():
         table: object = settings
         for step in section.split("."):
