--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -51,7 +51,8 @@
 OUTBOUND_SHARE = 0.12
 PEER_SHARE = 0.05
 MAX_PEER_MESSAGE_BYTES = 1 << 22
-# Timeouts of the server for users and agents, as multiples of the agents' lease and heartbeat interval.
+# Timeouts of the server for users and agents, as multiples of the agents' lease and of their
+# heartbeat interval.
 USER_IDLE_TIMEOUT_LEASES = 3
 USER_REQUEST_TIMEOUT_HEARTBEATS = 2
 
@@ -247,7 +248,7 @@
         agents.connect(scheduler.shards, scheduler.placer)
 
     def _leader_precondition(self) -> Precondition | None:
-        """Return the precondition for writes as cluster leader, None if another node leads."""
+        """Return the precondition for writes by the cluster leader, None on other nodes."""
         token = self.membership.cluster_leader_token
         return None if token is None else Precondition(keys.shard(CLUSTER_LEADER_SHARD), token)
 
