--- a/pitchtally/config/expression.py
+++ b/pitchtally/config/expression.py
@@ -120,7 +120,7 @@
             case ast.Call(func=ast.Name(id=function), args=arguments, keywords=[]) if (
                 function in _FUNCTIONS and arguments
             ):
-                return _FUNCTIONS[function](*(self._number(a) for a in arguments))
+                return _FUNCTIONS[function](*(self._number(argument) for argument in arguments))
         raise _not_allowed(node)
 
     def _logic(self, node: ast.expr) -> Value:
--- a/pitchtally/config/policy.py
+++ b/pitchtally/config/policy.py
@@ -70,22 +70,25 @@
         self._settings = settings
         self._sources = sources
         self._values: dict[str, float] = {}
-        self._open: list[str] = []  # figures under evaluation, each referenced by the one before it
+        # Figures under evaluation, each referenced by the one before it.
+        self._evaluating: list[str] = []
 
     def figure(self, name: str) -> float:
         """Return a figure's value; raises PolicyError."""
         if name in self._values:
             return self._values[name]
         expression, location = self._sources[name]
-        if name in self._open:
-            raise PolicyError(f"{location}: {name}: refers to itself by way of {self._open[-1]}")
-        self._open.append(name)
+        if name in self._evaluating:
+            raise PolicyError(
+                f"{location}: {name}: refers to itself by way of {self._evaluating[-1]}"
+            )
+        self._evaluating.append(name)
         try:
             value = evaluate(expression, self)
         except ExpressionError as error:
             raise PolicyError(f"{location}:{error.column}: {name}: {error.reason}") from None
         _check_range(name, value, location)
-        self._open.pop()
+        self._evaluating.pop()
         self._values[name] = float(value)
         return self._values[name]
 
--- a/pitchtally/config/settings.py
+++ b/pitchtally/config/settings.py
@@ -151,16 +151,16 @@
         return sorted({self.name, *(m.name for m in self.members)})
 
 
-def host_port(text: str) -> tuple[str, int]:
+def host_port(address: str) -> tuple[str, int]:
     """Split an address into host and port; raises ValueError."""
-    host, _, port = text.rpartition(":")
+    host, _, port = address.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ValueError(f"{text!r} is not host:port")
+        raise ValueError(f"{address!r} is not host:port")
     return host, int(port)
 
 
 # Settings that must be above zero: they are used as divisors or as waiting times.
-_POSITIVE = {
+_POSITIVE_SETTINGS = {
     "deployment.workers": ("report_s", "lease_s", "gang_wait_s", "gang_peer_s", "cancel_s"),
     "deployment.state": ("rps", "write_rps", "value_kb", "txn_ops"),
     "deployment.cloud": ("rps", "list_lag_s"),
@@ -187,10 +187,10 @@
 
 def _check(path: str | Path, settings: Settings) -> None:
     """Reject values and addresses that the program can't run with; raises SettingsError."""
-    for section, names in _POSITIVE.items():
+    for section, names in _POSITIVE_SETTINGS.items():
         table: object = settings
-        for step in section.split("."):
-            table = getattr(table, step)
+        for attribute in section.split("."):
+            table = getattr(table, attribute)
         for name in names:
             _check_positive(f"{path}: {section}.{name}", getattr(table, name))
     _check_announced_limits(path, settings.deployment.state.next)
@@ -198,9 +198,9 @@
     _check_teams(path, settings.deployment.teams)
 
 
-def _check_positive(where: str, value: float) -> None:
+def _check_positive(setting: str, value: float) -> None:
     if not 0 < value < float("inf"):
-        raise SettingsError(f"{where}: must be above 0, is {value}")
+        raise SettingsError(f"{setting}: must be above 0, is {value}")
 
 
 def _check_announced_limits(path: str | Path, limits: NextStateLimits | None) -> None:
@@ -220,9 +220,9 @@
         "endpoints.state": settings.endpoints.state,
         **{f"members.{member.name}.address": member.address for member in settings.members},
     }
-    for name, text in addresses.items():
+    for name, address in addresses.items():
         try:
-            host_port(text)
+            host_port(address)
         except ValueError as error:
             raise SettingsError(f"{path}: {name}: {error}") from error
 
