--- a/pitchtally/config/policy.py
+++ b/pitchtally/config/policy.py
@@ -80,7 +80,7 @@
         expression, location = self._sources[name]
         if name in self._evaluating:
             raise PolicyError(
-                f"{location}: {name}: refers to itself by way of {self._evaluating[-1]}"
+                f"{location}: {name}: refers to itself through {self._evaluating[-1]}"
             )
         self._evaluating.append(name)
         try:
