--- a/pitchtally/config/settings.py
+++ b/pitchtally/config/settings.py
@@ -33,7 +33,7 @@
 
 
 class Team(Struct, frozen=True):
-    """A team's quota: guaranteed resources and limits; 0 stands for none."""
+    """A team's quota: guaranteed resources and limits; 0 means none."""
 
     name: str
     cpus: float = 0.0
