--- a/tests/autoscaling/cluster_views.py
+++ b/tests/autoscaling/cluster_views.py
@@ -1,4 +1,4 @@
-"""Views of a cluster for tests of the autoscaler's components, without a controller."""
+"""Cluster states for tests of the autoscaler's components without a controller."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 
 
 def config() -> AutoscalerConfig:
-    """The figures of the simulation's deployment under the usual policy."""
+    """Return the configuration for the simulation's settings and the default policy."""
     found = settings("n0")
     return AutoscalerConfig.from_settings(found, policy.parse("", found))
 
 
 def open_job(number: int, **more: Any) -> Job:
-    """An open job without any task assigned to a shard."""
+    """Return an open job with no tasks assigned to a shard."""
     spec = msgspec.convert(submission(job(number, **more)), JobSpec)
     return Job(spec.id, JobRecord(OPEN, spec.tasks, spec), 1, 10_000)
 
@@ -46,12 +46,12 @@
     idle_for: float = 0.0,
     free: Resources = NO_RESOURCES,
 ) -> MachineStatus:
-    """A machine as its shard leader reports it."""
+    """Return the status of a machine as its shard leader reports it."""
     return MachineStatus(name, type, "a", False, free, NO_RESOURCES, tasks, idle_for, flag)
 
 
 def shard(machines: Iterable[MachineStatus], **waiting: int) -> ShardStatus:
-    """A shard whose leader has reconciled these machines."""
+    """Return the status of a reconciled shard with these machines and pending tasks."""
     pending = {id.replace("_", "-"): count for id, count in waiting.items()}
     return ShardStatus(0, 7, True, 0.0, 0.0, list(machines), [], pending)
 
@@ -59,7 +59,7 @@
 def view(
     statuses: dict[int, ShardStatus], *, slack: float = 10.0, within_limit: int = 1000
 ) -> SchedulerView:
-    """A scheduler that reports these shards, all led by this node."""
+    """Return a view of a scheduler whose node leads all these shards."""
     return SchedulerView(
         shard_statuses=lambda: statuses,
         status_received_at=lambda shard: None,
@@ -73,5 +73,5 @@
 
 
 def on_mock_clock(body: Callable[[], Awaitable[None]]) -> None:
-    """Run a test on a clock that jumps ahead whenever nothing else happens."""
+    """Run a test on a mock clock that advances when all tasks are waiting."""
     trio.run(body, clock=trio.testing.MockClock(autojump_threshold=0))
--- a/tests/autoscaling/test_demand.py
+++ b/tests/autoscaling/test_demand.py
@@ -1,4 +1,4 @@
-"""Demand: pending tasks by job shape, and recent peaks."""
+"""Tests of demand: pending tasks by job shape, and recent peaks."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
         jobs = {job.id: job for job in (open_job(1), open_job(2), open_job(3, vintage="other"))}
         statuses = {0: shard([], wk_000001=2)}
         demands = pending_demands(statuses.values(), jobs, view(statuses))
-        # 2 pending in the shard and 6 of each job that no shard has been assigned yet.
+        # 2 tasks are pending in the shard; the 6 tasks of each job have no shard assigned yet.
         assert [(d.spec.job_class, d.tasks, d.task_seconds) for d in demands] == [
             ("c", 14, 14 * 4.0),
             ("other", 6, 6 * 4.0),
--- a/tests/autoscaling/test_scaling.py
+++ b/tests/autoscaling/test_scaling.py
@@ -1,4 +1,4 @@
-"""Launches and terminations: what is asked of the cloud, and under which conditions."""
+"""Tests of launches and terminations: which requests are sent to the cloud, and when."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Cloud:
-    """A cloud whose answers a test sets; it records every request."""
+    """A stub of the cloud API: sends the configured response and records every request."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch):
         self.requests: list[tuple[str, dict[str, Any]]] = []
@@ -63,7 +63,7 @@
         cloud.body = {"vats": ["i-1", "i-2"]}
         scaling = scale_out(cloud, view({}), {"wk-000001": open_job(1)})
         await scaling.run_round(TOKEN, lambda: True)
-        # 24 task-seconds within half of 10 s of slack: 4.8 tasks at once, 4 to a machine.
+        # 24 task-seconds within half of 10 s of slack need 4.8 concurrent tasks; a machine runs 4.
         assert cloud.requests == [
             (
                 "/machines",
@@ -154,7 +154,7 @@
 
 
 def test_machine_missing_from_one_list_is_kept(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A list can be older than the one before it."""
+    """Machine lists may be served out of order, so a single list may lack a machine."""
 
     async def body() -> None:
         cloud = Cloud(monkeypatch)
@@ -168,7 +168,7 @@
             await inventory.refresh()
             assert "i-1" in inventory.machines
         await trio.sleep(1.5)
-        await inventory.refresh()  # missing since the first of these reads, 4.5 s ago
+        await inventory.refresh()  # missing for 4.5 s, since the first of these reads
         assert not inventory.machines
 
     on_mock_clock(body)
--- a/tests/cli/test_entry.py
+++ b/tests/cli/test_entry.py
@@ -1,4 +1,4 @@
-"""The platform's way in: what it loads, and how it reports an unusable configuration."""
+"""Tests of the platform's entry point: imported modules and the report of a bad configuration."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def test_platform_call_loads_no_click_and_names_the_fault(tmp_path: Path) -> None:
-    """Loading click would delay each start; exit code and message are what operators see."""
+    """Guards against a slow start by importing click, and a changed exit code or message."""
     absent = tmp_path / "absent.toml"
     command = [sys.executable, "-c", PROGRAM, str(absent)]
     found = subprocess.run(command, capture_output=True, text=True, check=True)
--- a/tests/config/test_policy.py
+++ b/tests/config/test_policy.py
@@ -1,4 +1,4 @@
-"""Settings and policy: each fault is reported in one line that names it."""
+"""Tests of settings and policy: each error is reported in one line that names its cause."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 @pytest.fixture
 def write_settings(tmp_path: Path) -> WriteSettings:
-    """Write a settings file and return its path."""
+    """Return a function that writes a settings file and returns its path."""
 
     def write(text: str) -> Path:
         file = tmp_path / "s.toml"
