--- a/tests/autoscaling/cluster_views.py
+++ b/tests/autoscaling/cluster_views.py
@@ -27,13 +27,13 @@
 
 def config() -> AutoscalerConfig:
     """Return the configuration for the simulation's settings and the default policy."""
-    found = settings("n0")
-    return AutoscalerConfig.from_settings(found, policy.parse("", found))
+    node_settings = settings("n0")
+    return AutoscalerConfig.from_settings(node_settings, policy.parse("", node_settings))
 
 
-def open_job(number: int, **more: Any) -> Job:
+def open_job(number: int, **overrides: Any) -> Job:
     """Return an open job with no tasks assigned to a shard."""
-    spec = msgspec.convert(submission(job(number, **more)), JobSpec)
+    spec = msgspec.convert(submission(job(number, **overrides)), JobSpec)
     return Job(spec.id, JobRecord(OPEN, spec.tasks, spec), 1, 10_000)
 
 
@@ -50,9 +50,9 @@
     return MachineStatus(name, type, "a", False, free, NO_RESOURCES, tasks, idle_for, flag)
 
 
-def shard(machines: Iterable[MachineStatus], **waiting: int) -> ShardStatus:
+def shard(machines: Iterable[MachineStatus], **pending_tasks: int) -> ShardStatus:
     """Return the status of a reconciled shard with these machines and pending tasks."""
-    pending = {id.replace("_", "-"): count for id, count in waiting.items()}
+    pending = {id.replace("_", "-"): count for id, count in pending_tasks.items()}
     return ShardStatus(0, 7, True, 0.0, 0.0, list(machines), [], pending)
 
 
--- a/tests/autoscaling/test_demand.py
+++ b/tests/autoscaling/test_demand.py
@@ -14,7 +14,7 @@
 from .cluster_views import BIG, SMALL, on_mock_clock, open_job, shard, view
 
 
-def test_pending_tasks_of_one_shape_are_added_up() -> None:
+def test_pending_tasks_are_summed_by_job_shape() -> None:
     async def body() -> None:
         jobs = {job.id: job for job in (open_job(1), open_job(2), open_job(3, vintage="other"))}
         statuses = {0: shard([], wk_000001=2)}
@@ -28,7 +28,7 @@
     on_mock_clock(body)
 
 
-def test_job_that_is_over_asks_for_nothing() -> None:
+def test_finished_job_has_no_demand() -> None:
     async def body() -> None:
         statuses = {0: shard([], wk_000009=5)}
         assert pending_demands(statuses.values(), {}, view(statuses)) == []
@@ -47,7 +47,7 @@
     on_mock_clock(body)
 
 
-def test_only_allowed_machines_hold_tasks() -> None:
+def test_tasks_fit_only_on_allowed_machines() -> None:
     async def body() -> None:
         types = {"big": BIG, "small": SMALL}
         spec = open_job(1, presses=["big"], gleaning=False).spec
@@ -59,7 +59,7 @@
     on_mock_clock(body)
 
 
-def test_peak_counts_within_its_window() -> None:
+def test_samples_outside_the_window_are_dropped() -> None:
     async def body() -> None:
         shape = JobShape.of(open_job(1).spec)
         peaks = RecentPeaks(10.0)
--- a/tests/autoscaling/test_scaling.py
+++ b/tests/autoscaling/test_scaling.py
@@ -25,7 +25,7 @@
 from ..harness.simulation import settings
 from .cluster_views import BIG, SMALL, config, machine, on_mock_clock, open_job, shard, view
 
-TOKEN = 50
+FENCING_TOKEN = 50
 
 
 class Cloud:
@@ -45,8 +45,8 @@
         return Response(self.status, json.dumps(self.body).encode())
 
     def client(self) -> CloudClient:
-        found = settings("n0")
-        return CloudClient(found, policy.parse("", found))
+        node_settings = settings("n0")
+        return CloudClient(node_settings, policy.parse("", node_settings))
 
 
 def scale_out(cloud: Cloud, scheduler: SchedulerView, jobs: dict[str, Job]) -> ScaleOut:
@@ -62,7 +62,7 @@
         cloud = Cloud(monkeypatch)
         cloud.body = {"vats": ["i-1", "i-2"]}
         scaling = scale_out(cloud, view({}), {"wk-000001": open_job(1)})
-        await scaling.run_round(TOKEN, lambda: True)
+        await scaling.run_round(FENCING_TOKEN, lambda: True)
         # 24 task-seconds within half of 10 s of slack need 4.8 concurrent tasks; a machine runs 4.
         assert cloud.requests == [
             (
@@ -80,7 +80,7 @@
     on_mock_clock(body)
 
 
-def test_launch_without_an_answer_is_repeated_under_its_name(
+def test_launch_without_a_response_is_retried_under_the_same_name(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def body() -> None:
@@ -89,17 +89,17 @@
         scaling = scale_out(cloud, view({}), {"wk-000001": open_job(1)})
         for _ in range(2):
             with pytest.raises(CloudUnavailable):
-                await scaling.run_round(TOKEN, lambda: True)
+                await scaling.run_round(FENCING_TOKEN, lambda: True)
         assert [request["hire"] for _, request in cloud.requests] == ["h-50-1", "h-50-1"]
         scaling.reset()
         with pytest.raises(CloudUnavailable):
-            await scaling.run_round(TOKEN + 1, lambda: True)
+            await scaling.run_round(FENCING_TOKEN + 1, lambda: True)
         assert cloud.requests[-1][1]["hire"] == "h-51-2"
 
     on_mock_clock(body)
 
 
-def test_refused_group_is_left_alone_for_longer_each_time(
+def test_backoff_doubles_after_each_refusal_of_a_group(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def body() -> None:
@@ -107,23 +107,25 @@
         cloud.status, cloud.body = 503, {"error": "no capacity"}
         jobs = {"wk-000001": open_job(1, presses=["small"])}
         scaling = scale_out(cloud, view({}), jobs)
-        asked_at = []
+        requested_at = []
         for _ in range(100):
-            before = len(cloud.requests)
-            await scaling.run_round(TOKEN, lambda: True)
-            if len(cloud.requests) > before:
-                asked_at.append(trio.current_time())
+            request_count = len(cloud.requests)
+            await scaling.run_round(FENCING_TOKEN, lambda: True)
+            if len(cloud.requests) > request_count:
+                requested_at.append(trio.current_time())
             await trio.sleep(1.0)
-        pauses = [later - at for at, later in itertools.pairwise(asked_at)]
+        pauses = [later - earlier for earlier, later in itertools.pairwise(requested_at)]
         assert pauses == [FIRST_BACKOFF_S * 2, FIRST_BACKOFF_S * 4, FIRST_BACKOFF_S * 8]
 
     on_mock_clock(body)
 
 
-def test_nothing_is_asked_without_verified_leadership(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_requests_without_verified_leadership(monkeypatch: pytest.MonkeyPatch) -> None:
     async def body() -> None:
         cloud = Cloud(monkeypatch)
-        await scale_out(cloud, view({}), {"wk-000001": open_job(1)}).run_round(TOKEN, lambda: False)
+        await scale_out(cloud, view({}), {"wk-000001": open_job(1)}).run_round(
+            FENCING_TOKEN, lambda: False
+        )
         terminations = Terminations(cloud.client(), lambda name: None)
         terminations.request("i-1", TerminationCause.FAILED)
         await terminations.flush(lambda: False)
@@ -133,7 +135,9 @@
     on_mock_clock(body)
 
 
-def test_terminated_only_once_the_cloud_has_answered(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_machine_is_terminated_only_after_the_cloud_has_responded(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def body() -> None:
         cloud = Cloud(monkeypatch)
         confirmed: list[str] = []
@@ -158,8 +162,8 @@
 
     async def body() -> None:
         cloud = Cloud(monkeypatch)
-        row = {"ref": "i-1", "press": "big", "parcel": "a", "stage": "running"}
-        cloud.body = {"vats": [row]}
+        entry = {"ref": "i-1", "press": "big", "parcel": "a", "stage": "running"}
+        cloud.body = {"vats": [entry]}
         inventory = MachineInventory(cloud.client(), 1.0, 2.0)
         await inventory.refresh()
         cloud.body = {"vats": []}
@@ -193,7 +197,9 @@
     on_mock_clock(body)
 
 
-def test_idle_machine_stays_while_a_queued_job_may_use_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_machine_is_kept_while_a_queued_job_may_use_it(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def body() -> None:
         idle = {"i-1": machine("i-1", idle_for=1e6)}
         scheduler = view({0: shard(idle.values(), wk_000001=1)})
@@ -206,21 +212,21 @@
     on_mock_clock(body)
 
 
-def test_pause_of_the_process_is_no_heartbeat_timeout() -> None:
+def test_process_pause_resets_heartbeat_timeouts() -> None:
     async def body() -> None:
         resumed_at = -1.0
-        lost = shard([machine("i-0", MachineFlag.LOST)])
-        timeouts = HeartbeatTimeouts(config(), view({0: lost}), lambda: resumed_at)
+        status = shard([machine("i-0", MachineFlag.LOST)])
+        timeouts = HeartbeatTimeouts(config(), view({0: status}), lambda: resumed_at)
         with trio.move_on_after(10):
             await timeouts.run()
-        before = timeouts.unreachable_for("i-0", trio.current_time())
-        assert before is not None
-        assert before > 5
+        before_pause = timeouts.unreachable_for("i-0", trio.current_time())
+        assert before_pause is not None
+        assert before_pause > 5
         resumed_at = trio.current_time() + 0.001
         with trio.move_on_after(config().heartbeat_interval * 1.5):
             await timeouts.run()
-        after = timeouts.unreachable_for("i-0", trio.current_time())
-        assert after is not None
-        assert after < 5
+        after_pause = timeouts.unreachable_for("i-0", trio.current_time())
+        assert after_pause is not None
+        assert after_pause < 5
 
     on_mock_clock(body)
