--- a/tests/cli/test_entry.py
+++ b/tests/cli/test_entry.py
@@ -16,10 +16,10 @@
 """
 
 
-def test_platform_call_loads_no_click_and_names_the_fault(tmp_path: Path) -> None:
+def test_platform_invocation_loads_no_click_and_reports_the_error(tmp_path: Path) -> None:
     """Guards against a slow start by importing click, and a changed exit code or message."""
     absent = tmp_path / "absent.toml"
     command = [sys.executable, "-c", PROGRAM, str(absent)]
-    found = subprocess.run(command, capture_output=True, text=True, check=True)
-    assert found.stdout.split() == ["2", "False", "False"]
-    assert found.stderr == f"pitchtally: {absent}: cannot be read: No such file or directory\n"
+    result = subprocess.run(command, capture_output=True, text=True, check=True)
+    assert result.stdout.split() == ["2", "False", "False"]
+    assert result.stderr == f"pitchtally: {absent}: cannot be read: No such file or directory\n"
--- a/tests/config/test_policy.py
+++ b/tests/config/test_policy.py
@@ -91,12 +91,12 @@
     assert "\n" not in str(caught.value)
 
 
-def test_check_prints_the_limits_that_are_kept(write_settings: WriteSettings) -> None:
+def test_check_prints_the_effective_limits(write_settings: WriteSettings) -> None:
     file = write_settings(f"{GOOD}{NEXT}value_kb = 2\ntxn_ops = 80\nlater_field = 1\n")
-    found = CliRunner().invoke(main, ["check", "--config", str(file)])
-    assert found.exit_code == 0
-    assert "state.value_kb = 2 (today 8)" in found.output
-    assert "state.txn_ops = 8 (today 8)" in found.output
+    result = CliRunner().invoke(main, ["check", "--config", str(file)])
+    assert result.exit_code == 0
+    assert "state.value_kb = 2 (today 8)" in result.output
+    assert "state.txn_ops = 8 (today 8)" in result.output
 
 
 def test_good_settings(write_settings: WriteSettings, tmp_path: Path) -> None:
