--- a/pitchtally/agents/listener.py
+++ b/pitchtally/agents/listener.py
@@ -62,7 +62,7 @@
     """Which shards this node leads, under which fencing tokens."""
 
     @property
-    def me(self) -> str:
+    def node_name(self) -> str:
         """The name of this node."""
 
     def token(self, shard: int) -> int | None:
@@ -71,7 +71,7 @@
     def leader(self, shard: int) -> str | None:
         """Return the leader of a shard according to the replica, or None."""
 
-    def fenced(self, shard: int, token: int) -> None:
+    def observe_token(self, shard: int, token: int) -> None:
         """Process a token sent by an agent; one newer than this node's ends its leadership."""
 
 
--- a/pitchtally/api/read_barrier.py
+++ b/pitchtally/api/read_barrier.py
@@ -131,8 +131,8 @@
             log.debug(
                 "read revision=%d asked=%.3f answered=%.3f requests=%d",
                 read.revision,
-                read.asked_at,
-                read.answered_at,
+                read.requested_at,
+                read.replied_at,
                 len(served or ()),
             )
         except StoreUnavailable as error:
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -1,4 +1,4 @@
-"""The feature gate and the stored formats: each version reads what the other writes."""
+"""The format gate, and stored formats: each version reads what the other writes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from pitchtally.controller import Controller
 from pitchtally.formats import finished_tasks, machine_layout, text_chunks
 from pitchtally.formats import format_1 as legacy
-from pitchtally.formats.gate import FIRST_FORMAT, FORMAT, KEY, all_read
+from pitchtally.formats.gate import CURRENT_FORMAT, FIRST_FORMAT, KEY, all_members_read_format
 from pitchtally.jobs import job_record
 from pitchtally.jobs.job_record import OPEN, JobRecord, TaskRange
 from pitchtally.jobs.task_bitmap import TaskBitmap
@@ -31,35 +31,35 @@
 STATE = StateLimits(
     rps=300, write_rps=100, value_kb=2, txn_ops=16, next=NextStateLimits(value_kb=1, txn_ops=4)
 )
-LEGACY_CHUNK = legacy.chunk_tasks(2)
+LEGACY_CHUNK = legacy.tasks_per_chunk(2)
 
 # --- the gate ---------------------------------------------------------------------------------
 
-NEW, OLD = NodeRecord("a1", reads=FORMAT), NodeRecord("a1")
+NEW, OLD = NodeRecord("a1", reads=CURRENT_FORMAT), NodeRecord("a1")
 MEMBERS = ["n0", "n1"]
 GATE: list[tuple[dict[str, NodeRecord], dict[str, str], bool]] = [
     ({"n0": NEW, "n1": NEW}, {"n0": "a1", "n1": "a1"}, True),
     ({"n0": NEW, "n1": OLD}, {"n0": "a1", "n1": "a1"}, False),
     ({"n0": NEW}, {"n0": "a1", "n1": "a1"}, False),  # a member without a session lease
-    ({"n0": NEW, "n1": NEW}, {"n0": "a1"}, False),  # its process may have ended since
+    ({"n0": NEW, "n1": NEW}, {"n0": "a1"}, False),  # its process may have ended
     ({"n0": NEW, "n1": NEW}, {"n0": "a1", "n1": "b2"}, False),  # a predecessor's record
-    # restarted with the old version
+    # a member restarted with the old version
     ({"n0": NEW, "n1": NodeRecord("b2")}, {"n0": "a1", "n1": "b2"}, False),
     ({"n0": NEW, "n1": NEW, "n2": OLD}, {"n0": "a1", "n1": "a1"}, True),  # not configured
-    ({"n0": NEW, "n1": NodeRecord("a1", reads=FORMAT + 1)}, {"n0": "a1", "n1": "a1"}, True),
+    ({"n0": NEW, "n1": NodeRecord("a1", reads=CURRENT_FORMAT + 1)}, {"n0": "a1", "n1": "a1"}, True),
 ]
 
 
-@pytest.mark.parametrize(("records", "answering", "opens"), GATE)
+@pytest.mark.parametrize(("records", "replying_incarnations", "opens"), GATE)
 def test_gate_opens_once_every_configured_member_reads_the_format(
-    records: dict[str, NodeRecord], answering: dict[str, str], opens: bool
+    records: dict[str, NodeRecord], replying_incarnations: dict[str, str], opens: bool
 ) -> None:
-    assert all_read(MEMBERS, records, answering) is opens
+    assert all_members_read_format(MEMBERS, records, replying_incarnations) is opens
 
 
 # --- records of 0.5.1, and how it reads the present ones --------------------------------------
 
-# As 0.5.1 stores and sends them: recorded, not made by the code under test.
+# Records as stored by 0.5.1; literals, not produced by the code under test.
 SPEC = (
     '{"ref":"wk-000001","vintage":"c","crew":"free","cut":"sweep","rank":"standard","rows":6,'
     '"vcpus":2.0,"cards":0.0,"memGb":1.0,"cask":"i","pullGb":0.1,"gleaning":true,"ripenS":4.0}'
@@ -78,10 +78,10 @@
 }
 
 
-def _learn(controller: Any, writes: Mapping[str, str | bytes]) -> None:
+def _apply_records(controller: Any, writes: Mapping[str, str | bytes]) -> None:
     for number, (key, value) in enumerate(writes.items()):
         data = value if isinstance(value, bytes) else value.encode()
-        controller.replica.learn(f"pt/{key}", data, 10 + number)
+        controller.replica.apply_committed(f"pt/{key}", data, 10 + number)
 
 
 def _check_records(controller: Any) -> None:
@@ -117,21 +117,21 @@
 def test_records_of_the_version_in_production_are_read() -> None:
     def body() -> None:
         controller = _controller()
-        _learn(controller, RECORDS)
+        _apply_records(controller, RECORDS)
         _check_records(controller)
         assert controller.membership.alive["n0"].reads == FIRST_FORMAT
 
     _run(body)
 
 
-def test_what_is_written_while_the_gate_is_closed_is_read_by_earlier_versions(
+def test_earlier_versions_read_records_written_while_the_gate_is_closed(
     earlier: EarlierVersion,
 ) -> None:
-    """Each record is decoded and encoded by the new version, and read by the earlier one."""
+    """The new version decodes and encodes each record, and the earlier one reads it."""
 
     def body() -> None:
         new = _controller()
-        _learn(new, RECORDS)
+        _apply_records(new, RECORDS)
         job_ = new.job_index.jobs["wk-000001"]
         spec = job_.spec
         first, record = new.layout.lay_out_new("wk-000004", JobRecord(OPEN, 6, spec, 2.5))
@@ -139,7 +139,7 @@
         written: dict[str, str | bytes] = {
             **RECORDS,
             "nodes/n1": msgspec.json.encode(new.membership.session.own_record()),
-            "jobs/wk-000001": new.scheduler.range_writer.record_with(job_),
+            "jobs/wk-000001": new.scheduler.range_writer.encode_record_with(job_),
             "jobs/wk-000004": job_record.encode(record),
             "shares": new.scheduler.quotas.shares.change(
                 "tight", [(4.0, 0.0), (2.0, 0.0), (0, 0)]
@@ -150,8 +150,11 @@
         }
         assert new.agents.records.chunk_of("i-000360") == 360 // 3 // 10
         old = earlier.controller(settings("n2", state=STATE), "")
-        _learn(old, {key: written[key] for key in RECORDS})
-        _learn(old, {key: written[key] for key in written if key not in RECORDS})
+        _apply_records(with_present_names(old), {key: written[key] for key in RECORDS})
+        _apply_records(
+            with_present_names(old),
+            {key: written[key] for key in written if key not in RECORDS},
+        )
         _check_records(with_present_names(old))
         assert old.job_store.jobs["wk-000004"].record.at == 2.5
         assert old.members.alive["n1"].incarnation == new.membership.incarnation
@@ -159,7 +162,7 @@
     _run(body)
 
 
-def test_messages_are_read_in_both_directions(earlier: EarlierVersion) -> None:
+def test_both_versions_read_each_others_messages(earlier: EarlierVersion) -> None:
     their_messages = earlier.module("control.messages")
     spec = parse_job(json.dumps(submission(job(1))).encode())
     heartbeat = messages.PeerHeartbeat(
@@ -192,24 +195,24 @@
 def test_version_in_production_writes_its_own_chunks_before_it_empties_others(
     production: EarlierVersion,
 ) -> None:
-    """It reads chunks of any width, and writes in the order of their numbers."""
+    """It reads chunks of any width, and writes chunks in the order of their numbers."""
 
     def body() -> None:
         old = production.controller(settings("n2", state=STATE), "")
         width = machine_layout.machines_per_chunk(1024)
-        row = 123
-        their_chunk = old.workers.records.chunk_of(f"i-{row * 3:06d}")
-        our_chunk = machine_layout.chunk_of(row, width)
+        position = 123
+        their_chunk = old.workers.records.chunk_of(f"i-{position * 3:06d}")
+        our_chunk = machine_layout.chunk_of(position, width)
         assert sorted([our_chunk, their_chunk]) == [their_chunk, our_chunk]
-        _learn(old, {f"fleet/0/{our_chunk}": RECORDS["fleet/0/3"]})
+        _apply_records(with_present_names(old), {f"fleet/0/{our_chunk}": RECORDS["fleet/0/3"]})
         assert "i-000360" in old.workers.records.of(0)
 
     _run(body)
 
 
-def _write_in_present_format(writer: Any, task_ranges: list[Any]) -> dict[str, str | bytes]:
-    """Return the records above as a controller of either version with an open gate writes them."""
-    _learn(writer, RECORDS)
+def _write_in_current_format(writer: Any, task_ranges: list[Any]) -> dict[str, str | bytes]:
+    """Return `RECORDS` as written by a controller of either version with an open gate."""
+    _apply_records(writer, RECORDS)
     job_ = writer.job_index.jobs["wk-000001"]
     before, record = writer.layout.convert(job_)
     assert job_.record.ranges == task_ranges
@@ -225,7 +228,7 @@
 
 
 @pytest.mark.parametrize("new_writes", [True, False], ids=["new writes", "old writes"])
-def test_what_is_written_with_an_open_gate_is_read_in_both_directions(
+def test_both_versions_read_each_others_records_written_with_an_open_gate(
     new_writes: bool, version_0_6_0: EarlierVersion
 ) -> None:
     def body() -> None:
@@ -233,20 +236,20 @@
         new = _controller()
         writer: Any = new if new_writes else old
         reader: Any = old if new_writes else new
-        _learn(writer, {"format": writer.gate.record()})
+        _apply_records(writer, {"format": writer.gate.record()})
         assert writer.gate.open
         assert not reader.gate.open
-        written = _write_in_present_format(writer, [(0, 4, 0), (4, 6, 1)])
+        written = _write_in_current_format(writer, [(0, 4, 0), (4, 6, 1)])
         assert written["jobs/wk-000001"] != RECORDS["jobs/wk-000001"]
-        _learn(reader, {key: written[key] for key in RECORDS})
-        _learn(reader, {key: written[key] for key in written if key not in RECORDS})
+        _apply_records(reader, {key: written[key] for key in RECORDS})
+        _apply_records(reader, {key: written[key] for key in written if key not in RECORDS})
         _check_records(reader)
         assert reader.gate.open
         assert reader.gate.legacy_chunk_tasks == LEGACY_CHUNK
         node_record = reader.membership.alive["n1"]
         assert (node_record.incarnation, node_record.reads) == (
             writer.membership.incarnation,
-            FORMAT,
+            CURRENT_FORMAT,
         )
 
     _run(body)
@@ -265,7 +268,7 @@
 def test_chunks_of_the_old_layout_are_read_at_their_offsets(
     bits_first: bool, next_value_kb: float
 ) -> None:
-    """The width of old chunks must not be derived from the reader's own limits."""
+    """Guards against deriving the width of old chunks from the reader's own limits."""
 
     def body() -> None:
         state = StateLimits(value_kb=2, next=NextStateLimits(value_kb=next_value_kb))
@@ -277,7 +280,7 @@
         order = [chunk, record] if bits_first else [record, chunk]
         for number, writes in enumerate(order):
             for key, value in writes.items():
-                controller.replica.learn(f"pt/{key}", value.encode(), 20 + number)
+                controller.replica.apply_committed(f"pt/{key}", value.encode(), 20 + number)
         job_ = controller.job_index.jobs["wk-000001"]
         assert [t for t in range(100_000) if t in job_.finished] == [2 * LEGACY_CHUNK + 1]
 
@@ -285,7 +288,7 @@
 
 
 def test_old_chunks_are_read_after_the_settings_have_the_lower_limit() -> None:
-    """The gate's record holds the width: by then `value_kb` itself is the lower limit."""
+    """The width is read from the gate's record, since `value_kb` is the lower limit already."""
 
     def body() -> None:
         upgraded = _controller()
@@ -293,8 +296,8 @@
         later.replica.apply_own_commit([Write(KEY, upgraded.gate.record())], 9)
         bits = TaskBitmap(8)
         bits.add(1)
-        _learn(later, {"fin/wk-000001/1": json.dumps(bits.text())})
-        _learn(later, {"jobs/wk-000001": _wide(100_000)})
+        _apply_records(later, {"fin/wk-000001/1": json.dumps(bits.text())})
+        _apply_records(later, {"jobs/wk-000001": _wide(100_000)})
         assert LEGACY_CHUNK + 1 in later.job_index.jobs["wk-000001"].finished
 
     _run(body)
@@ -306,7 +309,7 @@
 @pytest.mark.parametrize("tasks", CONVERTED)
 @pytest.mark.parametrize("steps", [0, 1, 3, 1000], ids=lambda n: f"{n} writes")
 def test_conversion_may_be_interrupted_after_any_write(tasks: int, steps: int) -> None:
-    """Another controller reads the same after any of the writes, and resumes the conversion."""
+    """After any of the writes another controller reads the same tasks and resumes."""
 
     def body() -> None:
         first = _controller(gate_open=True)
@@ -322,7 +325,7 @@
             stored["jobs/wk-000001"] = _wide(tasks)
         else:
             stored["jobs/wk-000001"] = _wide(tasks, finished=bits.text())
-        _learn(first, stored)
+        _apply_records(first, stored)
         for writes_made in (steps, 1000):
             job_ = first.job_index.jobs["wk-000001"]
             if not first.layout.needs_conversion(job_):
@@ -334,12 +337,12 @@
             for write in writes:
                 stored[write.key.removeprefix("pt/")] = write.value or b""
             first = _controller(gate_open=True)
-            _learn(first, stored)
+            _apply_records(first, stored)
             converted = first.job_index.jobs["wk-000001"]
             assert [t for t in range(tasks) if t in converted.finished] == sorted(set(done))
         job_ = first.job_index.jobs["wk-000001"]
         assert not first.layout.needs_conversion(job_)
-        assert bool(job_.chunk_tasks) == (tasks > finished_tasks.inline_tasks(1024))
+        assert bool(job_.chunk_tasks) == (tasks > finished_tasks.max_inline_tasks(1024))
 
     _run(body)
 
@@ -347,14 +350,16 @@
 def test_keys_of_finished_jobs_are_removed_a_few_at_a_time() -> None:
     def body() -> None:
         controller = _controller(gate_open=True)
-        _learn(controller, {f"done/wk-000001/{n * 3072}": '"AA=="' for n in range(6)})
-        _learn(controller, {"fin/wk-000002/0": '"AA=="', "fin/wk-000003/0": '"AA=="'})
-        _learn(
+        _apply_records(controller, {f"done/wk-000001/{n * 3072}": '"AA=="' for n in range(6)})
+        _apply_records(controller, {"fin/wk-000002/0": '"AA=="', "fin/wk-000003/0": '"AA=="'})
+        _apply_records(
             controller,
             {"jobs/wk-000001": _wide(20_000), "jobs/wk-000002": RECORDS["jobs/wk-000002"]},
         )
         assert controller.cleanup.left_over(4) == ["pt/fin/wk-000002/0"]
-        controller.replica.learn("pt/jobs/wk-000001", b'{"stage":"done","tasks":20000}', 90)
+        controller.replica.apply_committed(
+            "pt/jobs/wk-000001", b'{"stage":"done","tasks":20000}', 90
+        )
         assert len(controller.cleanup.left_over(4)) == 4
         assert len(controller.cleanup.left_over(100)) == 7  # wk-000003 has no record
 
@@ -367,17 +372,17 @@
 @pytest.mark.parametrize("value_bytes", [64, 512, 2048])
 @pytest.mark.parametrize("text", ["", "a" * 5000, '"\\' * 900, "กข" * 700, "\x00\n" * 300])
 def test_text_is_joined_from_its_chunks(text: str, value_bytes: int) -> None:
-    ref, values = text_chunks.cut(text, value_bytes)
+    ref, values = text_chunks.split(text, value_bytes)
     assert all(len(value) <= value_bytes for value in values)
     chunks = {
         text_chunks.ChunkId(ref.digest, n): msgspec.json.decode(v, type=str)
         for n, v in enumerate(values)
     }
     assert text_chunks.join(ref, chunks) == text
-    other, more = text_chunks.cut(text + "b", value_bytes)
+    other_ref, other_values = text_chunks.split(text + "b", value_bytes)
     chunks |= {
-        text_chunks.ChunkId(other.digest, n): msgspec.json.decode(v, type=str)
-        for n, v in enumerate(more)
+        text_chunks.ChunkId(other_ref.digest, n): msgspec.json.decode(v, type=str)
+        for n, v in enumerate(other_values)
     }
     assert text_chunks.join(ref, chunks) == text
     if values:
@@ -388,18 +393,21 @@
 # --- team shares --------------------------------------------------------------------------------
 
 
-def test_late_write_of_the_old_shares_does_not_change_a_team_with_its_own() -> None:
-    """It would raise a share that nobody lowers any more, beyond the team's limit."""
+def test_late_write_in_the_old_format_does_not_change_a_team_with_its_own_key() -> None:
+    """Guards against a late write that raises one share without lowering another.
+
+    The shares would then exceed the team's limit together.
+    """
 
     def body() -> None:
         controller = _controller(gate_open=True)
         shares = controller.scheduler.quotas.shares
-        _learn(controller, {"shares": '{"tight":[[2.0,0.0],[2.0,0.0],[2.0,0.0]]}'})
+        _apply_records(controller, {"shares": '{"tight":[[2.0,0.0],[2.0,0.0],[2.0,0.0]]}'})
         change = shares.change("tight", [(1.0, 0.0), (3.0, 0.0), (2.0, 0.0)])
         assert set(shares.versions("tight")) == {"pt/shares", change.key}
         controller.replica.apply_own_commit([change], 30)
         late_value = b'{"tight":[[0.0,0.0],[2.0,0.0],[4.0,0.0]],"free":[[1,1],[1,1],[1,1]]}'
-        controller.replica.learn("pt/shares", late_value, 40)
+        controller.replica.apply_committed("pt/shares", late_value, 40)
         assert shares.of("tight") == [(1.0, 0.0), (3.0, 0.0), (2.0, 0.0)]
         assert shares.of("free") == [(1.0, 1.0)] * 3
 
