--- a/pitchtally/config/policy.py
+++ b/pitchtally/config/policy.py
@@ -162,7 +162,7 @@
     if policy.max_evidence_age > highest:
         raise PolicyError(
             f"{location}: max_evidence_age: {policy.max_evidence_age:g} s"
-            f" plus the agent lease exceeds cancel_s; must be at most {highest:g} s"
+            f" plus the agent lease goes beyond cancel_s; must be at most {highest:g} s"
         )
 
 
