--- a/pitchtally/autoscaling/demand.py
+++ b/pitchtally/autoscaling/demand.py
@@ -45,7 +45,7 @@
     """The pending tasks of one job shape in all shards."""
 
     spec: user_api.JobSpec  # a job of this shape, as an example
-    task_seconds: float = 0.0  # expected task-seconds
+    task_seconds: float = 0.0  # expected run time of all these tasks
     tasks: int = 0
 
 
--- a/pitchtally/autoscaling/terminations.py
+++ b/pitchtally/autoscaling/terminations.py
@@ -13,7 +13,7 @@
 
 log = logging.getLogger(__name__)
 
-# Period during which heartbeats list a terminated machine.
+# How long peer heartbeats list a terminated machine.
 TERMINATED_RETENTION_S = 120.0
 
 
