--- a/pitchtally/autoscaling/autoscaler.py
+++ b/pitchtally/autoscaling/autoscaler.py
@@ -84,7 +84,7 @@
         scheduler: SchedulerView,
         replica: Replica,
     ):
-        """Take nine parameters, since the components of this package are built and wired here."""
+        """Build and connect the components of this package, hence the many parameters."""
         self.catalog = catalog
         self._config = config
         self._errors = cloud.errors
--- a/pitchtally/autoscaling/catalog.py
+++ b/pitchtally/autoscaling/catalog.py
@@ -20,7 +20,7 @@
 from ..state_store.replica import Replica
 from .cloud_client import CloudClient, CloudUnavailable, InsufficientCapacity
 
-# Spot prices change constantly; changes below this share of the price aren't stored.
+# Spot prices change constantly; to save writes, changes below this share aren't stored.
 MIN_PRICE_CHANGE_RATIO = 0.1
 # Interval between requests for the machine types, as a multiple of the machine list interval:
 # after the first successful read, and before it.
--- a/pitchtally/autoscaling/scale_out.py
+++ b/pitchtally/autoscaling/scale_out.py
@@ -197,7 +197,7 @@
         if spec.is_service:
             # Service tasks don't end, so each pending one needs a slot of its own.
             return min(demand.tasks - free - preemptible - booting, allowed)
-        # No launch if the running and booting machines will finish the queue early enough.
+        # Tasks that the present machines finish before a new one has booted need no launch.
         max_queue_seconds = self._max_queue_slack_share * self._scheduler.slack(spec)
         if slots and demand.task_seconds / slots <= max_queue_seconds:
             return 0.0
--- a/pitchtally/cli/entry.py
+++ b/pitchtally/cli/entry.py
@@ -12,7 +12,8 @@
     """Run the command line with these arguments, and exit.
 
     The platform invokes the program with `--config FILE`, which starts a controller; all other
-    arguments are handled by the click commands. Loading click would delay the start.
+    arguments are handled by the click commands. Loading click would delay each start
+    of a controller.
     """
     if len(arguments) == 2 and arguments[0] == "--config":
         sys.exit(serve(arguments[1]))
--- a/pitchtally/config/figures.py
+++ b/pitchtally/config/figures.py
@@ -1,7 +1,7 @@
 """The figures (numeric parameters) of the policy: default, range and meaning of each.
 
-A default is an expression of the policy language (`expression`), so it can depend on the settings
-of the deployment.
+Every value that the platform doesn't prescribe is listed here. A default is an expression of the
+policy language (`expression`), so it can depend on the settings of the deployment.
 """
 
 from __future__ import annotations
