--- a/pitchtally/autoscaling/demand.py
+++ b/pitchtally/autoscaling/demand.py
@@ -1,4 +1,4 @@
-"""Demand: what pending and recent jobs ask of machines, as pure functions over views."""
+"""Demand of pending and recent jobs for machines, computed from status reports."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class JobShape(NamedTuple):
-    """What jobs have in common that may use the same machines and take about as long."""
+    """Groups jobs that may use the same machines and have tasks of about the same length."""
 
     job_class: str
     types: tuple[str, ...] | None
@@ -26,12 +26,12 @@
 
     @classmethod
     def of(cls, spec: user_api.JobSpec) -> JobShape:
-        """The shape of a job."""
+        """Return the shape of a job."""
         return cls(spec.job_class, spec.types, spec.zone, spec.spot)
 
 
 class _RequestShape(NamedTuple):
-    """What decides whether a job's pending tasks need a machine."""
+    """The properties of a job that decide whether its pending tasks can use a machine."""
 
     resources: Resources
     team: str
@@ -42,17 +42,17 @@
 
 @dataclass(slots=True)
 class PendingDemand:
-    """The pending tasks of one shape in all shards."""
+    """The pending tasks of one job shape in all shards."""
 
-    spec: user_api.JobSpec  # of one of the jobs
-    seconds: float = 0.0  # expected task-seconds
+    spec: user_api.JobSpec  # a job of this shape, as an example
+    task_seconds: float = 0.0  # expected run time of all these tasks
     tasks: int = 0
 
 
 def pending_demands(
     statuses: Iterable[ShardStatus], open_jobs: Mapping[str, Job], scheduler: SchedulerView
 ) -> list[PendingDemand]:
-    """What is pending, assigned to a shard or not yet, by shape."""
+    """Return the demand by job shape, including tasks not yet assigned to a shard."""
     pending: Counter[str] = Counter()
     for status in statuses:
         pending.update(status.pending)
@@ -62,13 +62,13 @@
             pending[job.id] += unassigned
     demands: dict[JobShape, PendingDemand] = {}
     for id, count in pending.items():
-        found = open_jobs.get(id)
-        if found is None:
+        pending_job = open_jobs.get(id)
+        if pending_job is None:
             continue
-        spec = found.spec
+        spec = pending_job.spec
         demand = demands.setdefault(JobShape.of(spec), PendingDemand(spec))
         demand.spec = spec
-        demand.seconds += count * scheduler.task_seconds(spec)
+        demand.task_seconds += count * scheduler.task_seconds(spec)
         demand.tasks += count
     return list(demands.values())
 
@@ -76,8 +76,8 @@
 def queued_specs(
     statuses: Iterable[ShardStatus], open_jobs: Mapping[str, Job], scheduler: SchedulerView
 ) -> list[user_api.JobSpec]:
-    """One job of each request that is pending in a shard and within its team's limit."""
-    found: dict[_RequestShape, user_api.JobSpec] = {}
+    """Return one pending job per distinct request, without jobs of teams at their limit."""
+    specs: dict[_RequestShape, user_api.JobSpec] = {}
     for status in statuses:
         for id in status.pending:
             job = open_jobs.get(id)
@@ -86,8 +86,8 @@
                 shape = _RequestShape(
                     resource_request(spec), spec.team, spec.types, spec.zone, spec.spot
                 )
-                found.setdefault(shape, spec)
-    return [spec for spec in found.values() if scheduler.tasks_within_limit(spec)]
+                specs.setdefault(shape, spec)
+    return [spec for spec in specs.values() if scheduler.tasks_within_limit(spec)]
 
 
 def tasks_per_machine(
@@ -95,7 +95,7 @@
     group: MachineGroupKey,
     types: Mapping[str, cloud_api.MachineType],
 ) -> int:
-    """Tasks of a job that fit an empty machine of a group; 0 if the job doesn't allow it."""
+    """Return how many tasks of a job fit an empty machine of a group; 0 if it isn't allowed."""
     machine_type = types.get(group.type)
     if machine_type is None or not allows_machine_type(spec, machine_type, group.zone, group.spot):
         return 0
@@ -103,34 +103,34 @@
 
 
 class _Sample(NamedTuple):
-    at: float
+    sampled_at: float
     tasks: int
 
 
 class RecentPeaks:
-    """How many tasks of each shape ran or were startable at once, within a window."""
+    """The peak number of tasks of each job shape that were running or startable at once."""
 
     def __init__(self, window: float):
-        """`window`: seconds for which a sample counts."""
+        """`window`: age in seconds at which a sample is dropped."""
         self._window = window
         self._samples: dict[JobShape, list[_Sample]] = {}
 
     def sample(self, now: float, open_jobs: Iterable[Job], scheduler: SchedulerView) -> None:
-        """Record the present demand, and drop what is older than the window."""
+        """Record the current demand, and drop samples older than the window."""
         counts: Counter[JobShape] = Counter()
         for job in open_jobs:
             spec = job.spec
-            left = spec.tasks - job.finished.count
+            unfinished = spec.tasks - job.finished.count
             startable = 1 + scheduler.tasks_within_limit(spec) + scheduler.running_tasks(job.id)
-            counts[JobShape.of(spec)] += min(left, startable)
+            counts[JobShape.of(spec)] += min(unfinished, startable)
         for shape, tasks in counts.items():
             self._samples.setdefault(shape, []).append(_Sample(now, tasks))
         for shape in list(self._samples):
-            recent = [s for s in self._samples[shape] if now - s.at < self._window]
+            recent = [s for s in self._samples[shape] if now - s.sampled_at < self._window]
             self._samples[shape] = recent
             if not recent:
                 del self._samples[shape]
 
     def peak(self, shape: JobShape) -> int:
-        """The largest sample; 1 for a shape without samples."""
+        """Return the largest sample; 1 for a shape without samples."""
         return max((sample.tasks for sample in self._samples.get(shape, ())), default=1)
--- a/pitchtally/autoscaling/scale_out.py
+++ b/pitchtally/autoscaling/scale_out.py
@@ -1,7 +1,7 @@
-"""Scale out: launches of machines for pending tasks.
+"""Scale out: launches machines for pending tasks.
 
-Launch requests are named after the cluster leader's fencing token and a counter, so that no two
-nodes ever use one name; a request without an answer is repeated under its name.
+Launch requests are named after the cluster leader's fencing token and a counter, so no two nodes
+ever use the same name. A request without a response is retried under the same name.
 """
 
 from __future__ import annotations
@@ -25,28 +25,29 @@
 
 log = logging.getLogger(__name__)
 
-LAUNCHES_PER_ROUND = 6
-# Seconds for which a group is left alone that had no machine, or not as many as asked for.
+MAX_LAUNCHES_PER_ROUND = 6
+# Delay before the next launch in a group that had no machines available (doubled each time), or
+# fewer than requested. The delay after the first refusal is twice FIRST_BACKOFF_S.
 FIRST_BACKOFF_S, MAX_BACKOFF_S, PARTIAL_BACKOFF_S = 5.0, 60.0, 20.0
 
 
 @dataclass(frozen=True, slots=True)
 class BootingMachine:
-    """A machine that was launched and has sent no heartbeat yet."""
+    """A launched machine that has not sent a heartbeat yet."""
 
     group: MachineGroupKey
-    since: float  # steady clock, seconds
+    booting_since: float  # steady clock, seconds
 
 
 class _Backoff(NamedTuple):
-    """A group that the cloud refused."""
+    """The delay before the next launch in a group."""
 
     until: float
     seconds: float
 
 
 class _LaunchOption(NamedTuple):
-    """Machines of a group for one job, the best option first in order."""
+    """The cost of running a job on machines of a group; the best option sorts first."""
 
     price_per_task: float
     boot: float
@@ -55,15 +56,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MissingMachines:
-    """Machines to launch."""
+class PlannedLaunch:
+    """A number of machines of a group to launch."""
 
     group: MachineGroupKey
     count: int
 
 
 class ScaleOut:
-    """Launches what pending tasks need, the cheapest machines for a task first."""
+    """Launches machines for pending tasks, choosing those with the lowest price per task."""
 
     def __init__(
         self,
@@ -72,55 +73,55 @@
         open_jobs: Mapping[str, Job],
         scheduler: SchedulerView,
         booting: dict[str, BootingMachine],
-        patience: float,
+        max_queue_slack_share: float,
     ):
-        """`booting`: shared with the health checks; launched machines are added.
+        """`booting`: shared with the health checks; launched machines are added to it.
 
-        `patience`: the share of a job's slack within which present machines must finish its
-        queue, else more are launched.
+        `max_queue_slack_share`: more machines are launched if the present ones would take longer
+        than this share of a job's slack to finish its queue.
         """
         self._cloud = cloud
         self._machine_types = machine_types
         self._open_jobs = open_jobs
         self._scheduler = scheduler
         self._booting = booting
-        self._patience = patience
+        self._max_queue_slack_share = max_queue_slack_share
         self._backoffs: dict[MachineGroupKey, _Backoff] = {}
-        self._unanswered: cloud_api.LaunchRequest | None = None
+        self._unanswered_request: cloud_api.LaunchRequest | None = None
         self._counter = 0
 
     def reset(self) -> None:
-        """Drop the request of an earlier leadership."""
-        self._unanswered = None
+        """Drop an unanswered request of an earlier leadership."""
+        self._unanswered_request = None
 
     async def run_round(self, token: FencingToken, is_verified: Callable[[], bool]) -> None:
-        """Launch what is missing, while leadership is verified; raises `CloudUnavailable`."""
+        """Launch missing machines while leadership is verified; raises `CloudUnavailable`."""
         now = trio.current_time()
-        for _ in range(LAUNCHES_PER_ROUND):
+        for _ in range(MAX_LAUNCHES_PER_ROUND):
             if not is_verified():
                 return
-            if self._unanswered is None:
-                missing = self._next_launch(now)
-                if missing is None:
+            if self._unanswered_request is None:
+                launch = self._next_launch(now)
+                if launch is None:
                     return
                 self._counter += 1
-                self._unanswered = cloud_api.LaunchRequest(
-                    f"h-{token}-{self._counter}", *missing.group, missing.count
+                self._unanswered_request = cloud_api.LaunchRequest(
+                    f"h-{token}-{self._counter}", *launch.group, launch.count
                 )
-            await self._launch(self._unanswered, now)
+            await self._launch(self._unanswered_request, now)
 
     async def _launch(self, request: cloud_api.LaunchRequest, now: float) -> None:
         group = MachineGroupKey(request.type, request.zone, request.spot)
         try:
             names = await self._cloud.launch(request)
         except InsufficientCapacity:
-            self._unanswered = None
-            before = self._backoffs.get(group)
-            seconds = min((before.seconds if before else FIRST_BACKOFF_S) * 2, MAX_BACKOFF_S)
+            self._unanswered_request = None
+            previous = self._backoffs.get(group)
+            seconds = min((previous.seconds if previous else FIRST_BACKOFF_S) * 2, MAX_BACKOFF_S)
             self._backoffs[group] = _Backoff(now + seconds, seconds)
             log.info("launch refused type=%s zone=%s spot=%s", *group)
             return
-        self._unanswered = None
+        self._unanswered_request = None
         if len(names) < request.count:
             self._backoffs[group] = _Backoff(now + PARTIAL_BACKOFF_S, PARTIAL_BACKOFF_S)
         else:
@@ -129,8 +130,8 @@
         for name in names:
             self._booting[name] = BootingMachine(group, now)
 
-    def _next_launch(self, now: float) -> MissingMachines | None:
-        """The next launch that pending tasks call for, cheapest per task first."""
+    def _next_launch(self, now: float) -> PlannedLaunch | None:
+        """Return the next launch for pending tasks, None if none is needed or possible."""
         groups = [g for g in self._groups() if self._is_available(g, now)]
         if not groups:
             return None
@@ -140,10 +141,10 @@
             cheapest = self._cheapest(demand.spec, groups)
             if cheapest is None:
                 continue
-            missing = self._missing_tasks(demand, machines)
-            if missing > 0:
-                count = int(missing / cheapest.tasks_per_machine + 0.999)
-                return MissingMachines(
+            missing_tasks = self._missing_tasks(demand, machines)
+            if missing_tasks > 0:
+                count = int(missing_tasks / cheapest.tasks_per_machine + 0.999)
+                return PlannedLaunch(
                     cheapest.group, max(1, min(count, cloud_api.MAX_MACHINES_PER_LAUNCH))
                 )
         return None
@@ -162,52 +163,54 @@
     def _cheapest(
         self, spec: user_api.JobSpec, groups: Iterable[MachineGroupKey]
     ) -> _LaunchOption | None:
-        """The group whose machines cost least per task."""
+        """Return the group with the lowest price per task, None if none can run the job."""
         types = self._machine_types()
         options = []
         for group in groups:
-            fitting = tasks_per_machine(spec, group, types)
-            if fitting:
+            fitting_tasks = tasks_per_machine(spec, group, types)
+            if fitting_tasks:
                 machine_type = types[group.type]
                 price = price_of(machine_type, spot=group.spot)
                 options.append(
-                    _LaunchOption(price / fitting, machine_type.boot_time, group, fitting)
+                    _LaunchOption(
+                        price / fitting_tasks, machine_type.boot_time, group, fitting_tasks
+                    )
                 )
         return min(options, default=None)
 
     def _missing_tasks(self, demand: PendingDemand, machines: Collection[MachineStatus]) -> float:
-        """How many tasks lack a machine if the demand is to be met in time."""
+        """Return how many more task slots are needed to finish the pending tasks in time."""
         spec = demand.spec
         types = self._machine_types()
         resources = resource_request(spec)
-        slots = free = yielding = 0
+        slots = free = preemptible = 0
         for machine in machines:
             group = MachineGroupKey(machine.type, machine.zone, machine.spot)
-            slots_here = tasks_per_machine(spec, group, types)
+            machine_slots = tasks_per_machine(spec, group, types)
             if machine.flag in (MachineFlag.USABLE, MachineFlag.NEW):
-                slots += slots_here
-            if machine.flag == MachineFlag.USABLE and slots_here:
+                slots += machine_slots
+            if machine.flag == MachineFlag.USABLE and machine_slots:
                 free += count_fitting(resources, machine.free)
                 if spec.is_service:
-                    yielding += count_fitting(resources, machine.preemptible)
+                    preemptible += count_fitting(resources, machine.preemptible)
         booting = sum(
             tasks_per_machine(spec, machine.group, types) for machine in self._booting.values()
         )
         slots += booting
         allowed = self._scheduler.tasks_within_limit(spec) - free - booting
         if spec.is_service:
-            # A service never frees its machines for what is queued behind it.
-            return min(demand.tasks - free - yielding - booting, allowed)
-        # Tasks that the present machines finish before a new one has booted need none.
-        patience = self._patience * self._scheduler.slack(spec)
-        if slots and demand.seconds / slots <= patience:
+            # Service tasks don't end, so each pending one needs a slot of its own.
+            return min(demand.tasks - free - preemptible - booting, allowed)
+        # Tasks that the present machines finish before a new one has booted need no launch.
+        max_queue_seconds = self._max_queue_slack_share * self._scheduler.slack(spec)
+        if slots and demand.task_seconds / slots <= max_queue_seconds:
             return 0.0
-        # More machines than the team's limit can use would only cost.
-        return min(demand.seconds / patience - slots, demand.tasks, allowed)
+        # Machines beyond the team's limit would stay without tasks and only add cost.
+        return min(demand.task_seconds / max_queue_seconds - slots, demand.tasks, allowed)
 
 
 def price_of(machine_type: cloud_api.MachineType, *, spot: bool) -> float:
-    """The price of a machine; on demand if there is no spot price."""
+    """Return the price of a machine; the on-demand price if there is no spot price."""
     if spot:
         return machine_type.spot_price or machine_type.price
     return machine_type.price
--- a/pitchtally/config/expression.py
+++ b/pitchtally/config/expression.py
@@ -1,8 +1,8 @@
-"""The expression language of the policy: Python's syntax, checked against a whitelist.
+"""The expression language of the policy: a subset of Python's expression syntax.
 
 An expression is arithmetic over numbers and names, with `min`, `max`, comparisons,
 `and`/`or`/`not` and `a if c else b`. It is parsed with `ast` and evaluated by walking the
-tree; a node that isn't listed here is refused, so nothing else of Python can be reached.
+tree. Node types that aren't handled here are rejected, so an expression can't execute other code.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 class ExpressionError(Exception):
-    """An expression that can't be evaluated: the reason, and the column from 1 on."""
+    """An expression that can't be evaluated, with the reason and the column, counted from 1."""
 
     def __init__(self, column: int, reason: str) -> None:
         super().__init__(reason)
@@ -43,11 +43,11 @@
 
 
 class UnknownNameError(Exception):
-    """A name that stands for nothing; the text is the reason that the user is given."""
+    """An undefined name in an expression; the text is shown to the user as the reason."""
 
 
-class Names(Protocol):
-    """What the names of an expression stand for."""
+class NameResolver(Protocol):
+    """Resolves the names in an expression to values."""
 
     def value(self, name: str) -> Value:
         """Return the value of a plain name; raises UnknownNameError."""
@@ -56,7 +56,7 @@
         """Return the value of `section.name`; raises UnknownNameError."""
 
 
-def evaluate(text: str, names: Names) -> Value:
+def evaluate(text: str, names: NameResolver) -> Value:
     """Return the value of an expression; raises ExpressionError, and what `names` raises."""
     try:
         tree = ast.parse(text, mode="eval")
@@ -67,14 +67,14 @@
 
 
 def is_number(value: Value) -> bool:
-    """Whether a value is a number; truth values aren't, although Python counts with them."""
+    """Return whether a value is a number; a bool isn't, although it is an `int` in Python."""
     return not isinstance(value, bool)
 
 
 class _Evaluator:
     """Evaluates the nodes of one expression."""
 
-    def __init__(self, names: Names) -> None:
+    def __init__(self, names: NameResolver) -> None:
         self._names = names
 
     def value(self, node: ast.expr) -> Value:
@@ -120,7 +120,7 @@
             case ast.Call(func=ast.Name(id=function), args=arguments, keywords=[]) if (
                 function in _FUNCTIONS and arguments
             ):
-                return _FUNCTIONS[function](*(self._number(a) for a in arguments))
+                return _FUNCTIONS[function](*(self._number(argument) for argument in arguments))
         raise _not_allowed(node)
 
     def _logic(self, node: ast.expr) -> Value:
@@ -128,7 +128,7 @@
             case ast.UnaryOp(op=ast.Not(), operand=operand):
                 return not self.value(operand)
             case ast.BoolOp(op=op, values=operands):
-                # All operands are evaluated, so that a fault in any of them is found.
+                # All operands are evaluated, so that an error in any of them is reported.
                 values = [bool(self.value(operand)) for operand in operands]
                 return all(values) if isinstance(op, ast.And) else any(values)
             case ast.Compare(left=left, ops=[op], comparators=[right]) if type(op) in _COMPARE:
