--- a/pitchtally/jobs/job_record.py
+++ b/pitchtally/jobs/job_record.py
@@ -62,7 +62,7 @@
 encode = msgspec.json.encode
 
 
-def merge(ranges: Iterable[tuple[int, int, int]]) -> list[TaskRange]:
+def merge_ranges(ranges: Iterable[tuple[int, int, int]]) -> list[TaskRange]:
     """Ranges (first, end, shard), sorted, with neighbours of the same shard joined."""
     merged: list[TaskRange] = []
     for first, end, shard in sorted(ranges):
--- a/pitchtally/scheduling/assignment/constrained_assignment.py
+++ b/pitchtally/scheduling/assignment/constrained_assignment.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from ...jobs.index import Job
-from ...jobs.job_record import TaskRange, merge
+from ...jobs.job_record import TaskRange, merge_ranges
 from ...jobs.task_bitmap import TaskBitmap
 from ...membership.shards import CLUSTER_LEADER_SHARD
 from ...protocol import user_api
@@ -94,7 +94,9 @@
         await self.range_writer.write_ranges(
             job,
             {keys.shard(CLUSTER_LEADER_SHARD): token},
-            merge([*job.record.ranges, *((first, end, best) for first, end, _ in unassigned)]),
+            merge_ranges(
+                [*job.record.ranges, *((first, end, best) for first, end, _ in unassigned)]
+            ),
             zone=zone,
             attempt=0,
             zone_caps=[],
@@ -107,4 +109,6 @@
     for first, end, _ in job.record.ranges:
         for task in range(first, end):
             assigned.add(task)
-    return merge((task, task + 1, 0) for task in range(job.record.tasks) if task not in assigned)
+    return merge_ranges(
+        (task, task + 1, 0) for task in range(job.record.tasks) if task not in assigned
+    )
--- a/pitchtally/scheduling/assignment/job_assignment.py
+++ b/pitchtally/scheduling/assignment/job_assignment.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from ...jobs.index import Job
-from ...jobs.job_record import merge
+from ...jobs.job_record import merge_ranges
 from ...membership.shards import CLUSTER_LEADER_SHARD
 from ...state_store import keys
 from ..capacity import RANK, stays_in_one_shard
@@ -84,7 +84,7 @@
         await self.range_writer.write_ranges(
             job,
             {keys.shard(CLUSTER_LEADER_SHARD): token},
-            merge([*job.record.ranges, *added]),
+            merge_ranges([*job.record.ranges, *added]),
         )
 
 
--- a/pitchtally/scheduling/gangs/range_return.py
+++ b/pitchtally/scheduling/gangs/range_return.py
@@ -5,7 +5,7 @@
 import trio
 
 from ...jobs.index import Job
-from ...jobs.job_record import TaskRange, merge
+from ...jobs.job_record import TaskRange, merge_ranges
 from ...membership.membership import Membership
 from ...state_store import keys
 from ...state_store.errors import StoreUnavailable
@@ -117,7 +117,7 @@
                 # Finished tasks stay with the shard that ran them.
                 done = (task for task in range(first, end) if job.is_finished(task))
                 kept.extend((task, task + 1, shard) for task in done)
-        remaining = merge(kept)
+        remaining = merge_ranges(kept)
         if len(remaining) <= MAX_RANGES:
             return remaining
         # Too many ranges for a record: all of ours go, once what is finished is durable.
--- a/pitchtally/scheduling/rebalancing/task_migration.py
+++ b/pitchtally/scheduling/rebalancing/task_migration.py
@@ -7,7 +7,7 @@
 
 from msgspec import UNSET
 
-from ...jobs.job_record import TaskRange, ZoneCap, merge
+from ...jobs.job_record import TaskRange, ZoneCap, merge_ranges
 from ...membership.membership import Membership
 from ...state_store import keys
 from ...state_store.errors import StoreUnavailable
@@ -84,4 +84,4 @@
             migrated += [(first, cut_first, source), (cut_first, cut_end, target)]
             first = cut_end
         migrated.append((first, end, source))
-    return merge(migrated)
+    return merge_ranges(migrated)
--- a/tests/jobs/test_job_record.py
+++ b/tests/jobs/test_job_record.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from pitchtally.jobs.job_record import merge
+from pitchtally.jobs.job_record import merge_ranges
 
 
 @pytest.mark.parametrize(
@@ -15,5 +15,5 @@
         ([(0, 2, 1), (4, 5, 1)], [(0, 2, 1), (4, 5, 1)]),
     ],
 )
-def test_merge(ranges: list[tuple[int, int, int]], out: list[tuple[int, int, int]]) -> None:
-    assert merge(ranges) == out
+def test_merge_ranges(ranges: list[tuple[int, int, int]], out: list[tuple[int, int, int]]) -> None:
+    assert merge_ranges(ranges) == out
