--- a/pitchtally/jobs/index.py
+++ b/pitchtally/jobs/index.py
@@ -37,9 +37,9 @@
         "flushed_at",
         "id",
         "legacy_chunk_tasks",
-        "local",
         "record",
         "stored_bytes",
+        "unwritten_tasks",
         "version",
     )
 
@@ -50,7 +50,7 @@
         self.legacy_chunk_tasks = legacy_chunk_tasks  # of a record in the layout of 0.5.1
         self.stored_bytes = 0  # of the record, as the store holds it
         self.finished = TaskBitmap(record.tasks if record.stage == OPEN else 0)  # durable
-        self.local: set[int] = set()  # finished, known here, not durable yet
+        self.unwritten_tasks: set[int] = set()  # finished, known here, not durable yet
         self.flushed_at = trio.current_time()
         self.awaited = False  # others wait for what is known here
 
@@ -84,11 +84,11 @@
         """Whether every task is done, as far as this node knows."""
         if not self.open or self.service:
             return False
-        return self.finished.count + len(self.local) >= self.record.tasks
+        return self.finished.count + len(self.unwritten_tasks) >= self.record.tasks
 
     def is_finished(self, task: int) -> bool:
         """Whether a task is done, durably or not yet; a service's replica never is."""
-        return not self.open or task in self.finished or task in self.local
+        return not self.open or task in self.finished or task in self.unwritten_tasks
 
     def current_record(self) -> JobRecord:
         """The record with all that is known to be durable: what a rewrite of it holds."""
@@ -207,7 +207,7 @@
             job.finished.add_text(job.record.finished)
         for bitmap in self._early_bitmaps.pop(job.id, ()):
             self._join_bitmap(job, bitmap)
-        self._drop_durable_local(job)
+        self._drop_durable_unwritten(job)
 
     def _close(self, job: Job) -> None:
         """Forget what only an open job needs."""
@@ -216,7 +216,7 @@
         self._texts.pop(job.id, None)
         self._early_bitmaps.pop(job.id, None)
         job.finished = TaskBitmap(0)
-        job.local.clear()
+        job.unwritten_tasks.clear()
 
     def _on_legacy_bitmap(self, key: str, value: bytes | None, version: int) -> None:
         self._apply_bitmap(keys.LEGACY_FINISHED_PREFIX, key, value)
@@ -236,7 +236,7 @@
             self._early_bitmaps.setdefault(id, []).append(bitmap)
         elif job.open:
             self._join_bitmap(job, bitmap)
-            self._drop_durable_local(job)
+            self._drop_durable_unwritten(job)
 
     def _on_text_chunk(self, key: str, value: bytes | None, version: int) -> None:
         id, digest, number = keys.parse_text_chunk(key)
@@ -265,10 +265,10 @@
             first *= job.legacy_chunk_tasks
         job.finished.add_text(bitmap.text, first)
 
-    def _drop_durable_local(self, job: Job) -> None:
-        if job.local:
-            job.local = {t for t in job.local if t not in job.finished}
-        if job.local or job.complete:
+    def _drop_durable_unwritten(self, job: Job) -> None:
+        if job.unwritten_tasks:
+            job.unwritten_tasks = {t for t in job.unwritten_tasks if t not in job.finished}
+        if job.unwritten_tasks or job.complete:
             self.unwritten.add(job.id)
 
     def cancelled_after(self, revision: int) -> list[CommittedCancellation]:
@@ -296,7 +296,7 @@
         """Note that an agent has reported a task done; `urgent`: others wait for it."""
         if job.is_finished(task):
             return
-        job.local.add(task)
+        job.unwritten_tasks.add(task)
         self.unwritten.add(job.id)
         if urgent or job.complete:
             job.awaited = True
--- a/pitchtally/jobs/layout.py
+++ b/pitchtally/jobs/layout.py
@@ -126,7 +126,7 @@
             record = msgspec.structs.replace(job.record, finished=joined.text())
             return [Write(keys.job(job.id), self.encode_record(job, record))]
         writes = []
-        for number in sorted({task // tasks for task in job.local}):
+        for number in sorted({task // tasks for task in job.unwritten_tasks}):
             first = number * tasks
             text = joined.text(first // format_1.BITS_PER_BYTE, tasks // format_1.BITS_PER_BYTE)
             if job.record.chunk_tasks:
--- a/pitchtally/jobs/progress_writer.py
+++ b/pitchtally/jobs/progress_writer.py
@@ -96,7 +96,7 @@
         due = DueJobs()
         for id in self.job_index.unwritten.jobs():
             job = self.job_index.jobs[id]
-            if not job.open or not (job.local or job.complete):
+            if not job.open or not (job.unwritten_tasks or job.complete):
                 self.job_index.unwritten.discard(id)
             elif self.commits.writable_shard(job) is None or self._is_refused(id, now):
                 # Another leader will learn of these tasks from agent heartbeats.
@@ -162,7 +162,7 @@
             return [JobWrites(job, [Write(keys.job(job.id), encode(final))], last=True)]
         joined = TaskBitmap(job.record.tasks)
         joined.add_bytes(bytes(job.finished.data))
-        for task in job.local:
+        for task in job.unwritten_tasks:
             joined.add(task)
         changes = self.layout.progress(job, joined)
         most = self.commits.max_writes
--- a/pitchtally/scheduling/gangs/range_return.py
+++ b/pitchtally/scheduling/gangs/range_return.py
@@ -76,7 +76,7 @@
     def _stop_if_incomplete(self, allocation: ShardAllocation) -> None:
         """Stop the tasks of an attempt that another shard has returned."""
         job = allocation.job
-        begun = bool(job.finished.count or job.local)
+        begun = bool(job.finished.count or job.unwritten_tasks)
         if job.record.attempt and not is_fully_assigned(job) and not begun:
             for placement in list(allocation.placed.values()):
                 self.agents.stop(placement, job.spec.save)
@@ -84,7 +84,7 @@
     def _should_return(self, state: ShardState, allocation: ShardAllocation) -> bool:
         """Whether a job has been pending here for too long, or its attempt has failed."""
         job = allocation.job
-        begun = bool(job.finished.count or job.local)
+        begun = bool(job.finished.count or job.unwritten_tasks)
         attempt = job.record.attempt
         if (
             not begun
@@ -121,7 +121,7 @@
         if len(remaining) <= MAX_RANGES:
             return remaining
         # Too many ranges for a record: all of ours go, once what is finished is durable.
-        if job.local:
+        if job.unwritten_tasks:
             return None
         return [r for r in job.record.ranges if r.shard != shard]
 
--- a/pitchtally/scheduling/gangs/starter.py
+++ b/pitchtally/scheduling/gangs/starter.py
@@ -66,7 +66,7 @@
                 state.ready_gangs.discard(id)
                 continue
             job = allocation.job
-            shared_attempt = 0 if job.finished.count or job.local else job.record.attempt
+            shared_attempt = 0 if job.finished.count or job.unwritten_tasks else job.record.attempt
             if shared_attempt and not self._all_shards_ready(state, allocation, machines, now):
                 continue
             attempt = shared_attempt or next_attempt(self.agents, shard)
@@ -78,13 +78,15 @@
         job = allocation.job
         if allocation.placed or not is_ready(state, job.id, allocation, now):
             return False
-        if job.finished.count or job.local:
+        if job.finished.count or job.unwritten_tasks:
             # One task finished means that all have: the agent that lost its machine had the
             # result saved, so a task that is started again ends at once.
             return True
         if job.record.attempt:
             return allocation.last_shared_attempt != job.record.attempt and is_fully_assigned(job)
-        return allocation.pending.count >= job.spec.tasks - job.finished.count - len(job.local)
+        return allocation.pending.count >= job.spec.tasks - job.finished.count - len(
+            job.unwritten_tasks
+        )
 
     def _place(self, allocation: ShardAllocation, machines: list[Machine], attempt: int) -> None:
         allocation.last_shared_attempt = attempt
--- a/pitchtally/scheduling/shards/deadlines.py
+++ b/pitchtally/scheduling/shards/deadlines.py
@@ -96,7 +96,7 @@
         allocation.lateness_penalty = self.lateness_penalty(job, allocation.release)
         allocation.max_start_delay = self.max_start_delay(allocation.spec)
         allocation.capacity_in.clear()
-        started = bool(allocation.placed) or job.finished.count > 0 or bool(job.local)
+        started = bool(allocation.placed) or job.finished.count > 0 or bool(job.unwritten_tasks)
         pending_since = (
             allocation.pending_since
             if started
--- a/pitchtally/scheduling/shards/failure_tracker.py
+++ b/pitchtally/scheduling/shards/failure_tracker.py
@@ -92,7 +92,7 @@
     def _classify(self, allocation: ShardAllocation) -> JobHealth:
         now = trio.current_time()
         return classify_job(
-            bool(allocation.job.finished.count or allocation.job.local),
+            bool(allocation.job.finished.count or allocation.job.unwritten_tasks),
             len(allocation.failed_on),
             allocation.failed_after,
             [
@@ -114,7 +114,7 @@
             if allocation is not None:
                 health[id] = self._classify(allocation)
             else:
-                done = not job.open or bool(job.finished.count or job.local)
+                done = not job.open or bool(job.finished.count or job.unwritten_tasks)
                 health[id] = JobHealth.GOOD if done else JobHealth.UNKNOWN
         return is_unhealthy(failures, health)
 
--- a/tests/formats/test_golden.py
+++ b/tests/formats/test_golden.py
@@ -569,7 +569,7 @@
         found = controller.job_index.jobs["wk-000001"]
         joined = TaskBitmap(tasks)
         for task in (1, 5):
-            found.local.add(task)
+            found.unwritten_tasks.add(task)
             joined.add(task)
         assert stored(controller.layout.progress(found, joined)) == [expected]
 
--- a/tests/state_store/test_size_limits.py
+++ b/tests/state_store/test_size_limits.py
@@ -77,7 +77,7 @@
     """Return the size of a chunk of the task bitmap of a job with 100,000 tasks."""
     wide = _open_job(controller, 100_000, _job_spec(100_000))
     assert wide.chunk_tasks
-    wide.local = set(range(100_000 - 1))
+    wide.unwritten_tasks = set(range(100_000 - 1))
     steps = controller.progress._writes_of(wide)
     assert all(len(step.changes) <= controller.state_store.limits.txn_ops for step in steps)
     return max(len(change.value or b"") for step in steps for change in step.changes)
