--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -84,7 +84,7 @@
 
     def cancellation_received(self, cancellation: Cancellation) -> None:
         """A peer knows of a committed cancellation."""
-        self._job_index.learn_cancelled(
+        self._job_index.apply_peer_cancellation(
             cancellation.job, cancellation.version, cancellation.tasks, cancellation.done
         )
 
--- a/pitchtally/jobs/index.py
+++ b/pitchtally/jobs/index.py
@@ -283,7 +283,7 @@
             if (record := self.jobs[id].record).stage == CANCELLED
         ]
 
-    def learn_cancelled(self, id: str, version: int, tasks: int, done: int) -> None:
+    def apply_peer_cancellation(self, id: str, version: int, tasks: int, done: int) -> None:
         """Take in a committed cancellation from a peer, perhaps before the watch shows it.
 
         It goes into the replica as the watch would put it there, so that whatever asks about
--- a/tests/formats/test_golden.py
+++ b/tests/formats/test_golden.py
@@ -593,7 +593,7 @@
         controller = controller_of(True)
         values: list[tuple[str, bytes | None, int]] = []
         controller.replica.listen("", lambda *change: values.append(change))
-        controller.job_index.learn_cancelled("wk-000001", 12, 6, 2)
+        controller.job_index.apply_peer_cancellation("wk-000001", 12, 6, 2)
         assert values == [
             ("jobs/wk-000001", b'{"stage":"withdrawn","tasks":6,"count":2}', 12),
         ]
