--- a/pitchtally/jobs/__init__.py
+++ b/pitchtally/jobs/__init__.py
@@ -3,7 +3,7 @@
 Duty: know every accepted job and which of its tasks are done, and make progress durable.
 
 State: `JobIndex` holds all jobs as the replica shows them; only the replica's listeners change
-records, and `JobIndex.task_done` alone adds tasks that are done but not durable yet. All
+records, and `JobIndex.mark_task_finished` alone adds tasks that are done but not durable yet. All
 writes of records go through `JobCommits`; progress is written by `ProgressWriter`, other
 changes by the components that decide on them.
 
--- a/pitchtally/jobs/index.py
+++ b/pitchtally/jobs/index.py
@@ -292,7 +292,7 @@
         final = JobRecord(CANCELLED, tasks, finished_when_cancelled=done)
         self.replica.learn(keys.job(id), encode(final), version)
 
-    def task_done(self, job: Job, task: int, urgent: bool) -> None:
+    def mark_task_finished(self, job: Job, task: int, urgent: bool) -> None:
         """Note that an agent has reported a task done; `urgent`: others wait for it."""
         if job.is_finished(task):
             return
--- a/pitchtally/scheduling/shards/shard_states.py
+++ b/pitchtally/scheduling/shards/shard_states.py
@@ -208,7 +208,7 @@
         last = (
             allocation is not None and not allocation.pending.count and len(allocation.placed) <= 1
         )
-        self.job_index.task_done(placement.job, placement.task, urgent=last)
+        self.job_index.mark_task_finished(placement.job, placement.task, urgent=last)
 
     def placement_lost(self, placement: Placement, cause: str) -> None:
         """The task is on no machine any more: it is finished, or becomes pending again."""
