--- a/pitchtally/api/routes.py
+++ b/pitchtally/api/routes.py
@@ -75,7 +75,7 @@
 class Api:
     """The API of one controller; the controller runs the loops of its components.
 
-    `serve` answers all requests of the public address, `local` those of users alone.
+    `serve` answers all requests of the public address, `serve_locally` those of users alone.
     """
 
     def __init__(
@@ -158,9 +158,9 @@
             response = await self._peers.forward(request)
             if response is not None:
                 return response
-        return await self.local(request)
+        return await self.serve_locally(request)
 
-    async def local(self, request: Request) -> Response:
+    async def serve_locally(self, request: Request) -> Response:
         """Answer a user's request on this node, also one that a peer forwarded."""
         path = request.path
         if path == JOBS:
--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -109,7 +109,7 @@
 
     async def serve_forwarded(self, request: Request) -> Response:
         """Answer a user's request that a peer has passed on."""
-        return await self._api.local(request)
+        return await self._api.serve_locally(request)
 
 
 class Controller:
