--- a/pitchtally/api/admission_queue.py
+++ b/pitchtally/api/admission_queue.py
@@ -48,7 +48,7 @@
         self._swept_at = -math.inf
 
     @property
-    def occupied(self) -> bool:
+    def expects_retries(self) -> bool:
         """Whether any caller is expected back."""
         self._sweep()
         return bool(self._by_first_attempt)
--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -132,7 +132,7 @@
             self.layout,
             self.migration,
             policy.period,
-            lambda: self.api.admission_queue.occupied,
+            lambda: self.api.admission_queue.expects_retries,
             self.decisions.on_decision,
         )
         self.agents = AgentManager(
--- a/tests/api/test_admission_queue.py
+++ b/tests/api/test_admission_queue.py
@@ -31,7 +31,7 @@
         assert [queue.ahead_of(id) for id in "acd"] == [0, 1, 2]
         await trio.sleep(MAX_RETRY_S + GRACE_S)
         assert queue.ahead_of("d") == 0
-        assert not queue.occupied
+        assert not queue.expects_retries
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
