--- a/pitchtally/jobs/layout.py
+++ b/pitchtally/jobs/layout.py
@@ -119,7 +119,7 @@
             record = msgspec.structs.replace(record, spec=None)
         return _encode(record)
 
-    def progress(self, job: Job, joined: TaskBitmap) -> list[Write]:
+    def progress_writes(self, job: Job, joined: TaskBitmap) -> list[Write]:
         """The writes that make finished tasks durable, a record's last."""
         tasks = job.chunk_tasks
         if not tasks:
--- a/pitchtally/jobs/progress_writer.py
+++ b/pitchtally/jobs/progress_writer.py
@@ -164,7 +164,7 @@
         joined.add_bytes(bytes(job.finished.data))
         for task in job.unwritten_tasks:
             joined.add(task)
-        changes = self.layout.progress(job, joined)
+        changes = self.layout.progress_writes(job, joined)
         most = self.commits.max_writes
         groups = [changes[i : i + most] for i in range(0, len(changes), most)]
         return [JobWrites(job, group, last=group is groups[-1]) for group in groups]
--- a/tests/formats/test_golden.py
+++ b/tests/formats/test_golden.py
@@ -571,7 +571,7 @@
         for task in (1, 5):
             found.unwritten_tasks.add(task)
             joined.add(task)
-        assert stored(controller.layout.progress(found, joined)) == [expected]
+        assert stored(controller.layout.progress_writes(found, joined)) == [expected]
 
     on_clock(body)
 
