--- a/pitchtally/jobs/cleanup.py
+++ b/pitchtally/jobs/cleanup.py
@@ -48,15 +48,15 @@
 
     async def _remove_some(self) -> bool:
         precondition = self.precondition()
-        left_over = self.left_over(self.commits.max_writes)
-        if precondition is None or not left_over:
+        leftover_keys = self.leftover_keys(self.commits.max_writes)
+        if precondition is None or not leftover_keys:
             return False
-        expected_versions = {key: self.commits.replica.version(key) for key in left_over}
+        expected_versions = {key: self.commits.replica.version(key) for key in leftover_keys}
         expected_versions[precondition.key] = precondition.version
-        changes = [Write(key, None) for key in left_over]
+        changes = [Write(key, None) for key in leftover_keys]
         return await self.commits.commit(expected_versions, changes, priority=Priority.PROGRESS)
 
-    def left_over(self, most: int) -> list[str]:
+    def leftover_keys(self, most: int) -> list[str]:
         """Keys of jobs that are over, at most so many."""
         found: list[str] = []
         for id, extra_keys in self.job_index.extra_keys.items():
--- a/tests/formats/test_golden.py
+++ b/tests/formats/test_golden.py
@@ -583,7 +583,7 @@
         for number, key in enumerate(keys):
             controller.replica.learn(key, b'"AA=="', 10 + number)
         controller.replica.learn("pt/jobs/wk-000001", b'{"stage":"done","tasks":6}', 20)
-        assert controller.cleanup.left_over(10) == keys
+        assert controller.cleanup.leftover_keys(10) == keys
 
     on_clock(body)
 
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -353,10 +353,10 @@
             controller,
             {"jobs/wk-000001": _wide(20_000), "jobs/wk-000002": RECORDS["jobs/wk-000002"]},
         )
-        assert controller.cleanup.left_over(4) == ["pt/fin/wk-000002/0"]
+        assert controller.cleanup.leftover_keys(4) == ["pt/fin/wk-000002/0"]
         controller.replica.learn("pt/jobs/wk-000001", b'{"stage":"done","tasks":20000}', 90)
-        assert len(controller.cleanup.left_over(4)) == 4
-        assert len(controller.cleanup.left_over(100)) == 7  # wk-000003 has no record
+        assert len(controller.cleanup.leftover_keys(4)) == 4
+        assert len(controller.cleanup.leftover_keys(100)) == 7  # wk-000003 has no record
 
     _run(body)
 
