--- a/pitchtally/jobs/index.py
+++ b/pitchtally/jobs/index.py
@@ -94,7 +94,7 @@
         """The record with all that is known to be durable: what a rewrite of it holds."""
         if not self.open or self.chunk_tasks or self.service:
             return self.record
-        return msgspec.structs.replace(self.record, finished=self.finished.text())
+        return msgspec.structs.replace(self.record, finished=self.finished.to_base64())
 
 
 # Notified of a job and of its record before the change, None if the job is new here.
@@ -204,7 +204,7 @@
     def _update_open(self, job: Job) -> None:
         self.open[job.id] = job
         if job.record.finished and not job.service:
-            job.finished.add_text(job.record.finished)
+            job.finished.add_base64(job.record.finished)
         for bitmap in self._early_bitmaps.pop(job.id, ()):
             self._join_bitmap(job, bitmap)
         self._drop_durable_unwritten(job)
@@ -263,7 +263,7 @@
         first = bitmap.number
         if bitmap.prefix == keys.LEGACY_FINISHED_PREFIX:
             first *= job.legacy_chunk_tasks
-        job.finished.add_text(bitmap.text, first)
+        job.finished.add_base64(bitmap.text, first)
 
     def _drop_durable_unwritten(self, job: Job) -> None:
         if job.unwritten_tasks:
--- a/pitchtally/jobs/layout.py
+++ b/pitchtally/jobs/layout.py
@@ -111,7 +111,7 @@
             size = tasks // format_1.BITS_PER_BYTE
             offset = first // format_1.BITS_PER_BYTE
             if any(bits.data[offset : offset + size]):
-                yield Write(keys.finished_tasks(id, first), _encode(bits.text(offset, size)))
+                yield Write(keys.finished_tasks(id, first), _encode(bits.to_base64(offset, size)))
 
     def encode_record(self, job: Job, record: JobRecord) -> bytes:
         """A changed record of a job, without what is stored in other keys."""
@@ -123,12 +123,14 @@
         """The writes that make finished tasks durable, a record's last."""
         tasks = job.chunk_tasks
         if not tasks:
-            record = msgspec.structs.replace(job.record, finished=joined.text())
+            record = msgspec.structs.replace(job.record, finished=joined.to_base64())
             return [Write(keys.job(job.id), self.encode_record(job, record))]
         writes = []
         for number in sorted({task // tasks for task in job.unwritten_tasks}):
             first = number * tasks
-            text = joined.text(first // format_1.BITS_PER_BYTE, tasks // format_1.BITS_PER_BYTE)
+            text = joined.to_base64(
+                first // format_1.BITS_PER_BYTE, tasks // format_1.BITS_PER_BYTE
+            )
             if job.record.chunk_tasks:
                 key = keys.finished_tasks(job.id, first)
             else:
--- a/pitchtally/jobs/task_bitmap.py
+++ b/pitchtally/jobs/task_bitmap.py
@@ -37,14 +37,14 @@
                 self.data[i] |= new
                 self.count += new.bit_count()
 
-    def add_text(self, text: str, first: int = 0) -> None:
+    def add_base64(self, text: str, first: int = 0) -> None:
         """Add the members of a bitmap as `text` gives it; its first bit is the member `first`.
 
         `first` is a multiple of eight. Raises binascii.Error for text that isn't base64.
         """
         self.add_bytes(base64.b64decode(text), first // 8)
 
-    def text(self, first_byte: int = 0, size: int | None = None) -> str:
+    def to_base64(self, first_byte: int = 0, size: int | None = None) -> str:
         """The set as base64, or `size` of its bytes from `first_byte` on."""
         end = None if size is None else first_byte + size
         return base64.b64encode(bytes(self.data[first_byte:end])).decode()
--- a/tests/formats/test_golden.py
+++ b/tests/formats/test_golden.py
@@ -395,8 +395,8 @@
     bits = TaskBitmap(20)
     for task in (0, 2, 9, 19):
         bits.add(task)
-    assert bits.text() == "BQII"
-    assert bits.text(1, 1) == "Ag=="
+    assert bits.to_base64() == "BQII"
+    assert bits.to_base64(1, 1) == "Ag=="
 
 
 @pytest.mark.parametrize(("gate_open", "chunk"), [(False, 12), (True, 7000000017)])
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -272,7 +272,7 @@
         controller = _controller(state)
         bits = TaskBitmap(8)
         bits.add(1)
-        chunk = {"fin/wk-000001/2": json.dumps(bits.text())}
+        chunk = {"fin/wk-000001/2": json.dumps(bits.to_base64())}
         record = {"jobs/wk-000001": _wide(100_000)}
         order = [chunk, record] if bits_first else [record, chunk]
         for number, writes in enumerate(order):
@@ -293,7 +293,7 @@
         later.replica.apply_own_commit([Write(KEY, upgraded.gate.record())], 9)
         bits = TaskBitmap(8)
         bits.add(1)
-        _learn(later, {"fin/wk-000001/1": json.dumps(bits.text())})
+        _learn(later, {"fin/wk-000001/1": json.dumps(bits.to_base64())})
         _learn(later, {"jobs/wk-000001": _wide(100_000)})
         assert LEGACY_CHUNK + 1 in later.job_index.jobs["wk-000001"].finished
 
@@ -317,11 +317,11 @@
         stored: dict[str, str | bytes] = {}
         if tasks > LEGACY_CHUNK:
             for number in {t // LEGACY_CHUNK for t in done}:
-                text = bits.text(number * LEGACY_CHUNK // 8, LEGACY_CHUNK // 8)
+                text = bits.to_base64(number * LEGACY_CHUNK // 8, LEGACY_CHUNK // 8)
                 stored[f"fin/wk-000001/{number}"] = json.dumps(text)
             stored["jobs/wk-000001"] = _wide(tasks)
         else:
-            stored["jobs/wk-000001"] = _wide(tasks, finished=bits.text())
+            stored["jobs/wk-000001"] = _wide(tasks, finished=bits.to_base64())
         _learn(first, stored)
         for writes_made in (steps, 1000):
             job_ = first.job_index.jobs["wk-000001"]
