--- a/pitchtally/api/routes.py
+++ b/pitchtally/api/routes.py
@@ -28,10 +28,10 @@
 from .submission import Submissions
 from .submission_batcher import SubmissionBatcher
 
-HEARTBEATS = "/v1/report"
-READY = "/ready"
-JOBS = "/api/jobs"
-CANCEL = "/cancel"
+AGENT_HEARTBEATS_PATH = "/v1/report"
+READY_PATH = "/ready"
+JOBS_PATH = "/api/jobs"
+CANCEL_SUFFIX = "/cancel"
 
 # Users wait 2 s for a poll: an answer later than that helps nobody.
 MAX_BARRIER_WAIT_S = 1.5
@@ -144,14 +144,14 @@
     async def serve(self, request: Request) -> Response:
         """Route a request that came over the public address."""
         path = request.path
-        if path == HEARTBEATS:
+        if path == AGENT_HEARTBEATS_PATH:
             if request.method != "POST":
                 return _method_not_allowed("POST")
             return await self._serve_agent(request)
-        if path == READY:
+        if path == READY_PATH:
             return Response(200 if self._is_ready() else 503, b"{}")
         if (
-            path.startswith(JOBS)
+            path.startswith(JOBS_PATH)
             and self._reachability.store_lost_here_only()
             and not self._is_final(path)
         ):
@@ -163,17 +163,17 @@
     async def serve_locally(self, request: Request) -> Response:
         """Answer a user's request on this node, also one that a peer forwarded."""
         path = request.path
-        if path == JOBS:
+        if path == JOBS_PATH:
             if request.method != "POST":
                 return _method_not_allowed("POST")
             return await self.submissions.submit(request.body)
-        if not path.startswith(JOBS + "/"):
+        if not path.startswith(JOBS_PATH + "/"):
             return error_response(404, "path", "unknown")
-        name = path.removeprefix(JOBS + "/")
-        if name.endswith(CANCEL):
+        name = path.removeprefix(JOBS_PATH + "/")
+        if name.endswith(CANCEL_SUFFIX):
             if request.method != "POST":
                 return _method_not_allowed("POST")
-            return await self.cancellations.cancel(name.removesuffix(CANCEL))
+            return await self.cancellations.cancel(name.removesuffix(CANCEL_SUFFIX))
         if request.method != "GET":
             return _method_not_allowed("GET")
         return await self.statuses.poll(name)
@@ -193,7 +193,7 @@
 
     def _is_final(self, path: str) -> bool:
         """Whether the job that a path names is over, which the replica shows for certain."""
-        job = self.statuses.cached(path.removeprefix(JOBS + "/").removesuffix(CANCEL))
+        job = self.statuses.cached(path.removeprefix(JOBS_PATH + "/").removesuffix(CANCEL_SUFFIX))
         return job is not None and not job.open
 
 
--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -13,7 +13,7 @@
 import trio
 
 from .agents.manager import AgentManager
-from .api.routes import HEARTBEATS, Api, ApiListeners, ApiSchedulerView
+from .api.routes import AGENT_HEARTBEATS_PATH, Api, ApiListeners, ApiSchedulerView
 from .api.submission_batcher import CONCURRENT_COMMITS
 from .autoscaling.autoscaler import Autoscaler
 from .autoscaling.catalog import CatalogStore, MachineCatalog
@@ -291,7 +291,7 @@
             max_connections=int(connections * (1 - OUTBOUND_SHARE - PEER_SHARE)),
             idle_timeout=times.lease_s * IDLE_USER_LEASES,
             request_timeout=times.report_s * USER_REQUEST_HEARTBEATS,
-            priority_paths=frozenset({HEARTBEATS}),
+            priority_paths=frozenset({AGENT_HEARTBEATS_PATH}),
         )
         peers = Server(
             self.membership.serve,
