--- a/pitchtally/api/submission_batcher.py
+++ b/pitchtally/api/submission_batcher.py
@@ -13,7 +13,7 @@
 from ..state_store.replica import Replica
 
 # Loops that commit, so that a transaction without an answer doesn't hold up all that follow.
-CONCURRENT_COMMITS = 3
+MAX_CONCURRENT_COMMITS = 3
 # Of the 64 KiB that a transaction may hold.
 MAX_BATCH_BYTES = 40 * 1024
 # What a submission adds to a transaction beside its value: its key and its preconditions.
--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -14,7 +14,7 @@
 
 from .agents.manager import AgentManager
 from .api.routes import AGENT_HEARTBEATS_PATH, Api, ApiListeners, ApiSchedulerView
-from .api.submission_batcher import CONCURRENT_COMMITS
+from .api.submission_batcher import MAX_CONCURRENT_COMMITS
 from .autoscaling.autoscaler import Autoscaler
 from .autoscaling.catalog import CatalogStore, MachineCatalog
 from .autoscaling.cloud_client import CloudClient
@@ -339,5 +339,5 @@
             ("read_barrier", self.api.read_barrier.run),
             ("drains", self.autoscaler.run_own_drains),
             ("decisions", lambda: self.decisions.run(self.policy.period)),
-            *[batcher] * CONCURRENT_COMMITS,
+            *[batcher] * MAX_CONCURRENT_COMMITS,
         ]
