--- a/pitchtally/jobs/index.py
+++ b/pitchtally/jobs/index.py
@@ -32,7 +32,6 @@
     """One job as this node knows it."""
 
     __slots__ = (
-        "awaited",
         "finished",
         "flushed_at",
         "id",
@@ -41,6 +40,7 @@
         "stored_bytes",
         "unwritten_tasks",
         "version",
+        "write_urgent",
     )
 
     def __init__(self, id: str, record: JobRecord, version: int, legacy_chunk_tasks: int):
@@ -52,7 +52,7 @@
         self.finished = TaskBitmap(record.tasks if record.stage == OPEN else 0)  # durable
         self.unwritten_tasks: set[int] = set()  # finished, known here, not durable yet
         self.flushed_at = trio.current_time()
-        self.awaited = False  # others wait for what is known here
+        self.write_urgent = False  # others wait for what is known here
 
     @property
     def spec(self) -> user_api.JobSpec:
@@ -299,5 +299,5 @@
         job.unwritten_tasks.add(task)
         self.unwritten.add(job.id)
         if urgent or job.complete:
-            job.awaited = True
+            job.write_urgent = True
             self.unwritten.request_write()
--- a/pitchtally/jobs/progress_writer.py
+++ b/pitchtally/jobs/progress_writer.py
@@ -103,7 +103,7 @@
                 continue
             elif job.complete:
                 due.complete.append(job)
-            elif job.awaited or now - job.flushed_at >= self.period * MAX_DELAY_PERIODS:
+            elif job.write_urgent or now - job.flushed_at >= self.period * MAX_DELAY_PERIODS:
                 # Under a flood progress comes last, but not never: agents go on reporting
                 # exited tasks until these are durable, to a new leader too. So nothing is
                 # lost meanwhile, but heartbeats grow.
@@ -207,7 +207,7 @@
                 continue
             job = write.job
             job.flushed_at = now
-            job.awaited = False
+            job.write_urgent = False
             self._refused_until.pop(job.id, None)
             if job.record.stage == DONE:
                 self._on_decision(Decision.DONE, job.id, DecisionReason(version=job.version))
