--- a/pitchtally/api/job_creation.py
+++ b/pitchtally/api/job_creation.py
@@ -102,13 +102,13 @@
         """Commit the record of a new job, if its id has none."""
         plan = await self._planner.plan(spec)
         preconditions = self._preconditions(spec.id, plan)
-        first, record = self._layout.lay_out_new(spec.id, self._new_record(spec, plan))
+        referenced_writes, record = self._layout.lay_out_new(spec.id, self._new_record(spec, plan))
         value = job_record.encode(record)
         if not self._layout.record_fits(value):
             # The old format can't hold it; the present one can, once every node reads it.
             return NotCreated("too large to keep before the upgrade is over", LARGE_JOB_RETRY_S)
         try:
-            await self._batcher.commit_unconditionally(first)
+            await self._batcher.commit_unconditionally(referenced_writes)
         except (CompareFailed, LeaseExpired, StoreUnavailable) as error:
             log.info("not accepted cause=%s", error)
             return NotCreated(STORE_UNAVAILABLE)
--- a/pitchtally/jobs/layout.py
+++ b/pitchtally/jobs/layout.py
@@ -29,7 +29,7 @@
 class LaidOutJob(NamedTuple):
     """A job as it is to be stored."""
 
-    first: list[Write]  # what the record refers to; has to be written before it
+    referenced_writes: list[Write]  # what the record refers to; has to be written before it
     record: JobRecord
 
 
--- a/pitchtally/jobs/migration.py
+++ b/pitchtally/jobs/migration.py
@@ -55,12 +55,14 @@
         expected_versions = {keys.job(job.id): job.version}
         if shard is not None:
             expected_versions[keys.shard(shard.shard)] = shard.token
-        first, record = self.layout.convert(job)
+        referenced_writes, record = self.layout.convert(job)
         # Versions as of now: a key that changes later holds more than what is written here.
-        versions = {change.key: self.commits.replica.version(change.key) for change in first}
+        versions = {
+            change.key: self.commits.replica.version(change.key) for change in referenced_writes
+        }
         most = self.commits.max_writes
-        for start in range(0, len(first), most):
-            group = first[start : start + most]
+        for start in range(0, len(referenced_writes), most):
+            group = referenced_writes[start : start + most]
             conditions = {
                 **expected_versions,
                 **{change.key: versions[change.key] for change in group},
@@ -70,5 +72,5 @@
         change = Write(keys.job(job.id), self.layout.encode_record(job, record))
         done = await self.commits.commit(expected_versions, [change], priority=priority)
         if done:
-            log.info("job converted job=%s keys=%d", job.id, len(first))
+            log.info("job converted job=%s keys=%d", job.id, len(referenced_writes))
         return done
