--- a/pitchtally/jobs/resources.py
+++ b/pitchtally/jobs/resources.py
@@ -9,7 +9,7 @@
 # Sums of many floats drift; a request that misses by less than this fits.
 TOLERANCE = 1e-6
 # A request for nothing at all fits any number of times; counts stop here.
-MOST = 1e6
+MAX_FITTING_TASKS = 1e6
 
 
 class Resources(NamedTuple):
@@ -62,7 +62,7 @@
 
 def count_fitting(request: Resources, available: Resources) -> int:
     """How many tasks with this request fit into what is available."""
-    most = MOST
+    most = MAX_FITTING_TASKS
     for wanted, free in zip(request, available, strict=True):
         if wanted > 0:
             most = min(most, (free + TOLERANCE) / wanted)
