--- a/pitchtally/jobs/layout.py
+++ b/pitchtally/jobs/layout.py
@@ -23,7 +23,7 @@
 _encode = msgspec.json.encode
 
 # Of a value: what a spec may take in the record, beside ranges and finished tasks.
-SPEC_SHARE = 3 / 8
+MAX_INLINE_SPEC_SHARE = 3 / 8
 
 
 class LaidOutJob(NamedTuple):
@@ -61,7 +61,7 @@
             return LaidOutJob([], record)
         if not record.spec.is_service and record.tasks > self._most_inline():
             record = msgspec.structs.replace(record, chunk_tasks=self.chunk_tasks)
-        if len(_encode(record.spec)) <= self.value_bytes * SPEC_SHARE:
+        if len(_encode(record.spec)) <= self.value_bytes * MAX_INLINE_SPEC_SHARE:
             return LaidOutJob([], record)
         return self._move_spec_out(id, record)
 
