--- a/pitchtally/jobs/layout.py
+++ b/pitchtally/jobs/layout.py
@@ -59,13 +59,13 @@
         """The layout of a new job."""
         if not self.gate.open or record.spec is None:
             return LaidOutJob([], record)
-        if not record.spec.is_service and record.tasks > self._most_inline():
+        if not record.spec.is_service and record.tasks > self._max_inline_tasks():
             record = msgspec.structs.replace(record, chunk_tasks=self.chunk_tasks)
         if len(_encode(record.spec)) <= self.value_bytes * MAX_INLINE_SPEC_SHARE:
             return LaidOutJob([], record)
         return self._move_spec_out(id, record)
 
-    def _most_inline(self) -> int:
+    def _max_inline_tasks(self) -> int:
         # A record without `chunk_tasks` and with more tasks is one of 0.5.1, in chunks.
         return min(self.inline_tasks, self.gate.legacy_chunk_tasks)
 
@@ -89,7 +89,7 @@
     def _needs_chunks(self, job: Job) -> bool:
         if job.service or job.record.chunk_tasks:
             return False
-        return job.record.tasks > self._most_inline()
+        return job.record.tasks > self._max_inline_tasks()
 
     def convert(self, job: Job) -> LaidOutJob:
         """A job brought into the present layout."""
