--- a/pitchtally/jobs/progress_writer.py
+++ b/pitchtally/jobs/progress_writer.py
@@ -29,7 +29,7 @@
 
 CHECK_INTERVAL_S = 0.25
 # Several completions often come together: a moment's wait batches them.
-BATCHING_S = 0.02
+BATCHING_DELAY_S = 0.02
 # Progress that nobody waits for is written after that many periods at the latest.
 MAX_DELAY_PERIODS = 12
 
@@ -84,7 +84,7 @@
         """Write what is due, again and again."""
         while True:
             await self.job_index.unwritten.wait(CHECK_INTERVAL_S)
-            await trio.sleep(BATCHING_S)
+            await trio.sleep(BATCHING_DELAY_S)
             try:
                 await self._flush()
             except StoreUnavailable as error:
