--- a/pitchtally/jobs/progress_writer.py
+++ b/pitchtally/jobs/progress_writer.py
@@ -31,7 +31,7 @@
 # Several completions often come together: a moment's wait batches them.
 BATCHING_DELAY_S = 0.02
 # Progress that nobody waits for is written after that many periods at the latest.
-MAX_DELAY_PERIODS = 12
+MAX_WRITE_DELAY_PERIODS = 12
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,7 +103,7 @@
                 continue
             elif job.complete:
                 due.complete.append(job)
-            elif job.write_urgent or now - job.flushed_at >= self.period * MAX_DELAY_PERIODS:
+            elif job.write_urgent or now - job.flushed_at >= self.period * MAX_WRITE_DELAY_PERIODS:
                 # Under a flood progress comes last, but not never: agents go on reporting
                 # exited tasks until these are durable, to a new leader too. So nothing is
                 # lost meanwhile, but heartbeats grow.
