--- a/pitchtally/jobs/progress_writer.py
+++ b/pitchtally/jobs/progress_writer.py
@@ -40,7 +40,7 @@
 
     job: Job
     changes: list[Write]
-    last: bool
+    is_last: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -159,7 +159,7 @@
         if job.complete:
             final = JobRecord(DONE, job.record.tasks)
             # Its other keys are removed later (`jobs.cleanup`): they mean nothing now.
-            return [JobWrites(job, [Write(keys.job(job.id), encode(final))], last=True)]
+            return [JobWrites(job, [Write(keys.job(job.id), encode(final))], is_last=True)]
         joined = TaskBitmap(job.record.tasks)
         joined.add_bytes(bytes(job.finished.data))
         for task in job.unwritten_tasks:
@@ -167,7 +167,7 @@
         changes = self.layout.progress_writes(job, joined)
         most = self.commits.max_writes
         groups = [changes[i : i + most] for i in range(0, len(changes), most)]
-        return [JobWrites(job, group, last=group is groups[-1]) for group in groups]
+        return [JobWrites(job, group, is_last=group is groups[-1]) for group in groups]
 
     async def _write(self, writes: list[JobWrites], priority: Priority) -> None:
         try:
@@ -203,7 +203,7 @@
             return  # whoever waits for it still does
         now = trio.current_time()
         for write in kept:
-            if not write.last:
+            if not write.is_last:
                 continue
             job = write.job
             job.flushed_at = now
