--- a/pitchtally/api/admission_queue.py
+++ b/pitchtally/api/admission_queue.py
@@ -61,7 +61,7 @@
             return len(self._by_first_attempt)
         return bisect.bisect_left(self._by_first_attempt, (entry.since, id))
 
-    def refuse(self, id: str, wait: float) -> int:
+    def record_refusal(self, id: str, wait: float) -> int:
         """Remember a submission that is refused now; the seconds after which to retry."""
         now = trio.current_time()
         seconds = max(1, min(MAX_RETRY_S, math.ceil(wait)))
@@ -120,7 +120,7 @@
         if wait <= self._max_wait:
             return None
         log.info("refused job=%s cause=rate_limit wait=%.1f", id, wait)
-        return self.queue.refuse(id, wait)
+        return self.queue.record_refusal(id, wait)
 
     def _seconds_until_writable(self, id: str) -> float:
         """Seconds until a submission could be written, those before it counted."""
--- a/pitchtally/api/submission.py
+++ b/pitchtally/api/submission.py
@@ -60,7 +60,7 @@
             return retry_later("more is asked than can be written", retry_after)
         response = await self.accept(spec)
         if response.status == 503:
-            self._admission.queue.refuse(spec.id, 1)
+            self._admission.queue.record_refusal(spec.id, 1)
         else:
             self._admission.queue.leave(spec.id)
         return response
--- a/tests/api/test_admission_queue.py
+++ b/tests/api/test_admission_queue.py
@@ -14,20 +14,22 @@
     async def main() -> None:
         queue = AdmissionQueue()
         assert queue.ahead_of("a") == 0
-        assert queue.refuse("a", 0.2) == 1
+        assert queue.record_refusal("a", 0.2) == 1
         await trio.sleep(0.5)
-        assert queue.refuse("b", 2.1) == 3
-        assert queue.refuse("c", 90.0) == MAX_RETRY_S
+        assert queue.record_refusal("b", 2.1) == 3
+        assert queue.record_refusal("c", 90.0) == MAX_RETRY_S
         await trio.sleep(1.0)
-        assert queue.refuse("a", 1.5) == 2
+        assert queue.record_refusal("a", 1.5) == 2
         assert [queue.ahead_of(id) for id in "abcd"] == [0, 1, 2, 3]
         queue.leave("b")
         assert [queue.ahead_of(id) for id in "acd"] == [0, 1, 2]
         await trio.sleep(2.0)
-        queue.refuse("c", 90.0)
+        queue.record_refusal("c", 90.0)
         await trio.sleep(GRACE_S + 0.1)
         assert [queue.ahead_of(id) for id in "cd"] == [0, 1]  # no retry of a
-        queue.refuse("a", 1.0)  # it keeps its place: it may have retried at another controller
+        queue.record_refusal(
+            "a", 1.0
+        )  # it keeps its place: it may have retried at another controller
         assert [queue.ahead_of(id) for id in "acd"] == [0, 1, 2]
         await trio.sleep(MAX_RETRY_S + GRACE_S)
         assert queue.ahead_of("d") == 0
@@ -40,8 +42,8 @@
     async def main() -> None:
         accepted_elsewhere: set[str] = set()
         queue = AdmissionQueue(accepted_elsewhere.__contains__)
-        queue.refuse("a", 3.0)
-        queue.refuse("b", 3.0)
+        queue.record_refusal("a", 3.0)
+        queue.record_refusal("b", 3.0)
         accepted_elsewhere.add("a")
         await trio.sleep(GRACE_S / 2)
         assert [queue.ahead_of(id) for id in "bc"] == [0, 1]
