--- a/pitchtally/api/admission_queue.py
+++ b/pitchtally/api/admission_queue.py
@@ -72,7 +72,7 @@
         entry.expected_until = now + seconds + GRACE_S
         return seconds
 
-    def leave(self, id: str) -> None:
+    def remove(self, id: str) -> None:
         """The submission is accepted, or never will be."""
         entry = self._entries.pop(id, None)
         if entry is not None and (entry.since, id) in self._by_first_attempt:
--- a/pitchtally/api/submission.py
+++ b/pitchtally/api/submission.py
@@ -62,7 +62,7 @@
         if response.status == 503:
             self._admission.queue.record_refusal(spec.id, 1)
         else:
-            self._admission.queue.leave(spec.id)
+            self._admission.queue.remove(spec.id)
         return response
 
     async def accept(self, spec: user_api.JobSpec) -> Response:
--- a/tests/api/test_admission_queue.py
+++ b/tests/api/test_admission_queue.py
@@ -21,7 +21,7 @@
         await trio.sleep(1.0)
         assert queue.record_refusal("a", 1.5) == 2
         assert [queue.ahead_of(id) for id in "abcd"] == [0, 1, 2, 3]
-        queue.leave("b")
+        queue.remove("b")
         assert [queue.ahead_of(id) for id in "acd"] == [0, 1, 2]
         await trio.sleep(2.0)
         queue.record_refusal("c", 90.0)
