--- a/pitchtally/api/admission_queue.py
+++ b/pitchtally/api/admission_queue.py
@@ -53,7 +53,7 @@
         self._sweep()
         return bool(self._by_first_attempt)
 
-    def ahead_of(self, id: str) -> int:
+    def count_ahead_of(self, id: str) -> int:
         """How many earlier callers are still expected back."""
         self._sweep()
         entry = self._entries.get(id)
@@ -130,5 +130,5 @@
         if not writes.wait_time(Priority.SUBMISSIONS, queued + writes.burst * SPARE_BURST):
             return wait  # permits would go unused while earlier callers stay away
         # Earlier callers may come back to any node: each node takes its share of them.
-        ahead = self.queue.ahead_of(id) / max(1, self._live_nodes())
+        ahead = self.queue.count_ahead_of(id) / max(1, self._live_nodes())
         return max(wait, writes.wait_time(Priority.SUBMISSIONS, 1 + queued + ahead))
