--- a/pitchtally/api/admission_queue.py
+++ b/pitchtally/api/admission_queue.py
@@ -114,7 +114,7 @@
         self._live_nodes = live_nodes
         self._max_wait = max_wait
 
-    def refuse(self, id: str) -> int | None:
+    def refuse_if_overloaded(self, id: str) -> int | None:
         """None if the submission is admitted, else the seconds after which to retry."""
         wait = self._seconds_until_writable(id)
         if wait <= self._max_wait:
--- a/pitchtally/api/submission.py
+++ b/pitchtally/api/submission.py
@@ -55,7 +55,7 @@
             check_runnable(spec, self._settings, self._machine_types())
         except InvalidSubmission as error:
             return await self._reject(spec.id, error)
-        retry_after = self._admission.refuse(spec.id)
+        retry_after = self._admission.refuse_if_overloaded(spec.id)
         if retry_after is not None:
             return retry_later("more is asked than can be written", retry_after)
         response = await self.accept(spec)
