--- a/pitchtally/api/admission_queue.py
+++ b/pitchtally/api/admission_queue.py
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class _Entry:
-    since: float  # the first attempt
+    first_attempt_at: float  # the first attempt
     expected_until: float
 
 
@@ -59,24 +59,24 @@
         entry = self._entries.get(id)
         if entry is None:
             return len(self._by_first_attempt)
-        return bisect.bisect_left(self._by_first_attempt, (entry.since, id))
+        return bisect.bisect_left(self._by_first_attempt, (entry.first_attempt_at, id))
 
     def record_refusal(self, id: str, wait: float) -> int:
         """Remember a submission that is refused now; the seconds after which to retry."""
         now = trio.current_time()
         seconds = max(1, min(MAX_RETRY_S, math.ceil(wait)))
         entry = self._entries.setdefault(id, _Entry(now, now))
-        place = bisect.bisect_left(self._by_first_attempt, (entry.since, id))
-        if self._by_first_attempt[place : place + 1] != [(entry.since, id)]:
-            self._by_first_attempt.insert(place, (entry.since, id))
+        place = bisect.bisect_left(self._by_first_attempt, (entry.first_attempt_at, id))
+        if self._by_first_attempt[place : place + 1] != [(entry.first_attempt_at, id)]:
+            self._by_first_attempt.insert(place, (entry.first_attempt_at, id))
         entry.expected_until = now + seconds + GRACE_S
         return seconds
 
     def remove(self, id: str) -> None:
         """The submission is accepted, or never will be."""
         entry = self._entries.pop(id, None)
-        if entry is not None and (entry.since, id) in self._by_first_attempt:
-            self._by_first_attempt.remove((entry.since, id))
+        if entry is not None and (entry.first_attempt_at, id) in self._by_first_attempt:
+            self._by_first_attempt.remove((entry.first_attempt_at, id))
 
     def _sweep(self) -> None:
         """Drop callers that did not come back, or were accepted elsewhere, now and then."""
