--- a/pitchtally/api/admission_queue.py
+++ b/pitchtally/api/admission_queue.py
@@ -22,7 +22,7 @@
 log = logging.getLogger(__name__)
 
 # Seconds that a caller may be late after the time told; then it gave up, or asks elsewhere.
-GRACE_S = 3.0
+RETRY_GRACE_S = 3.0
 # How long the first attempt is remembered: callers move from node to node in between.
 MEMORY_S = 60.0
 # The longest retry time told: an estimate further ahead is too rough.
@@ -69,7 +69,7 @@
         place = bisect.bisect_left(self._by_first_attempt, (entry.first_attempt_at, id))
         if self._by_first_attempt[place : place + 1] != [(entry.first_attempt_at, id)]:
             self._by_first_attempt.insert(place, (entry.first_attempt_at, id))
-        entry.expected_until = now + seconds + GRACE_S
+        entry.expected_until = now + seconds + RETRY_GRACE_S
         return seconds
 
     def remove(self, id: str) -> None:
@@ -81,7 +81,7 @@
     def _sweep(self) -> None:
         """Drop callers that did not come back, or were accepted elsewhere, now and then."""
         now = trio.current_time()
-        if now - self._swept_at < GRACE_S / 4:
+        if now - self._swept_at < RETRY_GRACE_S / 4:
             return
         self._swept_at = now
         for id, entry in list(self._entries.items()):
--- a/tests/api/test_admission_queue.py
+++ b/tests/api/test_admission_queue.py
@@ -5,7 +5,7 @@
 import trio
 import trio.testing
 
-from pitchtally.api.admission_queue import GRACE_S, MAX_RETRY_S, AdmissionQueue
+from pitchtally.api.admission_queue import MAX_RETRY_S, RETRY_GRACE_S, AdmissionQueue
 
 
 def test_admission_queue_keeps_the_order_of_first_attempts() -> None:
@@ -25,13 +25,13 @@
         assert [queue.count_ahead_of(id) for id in "acd"] == [0, 1, 2]
         await trio.sleep(2.0)
         queue.record_refusal("c", 90.0)
-        await trio.sleep(GRACE_S + 0.1)
+        await trio.sleep(RETRY_GRACE_S + 0.1)
         assert [queue.count_ahead_of(id) for id in "cd"] == [0, 1]  # no retry of a
         queue.record_refusal(
             "a", 1.0
         )  # it keeps its place: it may have retried at another controller
         assert [queue.count_ahead_of(id) for id in "acd"] == [0, 1, 2]
-        await trio.sleep(MAX_RETRY_S + GRACE_S)
+        await trio.sleep(MAX_RETRY_S + RETRY_GRACE_S)
         assert queue.count_ahead_of("d") == 0
         assert not queue.expects_retries
 
@@ -45,7 +45,7 @@
         queue.record_refusal("a", 3.0)
         queue.record_refusal("b", 3.0)
         accepted_elsewhere.add("a")
-        await trio.sleep(GRACE_S / 2)
+        await trio.sleep(RETRY_GRACE_S / 2)
         assert [queue.count_ahead_of(id) for id in "bc"] == [0, 1]
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
