--- a/pitchtally/api/admission_queue.py
+++ b/pitchtally/api/admission_queue.py
@@ -24,7 +24,7 @@
 # Seconds that a caller may be late after the time told; then it gave up, or asks elsewhere.
 RETRY_GRACE_S = 3.0
 # How long the first attempt is remembered: callers move from node to node in between.
-MEMORY_S = 60.0
+FIRST_ATTEMPT_RETENTION_S = 60.0
 # The longest retry time told: an estimate further ahead is too rough.
 MAX_RETRY_S = 3
 # The share of a burst of write permits that is left to callers who are expected back.
@@ -85,7 +85,7 @@
             return
         self._swept_at = now
         for id, entry in list(self._entries.items()):
-            if entry.expected_until + MEMORY_S < now or self._is_accepted(id):
+            if entry.expected_until + FIRST_ATTEMPT_RETENTION_S < now or self._is_accepted(id):
                 del self._entries[id]
         self._by_first_attempt = [
             (since, id) for since, id in self._by_first_attempt if self._is_expected(id, now)
