--- a/pitchtally/api/admission_queue.py
+++ b/pitchtally/api/admission_queue.py
@@ -28,7 +28,7 @@
 # The longest retry time told: an estimate further ahead is too rough.
 MAX_RETRY_S = 3
 # The share of a burst of write permits that is left to callers who are expected back.
-SPARE_BURST = 0.75
+RETRY_BURST_SHARE = 0.75
 
 
 @dataclass(slots=True)
@@ -127,7 +127,7 @@
         writes = self._state_store.write_limit
         queued = len(self._batcher.queued)
         wait = self._state_store.request_limit.wait_time(Priority.SUBMISSIONS)
-        if not writes.wait_time(Priority.SUBMISSIONS, queued + writes.burst * SPARE_BURST):
+        if not writes.wait_time(Priority.SUBMISSIONS, queued + writes.burst * RETRY_BURST_SHARE):
             return wait  # permits would go unused while earlier callers stay away
         # Earlier callers may come back to any node: each node takes its share of them.
         ahead = self.queue.count_ahead_of(id) / max(1, self._live_nodes())
