--- a/pitchtally/api/cancellation.py
+++ b/pitchtally/api/cancellation.py
@@ -81,7 +81,7 @@
         for _ in range(MAX_ATTEMPTS):
             job = self._jobs.get(id)
             if job is not None and not job.open:
-                return self._statuses.found(job)
+                return self._statuses.report(job)
             if self._reachability.is_isolated():
                 break
             if job is None:
@@ -95,7 +95,7 @@
                 await self._writer.commit(job)
                 job = self._jobs[id]
                 if not job.open:
-                    return self._statuses.found(job)
+                    return self._statuses.report(job)
             except CompareFailed:
                 # A shard leader's progress was written first: read it and try again.
                 if not isinstance(await self._read_barrier.wait(), BarrierPassed):
--- a/pitchtally/api/status.py
+++ b/pitchtally/api/status.py
@@ -56,7 +56,7 @@
             return unknown_job_response()
         job = self._jobs.get(id)
         if job is not None and not job.open:
-            return self.found(job)
+            return self.report(job)
         if self._reachability.is_isolated():
             return retry_later(STORE_UNAVAILABLE)
         outcome = await self._read_barrier.wait()
@@ -64,7 +64,7 @@
             return retry_later(STATE_UNCONFIRMED)
         job = self._jobs.get(id)
         if job is not None:
-            return self.found(job, outcome.read)
+            return self.report(job, outcome.read)
         return self.unknown(id, outcome.read, exists=exists)
 
     async def is_accepted(self, id: str) -> bool:
@@ -72,7 +72,7 @@
         outcome = await self._read_barrier.wait()
         return isinstance(outcome, BarrierPassed) and id in self._jobs
 
-    def found(self, job: Job, read: Refresh | None = None) -> Response:
+    def report(self, job: Job, read: Refresh | None = None) -> Response:
         """The answer for a job that exists; `read` may be None only if the job is over."""
         decision = Decision.FOUND if job.open else Decision.FOUND_OVER
         self._on_decision(decision, job.id, DecisionReason(version=job.version, read=read))
