--- a/pitchtally/api/cancellation.py
+++ b/pitchtally/api/cancellation.py
@@ -89,7 +89,7 @@
                 if not isinstance(outcome, BarrierPassed):
                     break
                 if id not in self._jobs:
-                    return self._statuses.unknown(id, outcome.read)
+                    return self._statuses.report_missing(id, outcome.read)
                 continue
             try:
                 await self._writer.commit(job)
--- a/pitchtally/api/status.py
+++ b/pitchtally/api/status.py
@@ -65,7 +65,7 @@
         job = self._jobs.get(id)
         if job is not None:
             return self.report(job, outcome.read)
-        return self.unknown(id, outcome.read, exists=exists)
+        return self.report_missing(id, outcome.read, exists=exists)
 
     async def is_accepted(self, id: str) -> bool:
         """Whether any node has accepted the job; False also if that can't be confirmed now."""
@@ -78,7 +78,7 @@
         self._on_decision(decision, job.id, DecisionReason(version=job.version, read=read))
         return job_response(200, self._view(job))
 
-    def unknown(self, id: str, read: Refresh, *, exists: bool = False) -> Response:
+    def report_missing(self, id: str, read: Refresh, *, exists: bool = False) -> Response:
         """The answer for a job that the replica doesn't show: 404 only if it has no record."""
         if exists or self._replica.version(keys.job(id)):
             # There is a record that this node lacks or can't read, perhaps of a later version.
