--- a/pitchtally/api/submission.py
+++ b/pitchtally/api/submission.py
@@ -16,7 +16,7 @@
 from .reachability import StateStoreReachability
 from .responses import STORE_UNAVAILABLE, error_response, job_response, retry_later
 from .status import JobStatuses
-from .validation import InvalidSubmission, check_runnable, id_of, parse_job
+from .validation import InvalidSubmission, check_runnable, extract_job_id, parse_job
 
 
 class Submissions:
@@ -40,7 +40,7 @@
 
     async def submit(self, body: bytes) -> Response:
         """Accept a job, or say why not and when to retry."""
-        id = id_of(body)
+        id = extract_job_id(body)
         if id is not None and self._statuses.cached(id) is not None:
             return await self._statuses.poll(id)
         try:
--- a/pitchtally/api/validation.py
+++ b/pitchtally/api/validation.py
@@ -134,7 +134,7 @@
     )
 
 
-def id_of(body: bytes) -> str | None:
+def extract_job_id(body: bytes) -> str | None:
     """The job's id in a body, whatever else is wrong with it; None without one."""
     try:
         found = msgspec.json.decode(body, type=_JobId).id
