--- a/pitchtally/api/validation.py
+++ b/pitchtally/api/validation.py
@@ -45,7 +45,7 @@
 
 def parse_job(body: bytes) -> user_api.JobSpec:
     """Decode and check a submission; raises `InvalidSubmission` with status 400."""
-    spec = _convert(_fields(body))
+    spec = _convert(_decode_fields(body))
     if not is_job_id(spec.id):
         raise _malformed("id", "not of the form wk-000412")
     if spec.kind not in (user_api.ARRAY, user_api.GANG, user_api.SERVICE):
@@ -62,7 +62,7 @@
     return InvalidSubmission(400, _WIRE_NAMES[name], reason)
 
 
-def _fields(body: bytes) -> dict[str, Any]:
+def _decode_fields(body: bytes) -> dict[str, Any]:
     """The decoded fields of a submission, with every required one present."""
     try:
         raw = msgspec.json.decode(body)
