--- a/pitchtally/api/routes.py
+++ b/pitchtally/api/routes.py
@@ -36,7 +36,7 @@
 # Users wait 2 s for a poll: an answer later than that helps nobody.
 MAX_BARRIER_WAIT_S = 1.5
 # Calls to the state store that a request may wait for at the read barrier.
-BARRIER_WAIT_CALLS = 1.5
+BARRIER_WAIT_CALL_TIMEOUTS = 1.5
 
 
 class Peers(PeerReachability, Protocol):
@@ -105,7 +105,9 @@
             state_store, peers, policy.session_ttl
         )
         self.read_barrier = ReadBarrier(
-            state_store, replica, min(MAX_BARRIER_WAIT_S, policy.call_timeout * BARRIER_WAIT_CALLS)
+            state_store,
+            replica,
+            min(MAX_BARRIER_WAIT_S, policy.call_timeout * BARRIER_WAIT_CALL_TIMEOUTS),
         )
         self.submission_batcher = SubmissionBatcher(state_store, replica)
         self.admission_queue = AdmissionQueue(jobs.__contains__)
