--- a/pitchtally/jobs/cleanup.py
+++ b/pitchtally/jobs/cleanup.py
@@ -1,4 +1,4 @@
-"""Removal of the keys that ended jobs leave behind besides their records."""
+"""Removal of the keys that jobs leave besides their records once they are over."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Cleanup:
-    """The cluster leader removes what ended jobs have left besides their records."""
+    """Removes the leftover keys of jobs that are over; active only on the cluster leader."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         precondition: Callable[[], Precondition | None],
         pause: float,
     ):
-        """`precondition`: what a cluster leader's write rests on, None if this node is not it.
+        """`precondition`: returns the precondition of a cluster leader's writes, else None.
 
         `pause`: seconds between two attempts.
         """
@@ -37,14 +37,14 @@
         self.pause = pause
 
     async def run(self) -> None:
-        """Remove a few keys at a time, after all that anyone waits for."""
+        """Remove a few keys at a time, with lower priority than all calls that are waited for."""
         while True:
             await trio.sleep(self.pause)
             try:
                 while await self._remove_some():
                     pass
             except StoreUnavailable as error:
-                log.debug("not cleaned up: %s", error)
+                log.debug("leftover keys not removed, retrying later: %s", error)
 
     async def _remove_some(self) -> bool:
         precondition = self.precondition()
@@ -57,7 +57,7 @@
         return await self.commits.commit(expected_versions, changes, priority=Priority.PROGRESS)
 
     def leftover_keys(self, most: int) -> list[str]:
-        """Keys of jobs that are over, at most so many."""
+        """Return keys of jobs that are over, at most `max_keys`."""
         found: list[str] = []
         for id, extra_keys in self.job_index.extra_keys.items():
             job = self.job_index.jobs.get(id)
--- a/pitchtally/jobs/commits.py
+++ b/pitchtally/jobs/commits.py
@@ -1,4 +1,4 @@
-"""Commits to the state store that this node's replica shows at once."""
+"""Commits to the state store that are applied to this node's replica at once."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 
 class JobCommits:
-    """Commits under the rules for records of jobs, and of whatever else shards own.
+    """Commits changes of job records and of other data that belongs to shards.
 
-    Every write is conditional on the versions of what it replaces, and on the fencing token of
-    the writer's shard (or on nothing else, for a user's cancellation).
+    Every write is conditional on the versions of the keys that it replaces, and on the fencing
+    token of the writer's shard (for a user's cancellation, on the versions only).
     """
 
     def __init__(
@@ -41,16 +41,16 @@
 
     @property
     def max_writes(self) -> int:
-        """How many keys one transaction may write."""
+        """Maximum number of keys that one transaction may write."""
         return self.state_store.limits.txn_ops
 
     @property
     def write_burst(self) -> float:
-        """How many writes this node's rate limit grants at once."""
+        """Number of writes that this node's rate limit grants at once."""
         return self.state_store.write_limit.burst
 
     def writable_shard(self, job: Job) -> WritableShard | None:
-        """A shard with tasks of the job that this node leads; None if there is none."""
+        """Return a shard with tasks of the job that this node leads; None if there is none."""
         for task_range in job.record.ranges:
             token = self._fencing_token(task_range.shard)
             if token is not None:
@@ -60,12 +60,13 @@
     async def commit(
         self, conditions: dict[str, int], changes: list[Write], *, priority: Priority
     ) -> bool:
-        """Commit, and apply the changes to the replica; False if a condition failed.
+        """Commit changes and apply them to the replica; return whether they were committed.
 
-        After a conflict the replica is brought up to date before anyone tries again: the usual
-        cause is another leader's write that the watch has yet to show.
+        They are not if a precondition failed or the lease has expired. After a failed
+        precondition the replica is refreshed, so that a retry sees the current versions: the usual
+        cause is another leader's write that the watch has not delivered yet.
 
-        Raises StoreUnavailable, and InvalidTransaction for what the store refuses as such.
+        Raises StoreUnavailable, and InvalidTransaction if the store rejects the transaction itself.
         """
         try:
             revision = await self.state_store.commit(conditions, changes, priority=priority)
--- a/pitchtally/jobs/index.py
+++ b/pitchtally/jobs/index.py
@@ -1,8 +1,8 @@
-"""All jobs, followed from the state store.
+"""The index of all jobs, kept up to date from the state store.
 
-One record per job lives at `jobs/<id>`. Its finished tasks are a packed bitmap; where that
-would not fit a value it stands in keys of its own (`formats.finished_tasks`). The set of
-finished tasks only ever grows, so copies of any age can be joined.
+Each job has one record, at `jobs/<id>`. Its finished tasks are a packed bitmap; a bitmap that
+would not fit into the record's value is stored in keys of its own (`formats.finished_tasks`). The
+set of finished tasks only grows, so copies of any age can be merged.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class Job:
-    """One job as this node knows it."""
+    """A job: its record, and the progress that this node has received."""
 
     __slots__ = (
         "finished",
@@ -47,16 +47,16 @@
         self.id = id
         self.record = record
         self.version = version
-        self.legacy_chunk_tasks = legacy_chunk_tasks  # of a record in the layout of 0.5.1
-        self.stored_bytes = 0  # of the record, as the store holds it
+        self.legacy_chunk_tasks = legacy_chunk_tasks  # tasks per chunk in the layout of 0.5.1
+        self.stored_bytes = 0  # size of the record in the store
         self.finished = TaskBitmap(record.tasks if record.stage == OPEN else 0)  # durable
-        self.unwritten_tasks: set[int] = set()  # finished, known here, not durable yet
+        self.unwritten_tasks: set[int] = set()  # reported finished to this node, not durable yet
         self.flushed_at = trio.current_time()
-        self.write_urgent = False  # others wait for what is known here
+        self.write_urgent = False  # users or other shards wait for the unwritten tasks
 
     @property
     def spec(self) -> user_api.JobSpec:
-        """What was submitted; only while the job is open."""
+        """The submitted spec; available only while the job is open."""
         assert self.record.spec is not None
         return self.record.spec
 
@@ -67,12 +67,12 @@
 
     @property
     def service(self) -> bool:
-        """Whether its tasks run until its user cancels it: none of them is ever done."""
+        """Whether the tasks run until the user cancels the job: none of them ever finishes."""
         return self.open and self.spec.is_service
 
     @property
     def chunk_tasks(self) -> int:
-        """Tasks in each key of its finished set; 0 if that is in its record."""
+        """Number of tasks in each key of the task bitmap; 0 if the bitmap is in the record."""
         if self.record.chunk_tasks:
             return self.record.chunk_tasks
         if self.service or self.record.tasks <= self.legacy_chunk_tasks:
@@ -81,29 +81,32 @@
 
     @property
     def complete(self) -> bool:
-        """Whether every task is done, as far as this node knows."""
+        """Whether every task is finished, including those not durable yet."""
         if not self.open or self.service:
             return False
         return self.finished.count + len(self.unwritten_tasks) >= self.record.tasks
 
     def is_finished(self, task: int) -> bool:
-        """Whether a task is done, durably or not yet; a service's replica never is."""
+        """Return whether a task is finished, durable or not, or its job is over.
+
+        A replica of an open service never is.
+        """
         return not self.open or task in self.finished or task in self.unwritten_tasks
 
     def current_record(self) -> JobRecord:
-        """The record with all that is known to be durable: what a rewrite of it holds."""
+        """Return the record with all durable progress, for a rewrite of the record."""
         if not self.open or self.chunk_tasks or self.service:
             return self.record
         return msgspec.structs.replace(self.record, finished=self.finished.to_base64())
 
 
-# Notified of a job and of its record before the change, None if the job is new here.
+# Called with a job and its record before the change; None if the job is new to this node.
 JobListener = Callable[[Job, "JobRecord | None"], None]
 
 
 @dataclass(frozen=True, slots=True)
 class StoredBitmap:
-    """A stretch of a job's finished tasks, read before the job's record."""
+    """A chunk of a job's task bitmap as read from the store."""
 
     prefix: str
     number: int
@@ -119,23 +122,23 @@
 
 
 class CancelledVersion(NamedTuple):
-    """The version of a job's record that shows its cancellation; sorts by version."""
+    """A cancelled job, by the version of its record that shows the cancellation."""
 
     version: int
     id: str
 
 
 class CommittedCancellation(NamedTuple):
-    """A committed cancellation: all that a peer's replica needs to show it."""
+    """A committed cancellation, with all that a peer's replica needs to show it."""
 
     id: str
     version: int
     tasks: int
-    done: int  # tasks finished before
+    done: int  # number of tasks that were finished before
 
 
 class JobIndex:
-    """All jobs, followed from the replica; it commits nothing."""
+    """All jobs as the replica shows them; the index commits nothing."""
 
     def __init__(self, replica: Replica, gate: FormatGate):
         self.replica = replica
@@ -143,11 +146,11 @@
         self.jobs: dict[str, Job] = {}
         self.open: dict[str, Job] = {}
         self.unwritten = UnwrittenProgress()
-        self.cancelled: list[CancelledVersion] = []  # sorted
-        # Keys that a job has besides its record; they outlive it for a while.
+        self.cancelled: list[CancelledVersion] = []  # sorted by version
+        # Keys that a job has besides its record; they remain for a while after the job is over.
         self.extra_keys: dict[str, set[str]] = {}
         self._listeners: list[JobListener] = []
-        # What a full read brings before the record that it belongs to, by job.
+        # Data that a full read delivers before the rest of the job, by job id.
         self._early_bitmaps: dict[str, list[StoredBitmap]] = {}
         self._records_without_spec: dict[str, StoredRecord] = {}
         # Chunks of a job's spec, by the digest of the whole text and the chunk's number.
@@ -158,7 +161,7 @@
         replica.listen(keys.TEXT_PREFIX, self._on_text_chunk)
 
     def subscribe(self, listener: JobListener) -> None:
-        """Have a listener notified of each change of a job, in the order of subscription."""
+        """Add a listener for all changes of jobs; listeners are called in the order of adding."""
         self._listeners.append(listener)
 
     def _on_record(self, id: str, value: bytes | None, version: int) -> None:
@@ -173,7 +176,7 @@
         self._apply_record(id, record, version, len(value))
 
     def _complete_record(self, id: str) -> None:
-        """Take in a record once all of its spec has been read."""
+        """Apply a record once all chunks of its spec have been read."""
         record, version, size = self._records_without_spec[id]
         assert record.spec_text is not None
         text = text_chunks.join(TextRef(*record.spec_text), self._texts.get(id, {}))
@@ -210,7 +213,7 @@
         self._drop_durable_unwritten(job)
 
     def _close(self, job: Job) -> None:
-        """Forget what only an open job needs."""
+        """Discard the data that only an open job needs."""
         self.open.pop(job.id, None)
         self.unwritten.discard(job.id)
         self._texts.pop(job.id, None)
@@ -232,7 +235,7 @@
         job = self.jobs.get(id)
         bitmap = StoredBitmap(prefix, number, _decode_text(value))
         if job is None:
-            # A full read comes in key order: these sort before `jobs/`.
+            # A full read delivers keys in order, and the keys of bitmaps sort before `jobs/`.
             self._early_bitmaps.setdefault(id, []).append(bitmap)
         elif job.open:
             self._join_bitmap(job, bitmap)
@@ -272,9 +275,10 @@
             self.unwritten.add(job.id)
 
     def cancelled_after(self, revision: int) -> list[CommittedCancellation]:
-        """Every cancellation that a replica of that revision can't show.
+        """Return every cancellation that a replica of that revision can't show.
 
-        By version, not by when it was heard of: a peer may have been cut off for any time.
+        Selected by the record's version, not by when this node received the cancellation: a peer
+        may have been disconnected for any length of time.
         """
         first = bisect.bisect_right(self.cancelled, CancelledVersion(revision + 1, ""))
         return [
@@ -284,16 +288,19 @@
         ]
 
     def apply_peer_cancellation(self, id: str, version: int, tasks: int, done: int) -> None:
-        """Take in a committed cancellation from a peer, perhaps before the watch shows it.
+        """Apply a committed cancellation from a peer, perhaps before the watch delivers it.
 
-        It goes into the replica as the watch would put it there, so that whatever asks about
-        the job from now on finds it over, also a shard that is loaded or reconciled later.
+        It is applied to the replica in the same way as by the watch, so that every later lookup
+        finds the job over, also for a shard that is loaded or reconciled later.
         """
         final = JobRecord(CANCELLED, tasks, finished_when_cancelled=done)
         self.replica.learn(keys.job(id), encode(final), version)
 
     def mark_task_finished(self, job: Job, task: int, urgent: bool) -> None:
-        """Note that an agent has reported a task done; `urgent`: others wait for it."""
+        """Record that an agent has reported a task finished.
+
+        `urgent`: users or other shards wait for it, so it is written at once.
+        """
         if job.is_finished(task):
             return
         job.unwritten_tasks.add(task)
--- a/pitchtally/jobs/job_record.py
+++ b/pitchtally/jobs/job_record.py
@@ -1,4 +1,4 @@
-"""The record of a job, as the state store keeps it at `jobs/<id>`: JSON, defaults left out."""
+"""The record of a job in the state store, at `jobs/<id>`: JSON without the default values."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 
 
 class TaskRange(NamedTuple):
-    """Tasks of a job that a shard has; stored as an array of three."""
+    """A range of a job's tasks that is assigned to a shard; stored as an array of three."""
 
     first: int
-    end: int  # not included
+    end: int  # exclusive
     shard: int
 
     @property
     def tasks(self) -> int:
-        """How many tasks these are."""
+        """Number of tasks in the range."""
         return self.end - self.first
 
 
 class ZoneCap(NamedTuple):
-    """The most tasks of a job that a shard may have in a zone; stored as an array of three."""
+    """The maximum number of a job's tasks for a shard in a zone; stored as an array of three."""
 
     shard: int
     zone: str
@@ -38,23 +38,23 @@
 
 
 class JobRecord(Struct, omit_defaults=True):
-    """A job as the state store keeps it; `name=` gives a field's stored name if it differs."""
+    """A job's record in the state store; `name=` gives a field's stored name if it differs."""
 
     stage: str
     tasks: int
-    spec: user_api.JobSpec | None = None  # dropped once the job is over
+    spec: user_api.JobSpec | None = None  # removed once the job is over
     accepted_at: float = msgspec.field(default=0.0, name="at")  # seconds since the epoch
     ranges: list[TaskRange] = msgspec.field(default_factory=list)
     finished: str = ""
     zone: str | None = None  # for one-zone jobs, fixed before the first start
-    attempt: int = 0  # for gangs over several shards: the attempt all of them start
-    # For jobs that spread over zones.
+    attempt: int = 0  # for gangs on several shards: the attempt that all of these shards start
+    # Limits for jobs that are spread over zones.
     zone_caps: list[ZoneCap] = msgspec.field(default_factory=list, name="caps")
-    # Tasks done when the job was cancelled.
+    # Number of tasks that were finished when the job was cancelled.
     finished_when_cancelled: int = msgspec.field(default=0, name="count")
-    # Since format 2; an earlier version would drop both when it rewrites the record.
-    chunk_tasks: int = 0  # finished tasks are in keys of that many, see `formats.finished_tasks`
-    spec_text: TextRef | None = None  # where the spec is, if it is too long for the record
+    # The last two exist since format 2; an earlier version drops both when it rewrites the record.
+    chunk_tasks: int = 0  # tasks per key of the task bitmap, see `formats.finished_tasks`
+    spec_text: TextRef | None = None  # reference to the spec if it is too long for the record
 
 
 decode_record = msgspec.json.Decoder(JobRecord).decode
@@ -63,7 +63,10 @@
 
 
 def merge_ranges(ranges: Iterable[tuple[int, int, int]]) -> list[TaskRange]:
-    """Ranges (first, end, shard), sorted, with neighbours of the same shard joined."""
+    """Return ranges (first, end, shard) sorted, with adjacent ones of the same shard merged.
+
+    Empty ranges are dropped.
+    """
     merged: list[TaskRange] = []
     for first, end, shard in sorted(ranges):
         if first >= end:
--- a/pitchtally/jobs/layout.py
+++ b/pitchtally/jobs/layout.py
@@ -1,7 +1,7 @@
-"""What of a job is stored in which key, under the limits of the state store.
+"""The layout of a job in the state store: which data goes into which key, within the limits.
 
-Pure: decides on writes, and leaves commits to others. While the format gate is closed all
-is laid out in format 1, whatever the announced limits: 0.5.1 can read no other.
+This module only computes writes; its callers commit them. While the format gate is closed, every
+job is laid out in format 1, whatever limits are announced: 0.5.1 can read no other format.
 """
 
 from __future__ import annotations
@@ -22,19 +22,20 @@
 
 _encode = msgspec.json.encode
 
-# Of a value: what a spec may take in the record, beside ranges and finished tasks.
+# The part of a value's size limit that a spec may take inside the record; the rest is left to the
+# ranges and the task bitmap.
 MAX_INLINE_SPEC_SHARE = 3 / 8
 
 
 class LaidOutJob(NamedTuple):
-    """A job as it is to be stored."""
+    """A job's record for the state store, and the writes that the record refers to."""
 
-    referenced_writes: list[Write]  # what the record refers to; has to be written before it
+    referenced_writes: list[Write]  # to be committed before the record
     record: JobRecord
 
 
 class JobLayout:
-    """The layout of jobs under the limits that hold for this controller."""
+    """Lays out jobs within the limits that this controller observes."""
 
     def __init__(self, gate: FormatGate, limits: StateLimits):
         self.gate = gate
@@ -44,19 +45,19 @@
 
     @property
     def max_value_bytes(self) -> int:
-        """The largest value that may be written now.
+        """Size of the largest value that may be written now, in bytes.
 
-        Format 1 has no way to hold less, so before the gate opens it is today's limit; what the
-        store refuses then is tried again once the gate is open.
+        Format 1 cannot split data to fit an announced lower limit, so today's limit applies until
+        the gate opens. Writes that the store rejects until then are retried once it is open.
         """
         return self.value_bytes if self.gate.open else int(self.gate.value_kb * 1024)
 
     def record_fits(self, value: bytes) -> bool:
-        """Whether an encoded record may be written."""
+        """Return whether an encoded record is small enough to be written now."""
         return len(value) <= self.max_value_bytes
 
     def lay_out_new(self, id: str, record: JobRecord) -> LaidOutJob:
-        """The layout of a new job."""
+        """Return the layout of a new job."""
         if not self.gate.open or record.spec is None:
             return LaidOutJob([], record)
         if not record.spec.is_service and record.tasks > self._max_inline_tasks():
@@ -66,11 +67,12 @@
         return self._move_spec_out(id, record)
 
     def _max_inline_tasks(self) -> int:
-        # A record without `chunk_tasks` and with more tasks is one of 0.5.1, in chunks.
+        # A record with more than `legacy_chunk_tasks` tasks, but without `chunk_tasks`, is one of
+        # 0.5.1, whose task bitmap is in legacy chunks.
         return min(self.inline_tasks, self.gate.legacy_chunk_tasks)
 
     def _move_spec_out(self, id: str, record: JobRecord) -> LaidOutJob:
-        """The record without its spec, which goes into chunks of its own."""
+        """Return the layout of a record whose spec is moved into text chunks."""
         ref, values = text_chunks.cut(_encode(record.spec).decode(), self.value_bytes)
         writes = [
             Write(keys.text_chunk(id, ref.digest, number), value)
@@ -79,7 +81,7 @@
         return LaidOutJob(writes, msgspec.structs.replace(record, spec=None, spec_text=ref))
 
     def needs_conversion(self, job: Job) -> bool:
-        """Whether an open job is stored in a layout in which it cannot be rewritten."""
+        """Return whether an open job is stored in a layout in which it cannot be rewritten."""
         if not self.gate.open or not job.open:
             return False
         if job.stored_bytes > self.value_bytes:
@@ -92,7 +94,7 @@
         return job.record.tasks > self._max_inline_tasks()
 
     def convert(self, job: Job) -> LaidOutJob:
-        """A job brought into the present layout."""
+        """Return the current layout of a stored job."""
         writes: list[Write] = []
         record = job.current_record()
         if self._needs_chunks(job):
@@ -106,7 +108,7 @@
 
     @staticmethod
     def _chunks(id: str, bits: TaskBitmap, tasks: int) -> Iterator[Write]:
-        """Every key of a bitmap of finished tasks that holds anything."""
+        """Yield the write of each chunk of a task bitmap that isn't empty."""
         for first in range(0, bits.size, tasks):
             size = tasks // format_1.BITS_PER_BYTE
             offset = first // format_1.BITS_PER_BYTE
@@ -114,13 +116,13 @@
                 yield Write(keys.finished_tasks(id, first), _encode(bits.to_base64(offset, size)))
 
     def encode_record(self, job: Job, record: JobRecord) -> bytes:
-        """A changed record of a job, without what is stored in other keys."""
+        """Encode a changed record of a job, without a spec that is stored in text chunks."""
         if record.spec_text is not None:
             record = msgspec.structs.replace(record, spec=None)
         return _encode(record)
 
     def progress_writes(self, job: Job, joined: TaskBitmap) -> list[Write]:
-        """The writes that make finished tasks durable, a record's last."""
+        """Return the writes that make finished tasks durable: the record, or the changed chunks."""
         tasks = job.chunk_tasks
         if not tasks:
             record = msgspec.structs.replace(job.record, finished=joined.to_base64())
--- a/pitchtally/jobs/migration.py
+++ b/pitchtally/jobs/migration.py
@@ -1,9 +1,9 @@
-"""Jobs brought into the present layout.
+"""Conversion of jobs to the current layout.
 
-A conversion can end at any step and be taken up again by any leader. It writes first what the
-new record refers to, then the record, on the condition that nobody has changed it since.
-Until that write, readers use the old layout; they join the new keys as well, which hold
-nothing that isn't true.
+A conversion can be interrupted at any step and resumed by any shard leader. It first writes the
+data that the new record refers to, then the record, on the precondition that the record has not
+changed meanwhile. Until that write, readers use the old layout; they also read the new keys, whose
+content is correct at any time.
 """
 
 from __future__ import annotations
@@ -24,17 +24,17 @@
 
 
 class JobMigration:
-    """Converts open jobs whose stored form can't be rewritten under the limits to keep."""
+    """Converts open jobs whose stored layout can't be rewritten within the size limits."""
 
     def __init__(self, job_index: JobIndex, commits: JobCommits, layout: JobLayout, pause: float):
-        """`pause`: seconds between two looks for jobs that need it."""
+        """`pause`: seconds between two scans for jobs that need a conversion."""
         self.job_index = job_index
         self.commits = commits
         self.layout = layout
         self.pause = pause
 
     async def run(self) -> None:
-        """Convert what needs it, the jobs of shards that this node leads."""
+        """Convert the jobs that need it, if this node leads one of their shards."""
         while True:
             await trio.sleep(self.pause)
             try:
@@ -42,12 +42,13 @@
                     if self.layout.needs_conversion(job):
                         await self.convert(job, Priority.PROGRESS)
             except StoreUnavailable as error:
-                log.debug("not converted: %s", error)
+                log.debug("job conversion failed, retrying later: %s", error)
 
     async def convert(self, job: Job, priority: Priority) -> bool:
-        """Write a job in the present layout; False if it isn't ours to write, or has changed.
+        """Write a job in the current layout; return whether it was written.
 
-        Raises StoreUnavailable.
+        It is not if another node leads its shards, or if the job has changed. Raises
+        StoreUnavailable.
         """
         shard = self.commits.writable_shard(job)
         if shard is None and job.record.ranges:
@@ -56,7 +57,8 @@
         if shard is not None:
             expected_versions[keys.shard(shard.shard)] = shard.token
         referenced_writes, record = self.layout.convert(job)
-        # Versions as of now: a key that changes later holds more than what is written here.
+        # The versions are read before the first commit: a key that changes after this holds more
+        # than the write prepared here, which must then fail.
         versions = {
             change.key: self.commits.replica.version(change.key) for change in referenced_writes
         }
--- a/pitchtally/jobs/progress_writer.py
+++ b/pitchtally/jobs/progress_writer.py
@@ -1,8 +1,8 @@
-"""Finished tasks and ended jobs, made durable in batches.
+"""Batched writes of finished tasks and completed jobs to the state store.
 
-Progress is written at most once a period, unless users or other shards wait for it; the
-write that completes a job goes at once. A job whose write the store refuses for its size is
-tried again a period later: nothing is lost, since agents report exits until they are durable.
+A job's progress is written at most once a period, unless users or other shards wait for it; the
+write that completes a job is sent at once. A job whose write the store rejects for its size is
+retried a period later: nothing is lost, since agents report exits until these are durable.
 """
 
 from __future__ import annotations
@@ -28,15 +28,15 @@
 log = logging.getLogger(__name__)
 
 CHECK_INTERVAL_S = 0.25
-# Several completions often come together: a moment's wait batches them.
+# Several completions often arrive together: after this delay they share a transaction.
 BATCHING_DELAY_S = 0.02
-# Progress that nobody waits for is written after that many periods at the latest.
+# After this many periods without a write, routine progress is written with the urgent progress.
 MAX_WRITE_DELAY_PERIODS = 12
 
 
 @dataclass(frozen=True, slots=True)
 class JobWrites:
-    """Writes of one job that share a transaction; one too small for all has several of these."""
+    """Writes of a job that share a transaction; a job with too many for one has several groups."""
 
     job: Job
     changes: list[Write]
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DueJobs:
-    """Jobs whose progress is to be written now, by urgency."""
+    """Jobs whose progress has to be written now, by urgency."""
 
     complete: list[Job] = field(default_factory=list)
     urgent: list[Job] = field(default_factory=list)  # users or other shards wait for it
@@ -53,7 +53,7 @@
 
 
 class ProgressWriter:
-    """The loop that writes what is known here of finished tasks."""
+    """Writes the finished tasks that agents have reported to this node."""
 
     def __init__(
         self,
@@ -67,8 +67,8 @@
     ):
         """Eight parameters, one for each component that a write passes through.
 
-        `period`: seconds between two writes of a job's progress that nobody waits for.
-        `submissions_queued`: whether users wait whose submissions were refused.
+        `period`: seconds between two routine writes of a job's progress.
+        `submissions_queued`: whether any refused submission is expected to be retried.
         """
         self.job_index = job_index
         self.commits = commits
@@ -77,11 +77,11 @@
         self.period = period
         self._submissions_queued = submissions_queued
         self._on_decision = on_decision
-        # Jobs whose write the store refused, and until when they aren't tried again.
+        # Jobs whose write the store rejected, and the time before which they aren't retried.
         self._refused_until: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Write what is due, again and again."""
+        """Write due progress at regular intervals, or earlier if a write is requested."""
         while True:
             await self.job_index.unwritten.wait(CHECK_INTERVAL_S)
             await trio.sleep(BATCHING_DELAY_S)
@@ -99,14 +99,14 @@
             if not job.open or not (job.unwritten_tasks or job.complete):
                 self.job_index.unwritten.discard(id)
             elif self.commits.writable_shard(job) is None or self._is_refused(id, now):
-                # Another leader will learn of these tasks from agent heartbeats.
+                # If the shard has another leader, it gets these tasks from agent heartbeats.
                 continue
             elif job.complete:
                 due.complete.append(job)
             elif job.write_urgent or now - job.flushed_at >= self.period * MAX_WRITE_DELAY_PERIODS:
-                # Under a flood progress comes last, but not never: agents go on reporting
-                # exited tasks until these are durable, to a new leader too. So nothing is
-                # lost meanwhile, but heartbeats grow.
+                # Under overload, progress is written last, but the delay is bounded: agents
+                # keep reporting exited tasks until these are durable, also to a new leader.
+                # So nothing is lost meanwhile, but heartbeats grow.
                 due.urgent.append(job)
             elif now - job.flushed_at >= self.period:
                 due.routine.append(job)
@@ -120,16 +120,16 @@
         burst = self.commits.write_burst
         completion_priority, completion_burst = Priority.COMPLETIONS, burst
         if self._submissions_queued():
-            # After an outage completions have piled up as well. They are late already, while
-            # users whose submissions are refused give up before long: both get their share.
+            # After an outage, completions have accumulated as well. They are late already, while
+            # users whose submissions are refused soon stop retrying: both get a share.
             completion_priority, completion_burst = Priority.SUBMISSIONS, burst / 2
         await self._write_all(due.complete, completion_priority, completion_burst)
         await self._write_all(due.urgent, Priority.SUBMISSIONS, burst / 2)
-        # Progress takes no more at once than leaves the next submission its permits.
+        # Routine progress takes only as many permits at once as leave some to the next submission.
         await self._write_all(due.routine, Priority.PROGRESS, burst / 2)
 
     async def _write_all(self, jobs: list[Job], priority: Priority, burst: float) -> None:
-        """Write jobs in transactions of at most so many changes."""
+        """Write jobs in transactions of at most `burst` changes, within the store's limit."""
         most = min(self.commits.max_writes, burst)
         batch: list[JobWrites] = []
         size = 0
@@ -153,12 +153,12 @@
         return sum(len(writes.changes) for writes in self._writes_of(job))
 
     def _writes_of(self, job: Job) -> list[JobWrites]:
-        """The writes that make this job's local knowledge durable."""
+        """Return the writes that make a job's unwritten tasks durable, by transaction."""
         if not job.open:
-            return []  # it ended while others were written
+            return []  # the job ended while other jobs were written
         if job.complete:
             final = JobRecord(DONE, job.record.tasks)
-            # Its other keys are removed later (`jobs.cleanup`): they mean nothing now.
+            # The job's other keys are obsolete after this write; `jobs.cleanup` removes them later.
             return [JobWrites(job, [Write(keys.job(job.id), encode(final))], is_last=True)]
         joined = TaskBitmap(job.record.tasks)
         joined.add_bytes(bytes(job.finished.data))
@@ -193,14 +193,14 @@
             conditions[keys.shard(shard.shard)] = shard.token
             conditions[keys.job(job.id)] = job.version
             for change in write.changes:
-                # Chunks are written by several leaders: each must join the latest.
+                # Several shard leaders write to a chunk: each must add to its latest version.
                 conditions[change.key] = self.commits.replica.version(change.key)
             changes += write.changes
             kept.append(write)
         if not kept:
             return
         if not await self.commits.commit(conditions, changes, priority=priority):
-            return  # whoever waits for it still does
+            return  # the jobs stay due, with the same urgency
         now = trio.current_time()
         for write in kept:
             if not write.is_last:
--- a/pitchtally/jobs/resources.py
+++ b/pitchtally/jobs/resources.py
@@ -1,4 +1,4 @@
-"""Resources: what a task requests, what a machine offers, and what fits where."""
+"""Resource amounts: task requests, machine capacities, and whether one fits into the other."""
 
 from __future__ import annotations
 
@@ -6,9 +6,10 @@
 
 from ..protocol import cloud_api, user_api
 
-# Sums of many floats drift; a request that misses by less than this fits.
+# Sums of many floats accumulate rounding errors, so a request that exceeds the available amount
+# by less than this still fits.
 TOLERANCE = 1e-6
-# A request for nothing at all fits any number of times; counts stop here.
+# Upper bound of `count_fitting`: an empty request would fit any number of times.
 MAX_FITTING_TASKS = 1e6
 
 
@@ -20,15 +21,15 @@
     memory: float
 
     def plus(self, other: Resources) -> Resources:
-        """The sum, resource by resource."""
+        """Return the sum, resource by resource."""
         return Resources(self[0] + other[0], self[1] + other[1], self[2] + other[2])
 
     def minus(self, other: Resources) -> Resources:
-        """The difference, resource by resource; it may be negative."""
+        """Return the difference, resource by resource; it may be negative."""
         return Resources(self[0] - other[0], self[1] - other[1], self[2] - other[2])
 
     def times(self, count: int) -> Resources:
-        """This amount so many times."""
+        """Return this amount multiplied by `count`."""
         return Resources(self[0] * count, self[1] * count, self[2] * count)
 
 
@@ -36,23 +37,23 @@
 
 
 def resource_request(spec: user_api.JobSpec) -> Resources:
-    """What each task of a job takes of its machine."""
+    """Return the resources that each task of a job takes on its machine."""
     return Resources(spec.cpus, spec.gpus, spec.memory)
 
 
 def limited_request(spec: user_api.JobSpec) -> Resources:
-    """What each task takes of its team's limit, which counts CPUs and GPUs alone."""
+    """Return what each task counts against its team's limit, which covers only CPUs and GPUs."""
     return Resources(spec.cpus, spec.gpus, 0.0)
 
 
 def capacity_of(machine_type: cloud_api.MachineType) -> Resources:
-    """What an empty machine of this type offers."""
+    """Return the resources of an empty machine of this type."""
     return Resources(machine_type.cpus, machine_type.gpus, machine_type.memory)
 
 
 def fits(request: Resources, available: Resources) -> bool:
-    """Whether a task with this request fits into what is available."""
-    # By index, without a loop: asked some ten thousand times a second.
+    """Return whether a task with this request fits into the available resources."""
+    # Compares by index, without a loop: this is called some ten thousand times a second.
     return (
         request[0] <= available[0] + TOLERANCE
         and request[1] <= available[1] + TOLERANCE
@@ -61,7 +62,7 @@
 
 
 def count_fitting(request: Resources, available: Resources) -> int:
-    """How many tasks with this request fit into what is available."""
+    """Return how many tasks with this request fit into the available resources."""
     most = MAX_FITTING_TASKS
     for wanted, free in zip(request, available, strict=True):
         if wanted > 0:
@@ -70,7 +71,7 @@
 
 
 def dominant_share(request: Resources, machine_type: cloud_api.MachineType) -> float:
-    """The largest share of any one resource of a machine that a task takes."""
+    """Return the largest share that a task takes of any one resource of an empty machine."""
     return max(
         request[0] / machine_type.cpus if machine_type.cpus else 0.0,
         request[1] / machine_type.gpus if machine_type.gpus else 0.0,
--- a/pitchtally/jobs/task_bitmap.py
+++ b/pitchtally/jobs/task_bitmap.py
@@ -1,4 +1,4 @@
-"""A set of small integers, one bit each: which tasks of a job are done.
+"""The task bitmap: which tasks of a job are finished, one bit each.
 
 The bit of member n is bit n % 8, counted from the least significant, of byte n // 8.
 """
@@ -9,7 +9,7 @@
 
 
 class TaskBitmap:
-    """A set of the integers below `size`; members are only ever added."""
+    """A set of integers from 0 up to, but not including, `size`; members are never removed."""
 
     __slots__ = ("count", "data", "size")
 
@@ -22,7 +22,7 @@
         return bool(self.data[index >> 3] & (1 << (index & 7)))
 
     def add(self, index: int) -> bool:
-        """Add a member; False if it was one already."""
+        """Add a member; return False if it was already present."""
         if index in self:
             return False
         self.data[index >> 3] |= 1 << (index & 7)
@@ -30,7 +30,7 @@
         return True
 
     def add_bytes(self, data: bytes, offset: int = 0) -> None:
-        """Add the members of a bitmap whose first byte is this one's byte `offset`."""
+        """Add the members of a bitmap whose first byte corresponds to byte `offset` of this one."""
         for i, byte in enumerate(data[: len(self.data) - offset], offset):
             new = byte & ~self.data[i]
             if new:
@@ -38,13 +38,13 @@
                 self.count += new.bit_count()
 
     def add_base64(self, text: str, first: int = 0) -> None:
-        """Add the members of a bitmap as `text` gives it; its first bit is the member `first`.
+        """Add the members of a base64-encoded bitmap whose first bit is the member `first`.
 
-        `first` is a multiple of eight. Raises binascii.Error for text that isn't base64.
+        `first` must be a multiple of eight. Raises binascii.Error for text that isn't base64.
         """
         self.add_bytes(base64.b64decode(text), first // 8)
 
     def to_base64(self, first_byte: int = 0, size: int | None = None) -> str:
-        """The set as base64, or `size` of its bytes from `first_byte` on."""
+        """Return the bitmap in base64, or only `size` of its bytes from `first_byte` on."""
         end = None if size is None else first_byte + size
         return base64.b64encode(bytes(self.data[first_byte:end])).decode()
