--- a/pitchtally/jobs/cleanup.py
+++ b/pitchtally/jobs/cleanup.py
@@ -56,14 +56,14 @@
         changes = [Write(key, None) for key in leftover_keys]
         return await self.commits.commit(expected_versions, changes, priority=Priority.PROGRESS)
 
-    def leftover_keys(self, most: int) -> list[str]:
-        """Return keys of jobs that are over, at most `max_keys`."""
-        found: list[str] = []
+    def leftover_keys(self, max_keys: int) -> list[str]:
+        """Return keys of jobs that are over, at max_keys `max_keys`."""
+        leftover_keys: list[str] = []
         for id, extra_keys in self.job_index.extra_keys.items():
             job = self.job_index.jobs.get(id)
             if job is None or job.open:
                 continue
-            found.extend(sorted(extra_keys))
-            if len(found) >= most:
+            leftover_keys.extend(sorted(extra_keys))
+            if len(leftover_keys) >= max_keys:
                 break
-        return found[:most]
+        return leftover_keys[:max_keys]
