--- a/pitchtally/jobs/migration.py
+++ b/pitchtally/jobs/migration.py
@@ -62,17 +62,17 @@
         versions = {
             change.key: self.commits.replica.version(change.key) for change in referenced_writes
         }
-        most = self.commits.max_writes
-        for start in range(0, len(referenced_writes), most):
-            group = referenced_writes[start : start + most]
-            conditions = {
+        max_writes = self.commits.max_writes
+        for start in range(0, len(referenced_writes), max_writes):
+            group = referenced_writes[start : start + max_writes]
+            preconditions = {
                 **expected_versions,
                 **{change.key: versions[change.key] for change in group},
             }
-            if not await self.commits.commit(conditions, group, priority=priority):
+            if not await self.commits.commit(preconditions, group, priority=priority):
                 return False
         change = Write(keys.job(job.id), self.layout.encode_record(job, record))
-        done = await self.commits.commit(expected_versions, [change], priority=priority)
-        if done:
+        converted = await self.commits.commit(expected_versions, [change], priority=priority)
+        if converted:
             log.info("job converted job=%s keys=%d", job.id, len(referenced_writes))
-        return done
+        return converted
