--- a/pitchtally/jobs/commits.py
+++ b/pitchtally/jobs/commits.py
@@ -58,7 +58,7 @@
         return None
 
     async def commit(
-        self, conditions: dict[str, int], changes: list[Write], *, priority: Priority
+        self, preconditions: dict[str, int], changes: list[Write], *, priority: Priority
     ) -> bool:
         """Commit changes and apply them to the replica; return whether they were committed.
 
@@ -69,7 +69,7 @@
         Raises StoreUnavailable, and InvalidTransaction if the store rejects the transaction itself.
         """
         try:
-            revision = await self.state_store.commit(conditions, changes, priority=priority)
+            revision = await self.state_store.commit(preconditions, changes, priority=priority)
         except CompareFailed as conflict:
             log.debug("conflict on %s", conflict)
             await self.replica.refresh()
