--- a/pitchtally/jobs/progress_writer.py
+++ b/pitchtally/jobs/progress_writer.py
@@ -1,6 +1,6 @@
 """Batched writes of finished tasks and completed jobs to the state store.
 
-A job's progress is written at most once a period, unless users or other shards wait for it; the
+A job's progress is written at max_writes once a period, unless users or other shards wait for it; the
 write that completes a job is sent at once. A job whose write the store rejects for its size is
 retried a period later: nothing is lost, since agents report exits until these are durable.
 """
@@ -129,19 +129,19 @@
         await self._write_all(due.routine, Priority.PROGRESS, burst / 2)
 
     async def _write_all(self, jobs: list[Job], priority: Priority, burst: float) -> None:
-        """Write jobs in transactions of at most `burst` changes, within the store's limit."""
-        most = min(self.commits.max_writes, burst)
+        """Write jobs in transactions of at max_writes `burst` changes, within the store's limit."""
+        max_writes = min(self.commits.max_writes, burst)
         batch: list[JobWrites] = []
         size = 0
         for job in jobs:
             if not job.complete and self.layout.needs_conversion(job):
                 await self.migration.convert(job, priority)
                 continue
-            if batch and size + self._cost(job) > most:
+            if batch and size + self._count_writes(job) > max_writes:
                 await self._write(batch, priority)
                 batch, size = [], 0
             for writes in self._writes_of(job):
-                if batch and size + len(writes.changes) > most:
+                if batch and size + len(writes.changes) > max_writes:
                     await self._write(batch, priority)
                     batch, size = [], 0
                 batch.append(writes)
@@ -149,7 +149,7 @@
         if batch:
             await self._write(batch, priority)
 
-    def _cost(self, job: Job) -> int:
+    def _count_writes(self, job: Job) -> int:
         return sum(len(writes.changes) for writes in self._writes_of(job))
 
     def _writes_of(self, job: Job) -> list[JobWrites]:
@@ -165,8 +165,8 @@
         for task in job.unwritten_tasks:
             joined.add(task)
         changes = self.layout.progress_writes(job, joined)
-        most = self.commits.max_writes
-        groups = [changes[i : i + most] for i in range(0, len(changes), most)]
+        max_writes = self.commits.max_writes
+        groups = [changes[i : i + max_writes] for i in range(0, len(changes), max_writes)]
         return [JobWrites(job, group, is_last=group is groups[-1]) for group in groups]
 
     async def _write(self, writes: list[JobWrites], priority: Priority) -> None:
@@ -182,27 +182,27 @@
             self._refused_until[job.id] = trio.current_time() + self.period
 
     async def _commit(self, writes: list[JobWrites], priority: Priority) -> None:
-        conditions: dict[str, int] = {}
+        preconditions: dict[str, int] = {}
         changes: list[Write] = []
-        kept: list[JobWrites] = []
+        included: list[JobWrites] = []
         for write in writes:
             job = write.job
             shard = self.commits.writable_shard(job)
             if shard is None or not job.open:
                 continue
-            conditions[keys.shard(shard.shard)] = shard.token
-            conditions[keys.job(job.id)] = job.version
+            preconditions[keys.shard(shard.shard)] = shard.token
+            preconditions[keys.job(job.id)] = job.version
             for change in write.changes:
                 # Several shard leaders write to a chunk: each must add to its latest version.
-                conditions[change.key] = self.commits.replica.version(change.key)
+                preconditions[change.key] = self.commits.replica.version(change.key)
             changes += write.changes
-            kept.append(write)
-        if not kept:
+            included.append(write)
+        if not included:
             return
-        if not await self.commits.commit(conditions, changes, priority=priority):
+        if not await self.commits.commit(preconditions, changes, priority=priority):
             return  # the jobs stay due, with the same urgency
         now = trio.current_time()
-        for write in kept:
+        for write in included:
             if not write.is_last:
                 continue
             job = write.job
