--- a/pitchtally/jobs/layout.py
+++ b/pitchtally/jobs/layout.py
@@ -99,7 +99,7 @@
         record = job.current_record()
         if self._needs_chunks(job):
             record = msgspec.structs.replace(record, finished="", chunk_tasks=self.chunk_tasks)
-            writes += self._chunks(job.id, job.finished, self.chunk_tasks)
+            writes += self._chunk_writes(job.id, job.finished, self.chunk_tasks)
         oversize = len(_encode(record)) > self.value_bytes
         if oversize and record.spec is not None and record.spec_text is None:
             text_writes, record = self._move_spec_out(job.id, record)
@@ -107,10 +107,10 @@
         return LaidOutJob(writes, record)
 
     @staticmethod
-    def _chunks(id: str, bits: TaskBitmap, tasks: int) -> Iterator[Write]:
+    def _chunk_writes(id: str, bits: TaskBitmap, chunk_tasks: int) -> Iterator[Write]:
         """Yield the write of each chunk of a task bitmap that isn't empty."""
-        for first in range(0, bits.size, tasks):
-            size = tasks // format_1.BITS_PER_BYTE
+        for first in range(0, bits.size, chunk_tasks):
+            size = chunk_tasks // format_1.BITS_PER_BYTE
             offset = first // format_1.BITS_PER_BYTE
             if any(bits.data[offset : offset + size]):
                 yield Write(keys.finished_tasks(id, first), _encode(bits.to_base64(offset, size)))
@@ -123,19 +123,19 @@
 
     def progress_writes(self, job: Job, joined: TaskBitmap) -> list[Write]:
         """Return the writes that make finished tasks durable: the record, or the changed chunks."""
-        tasks = job.chunk_tasks
-        if not tasks:
+        chunk_tasks = job.chunk_tasks
+        if not chunk_tasks:
             record = msgspec.structs.replace(job.record, finished=joined.to_base64())
             return [Write(keys.job(job.id), self.encode_record(job, record))]
         writes = []
-        for number in sorted({task // tasks for task in job.unwritten_tasks}):
-            first = number * tasks
-            text = joined.to_base64(
-                first // format_1.BITS_PER_BYTE, tasks // format_1.BITS_PER_BYTE
+        for chunk_number in sorted({task // chunk_tasks for task in job.unwritten_tasks}):
+            first = chunk_number * chunk_tasks
+            encoded = joined.to_base64(
+                first // format_1.BITS_PER_BYTE, chunk_tasks // format_1.BITS_PER_BYTE
             )
             if job.record.chunk_tasks:
                 key = keys.finished_tasks(job.id, first)
             else:
-                key = keys.legacy_finished_tasks(job.id, number)
-            writes.append(Write(key, _encode(text)))
+                key = keys.legacy_finished_tasks(job.id, chunk_number)
+            writes.append(Write(key, _encode(encoded)))
         return writes
