--- a/pitchtally/jobs/resources.py
+++ b/pitchtally/jobs/resources.py
@@ -63,11 +63,11 @@
 
 def count_fitting(request: Resources, available: Resources) -> int:
     """Return how many tasks with this request fit into the available resources."""
-    most = MAX_FITTING_TASKS
-    for wanted, free in zip(request, available, strict=True):
-        if wanted > 0:
-            most = min(most, (free + TOLERANCE) / wanted)
-    return int(max(0.0, most))
+    count = MAX_FITTING_TASKS
+    for requested, free in zip(request, available, strict=True):
+        if requested > 0:
+            count = min(count, (free + TOLERANCE) / requested)
+    return int(max(0.0, count))
 
 
 def dominant_share(request: Resources, machine_type: cloud_api.MachineType) -> float:
