--- a/pitchtally/jobs/task_bitmap.py
+++ b/pitchtally/jobs/task_bitmap.py
@@ -31,18 +31,18 @@
 
     def add_bytes(self, data: bytes, offset: int = 0) -> None:
         """Add the members of a bitmap whose first byte corresponds to byte `offset` of this one."""
-        for i, byte in enumerate(data[: len(self.data) - offset], offset):
-            new = byte & ~self.data[i]
-            if new:
-                self.data[i] |= new
-                self.count += new.bit_count()
+        for position, byte in enumerate(data[: len(self.data) - offset], offset):
+            added = byte & ~self.data[position]
+            if added:
+                self.data[position] |= added
+                self.count += added.bit_count()
 
-    def add_base64(self, text: str, first: int = 0) -> None:
+    def add_base64(self, encoded: str, first: int = 0) -> None:
         """Add the members of a base64-encoded bitmap whose first bit is the member `first`.
 
         `first` must be a multiple of eight. Raises binascii.Error for text that isn't base64.
         """
-        self.add_bytes(base64.b64decode(text), first // 8)
+        self.add_bytes(base64.b64decode(encoded), first // 8)
 
     def to_base64(self, first_byte: int = 0, size: int | None = None) -> str:
         """Return the bitmap in base64, or only `size` of its bytes from `first_byte` on."""
