--- a/pitchtally/jobs/index.py
+++ b/pitchtally/jobs/index.py
@@ -190,19 +190,19 @@
         job = self.jobs.get(id)
         if job is None:
             job = self.jobs[id] = Job(id, record, version, self.gate.legacy_chunk_tasks)
-            old = None
+            old_record = None
         else:
-            old = job.record
+            old_record = job.record
             job.record, job.version = record, version
         job.stored_bytes = size
         if record.stage == OPEN:
             self._update_open(job)
         else:
             self._close(job)
-            if record.stage == CANCELLED and (old is None or old.stage == OPEN):
+            if record.stage == CANCELLED and (old_record is None or old_record.stage == OPEN):
                 bisect.insort(self.cancelled, CancelledVersion(version, id))
         for listener in self._listeners:
-            listener(job, old)
+            listener(job, old_record)
 
     def _update_open(self, job: Job) -> None:
         self.open[job.id] = job
@@ -210,7 +210,7 @@
             job.finished.add_base64(job.record.finished)
         for bitmap in self._early_bitmaps.pop(job.id, ()):
             self._join_bitmap(job, bitmap)
-        self._drop_durable_unwritten(job)
+        self._discard_durable_tasks(job)
 
     def _close(self, job: Job) -> None:
         """Discard the data that only an open job needs."""
@@ -229,7 +229,7 @@
 
     def _apply_bitmap(self, prefix: str, key: str, value: bytes | None) -> None:
         id, number = keys.parse_finished_tasks(key)
-        self._note_extra_key(id, keys.absolute(prefix, key), present=value is not None)
+        self._update_extra_keys(id, keys.absolute(prefix, key), present=value is not None)
         if value is None:
             return
         job = self.jobs.get(id)
@@ -239,11 +239,11 @@
             self._early_bitmaps.setdefault(id, []).append(bitmap)
         elif job.open:
             self._join_bitmap(job, bitmap)
-            self._drop_durable_unwritten(job)
+            self._discard_durable_tasks(job)
 
     def _on_text_chunk(self, key: str, value: bytes | None, version: int) -> None:
         id, digest, number = keys.parse_text_chunk(key)
-        self._note_extra_key(id, keys.absolute(keys.TEXT_PREFIX, key), present=value is not None)
+        self._update_extra_keys(id, keys.absolute(keys.TEXT_PREFIX, key), present=value is not None)
         texts = self._texts.setdefault(id, {})
         if value is None:
             texts.pop(ChunkId(digest, number), None)
@@ -252,13 +252,13 @@
         if id in self._records_without_spec:
             self._complete_record(id)
 
-    def _note_extra_key(self, id: str, key: str, *, present: bool) -> None:
-        present_keys = self.extra_keys.setdefault(id, set())
+    def _update_extra_keys(self, id: str, key: str, *, present: bool) -> None:
+        job_keys = self.extra_keys.setdefault(id, set())
         if present:
-            present_keys.add(key)
+            job_keys.add(key)
             return
-        present_keys.discard(key)
-        if not present_keys:
+        job_keys.discard(key)
+        if not job_keys:
             del self.extra_keys[id]
 
     @staticmethod
@@ -268,9 +268,9 @@
             first *= job.legacy_chunk_tasks
         job.finished.add_base64(bitmap.text, first)
 
-    def _drop_durable_unwritten(self, job: Job) -> None:
+    def _discard_durable_tasks(self, job: Job) -> None:
         if job.unwritten_tasks:
-            job.unwritten_tasks = {t for t in job.unwritten_tasks if t not in job.finished}
+            job.unwritten_tasks = {task for task in job.unwritten_tasks if task not in job.finished}
         if job.unwritten_tasks or job.complete:
             self.unwritten.add(job.id)
 
