--- a/pitchtally/jobs/cleanup.py
+++ b/pitchtally/jobs/cleanup.py
@@ -57,7 +57,7 @@
         return await self.commits.commit(expected_versions, changes, priority=Priority.PROGRESS)
 
     def leftover_keys(self, max_keys: int) -> list[str]:
-        """Return keys of jobs that are over, at max_keys `max_keys`."""
+        """Return keys of jobs that are over, at most `max_keys`."""
         leftover_keys: list[str] = []
         for id, extra_keys in self.job_index.extra_keys.items():
             job = self.job_index.jobs.get(id)
--- a/pitchtally/jobs/progress_writer.py
+++ b/pitchtally/jobs/progress_writer.py
@@ -1,6 +1,6 @@
 """Batched writes of finished tasks and completed jobs to the state store.
 
-A job's progress is written at max_writes once a period, unless users or other shards wait for it; the
+A job's progress is written at most once a period, unless users or other shards wait for it; the
 write that completes a job is sent at once. A job whose write the store rejects for its size is
 retried a period later: nothing is lost, since agents report exits until these are durable.
 """
@@ -129,7 +129,7 @@
         await self._write_all(due.routine, Priority.PROGRESS, burst / 2)
 
     async def _write_all(self, jobs: list[Job], priority: Priority, burst: float) -> None:
-        """Write jobs in transactions of at max_writes `burst` changes, within the store's limit."""
+        """Write jobs in transactions of at most `burst` changes, within the store's limit."""
         max_writes = min(self.commits.max_writes, burst)
         batch: list[JobWrites] = []
         size = 0
