--- a/tests/agents/test_machine_records.py
+++ b/tests/agents/test_machine_records.py
@@ -156,7 +156,7 @@
     async def main() -> None:
         leader, written = leader_of_shard(0, 50), []
 
-        async def commit(conditions: Any, changes: Any, *, priority: int) -> bool:
+        async def commit(preconditions: Any, changes: Any, *, priority: int) -> bool:
             assert priority < Priority.SUBMISSIONS
             assert all(len(c.value) <= 8192 for c in changes)
             written.extend(changes)
