--- a/pitchtally/api/admission_queue.py
+++ b/pitchtally/api/admission_queue.py
@@ -1,8 +1,9 @@
-"""Backpressure on submissions: whom to refuse, when to come back, first come first served.
+"""Backpressure on submissions: which to refuse, when to retry, first come first served.
 
-Refused callers retry after the time that they are told, but not for ever. Were whoever happens to
-ask at the right moment admitted, some callers would give up after an outage while newer ones are
-accepted. So a controller remembers whom it refused, and admits nobody ahead of earlier callers.
+Refused callers retry after the time given in the response, but not for ever. If every caller that
+retries at a favourable moment were admitted, some callers would stop retrying after an outage
+while newer ones are accepted. So a controller keeps a queue of refused submissions, and admits
+none ahead of earlier ones.
 """
 
 from __future__ import annotations
@@ -21,27 +22,28 @@
 
 log = logging.getLogger(__name__)
 
-# Seconds that a caller may be late after the time told; then it gave up, or asks elsewhere.
+# Seconds after its retry time at which a caller is no longer expected: it has stopped retrying, or
+# uses another node.
 RETRY_GRACE_S = 3.0
-# How long the first attempt is remembered: callers move from node to node in between.
+# Seconds for which a first attempt is kept after that, for callers that return from other nodes.
 FIRST_ATTEMPT_RETENTION_S = 60.0
-# The longest retry time told: an estimate further ahead is too rough.
+# The longest retry time in a response: an estimate further ahead is too inaccurate.
 MAX_RETRY_S = 3
-# The share of a burst of write permits that is left to callers who are expected back.
+# The share of a burst of write permits that is reserved for callers that are expected to retry.
 RETRY_BURST_SHARE = 0.75
 
 
 @dataclass(slots=True)
 class _Entry:
-    first_attempt_at: float  # the first attempt
+    first_attempt_at: float
     expected_until: float
 
 
 class AdmissionQueue:
-    """Which submissions were refused, since when, and until when each is expected back."""
+    """Refused submissions: the time of their first attempt, and until when a retry is expected."""
 
     def __init__(self, is_accepted: Callable[[str], bool] = lambda id: False) -> None:
-        """`is_accepted`: whether any node has accepted the job, as far as this one knows."""
+        """`is_accepted`: returns whether this node's replica shows the job as accepted."""
         self._is_accepted = is_accepted
         self._entries: dict[str, _Entry] = {}
         self._by_first_attempt: list[tuple[float, str]] = []  # (since, id), sorted
@@ -49,12 +51,12 @@
 
     @property
     def expects_retries(self) -> bool:
-        """Whether any caller is expected back."""
+        """Whether any caller is expected to retry."""
         self._sweep()
         return bool(self._by_first_attempt)
 
     def count_ahead_of(self, id: str) -> int:
-        """How many earlier callers are still expected back."""
+        """Return how many earlier callers are still expected to retry."""
         self._sweep()
         entry = self._entries.get(id)
         if entry is None:
@@ -62,7 +64,10 @@
         return bisect.bisect_left(self._by_first_attempt, (entry.first_attempt_at, id))
 
     def record_refusal(self, id: str, wait: float) -> int:
-        """Remember a submission that is refused now; the seconds after which to retry."""
+        """Record a submission that is refused now; return the seconds after which to retry.
+
+        `wait`: estimated seconds until it could be written.
+        """
         now = trio.current_time()
         seconds = max(1, min(MAX_RETRY_S, math.ceil(wait)))
         entry = self._entries.setdefault(id, _Entry(now, now))
@@ -73,13 +78,13 @@
         return seconds
 
     def remove(self, id: str) -> None:
-        """The submission is accepted, or never will be."""
+        """Remove a submission that was accepted, or never will be."""
         entry = self._entries.pop(id, None)
         if entry is not None and (entry.first_attempt_at, id) in self._by_first_attempt:
             self._by_first_attempt.remove((entry.first_attempt_at, id))
 
     def _sweep(self) -> None:
-        """Drop callers that did not come back, or were accepted elsewhere, now and then."""
+        """Drop callers that did not retry, or were accepted elsewhere; does so at intervals."""
         now = trio.current_time()
         if now - self._swept_at < RETRY_GRACE_S / 4:
             return
@@ -97,7 +102,7 @@
 
 
 class AdmissionControl:
-    """Admits a submission only if it can be written soon, those ahead of it counted."""
+    """Admits a submission only if it can be written soon, after those ahead of it."""
 
     def __init__(
         self,
@@ -115,20 +120,20 @@
         self._max_wait = max_wait
 
     def refuse_if_overloaded(self, id: str) -> int | None:
-        """None if the submission is admitted, else the seconds after which to retry."""
+        """Return None if the submission is admitted, else the seconds after which to retry."""
         wait = self._seconds_until_writable(id)
         if wait <= self._max_wait:
             return None
-        log.info("refused job=%s cause=rate_limit wait=%.1f", id, wait)
+        log.info("submission refused job=%s cause=rate_limit wait=%.1f", id, wait)
         return self.queue.record_refusal(id, wait)
 
     def _seconds_until_writable(self, id: str) -> float:
-        """Seconds until a submission could be written, those before it counted."""
+        """Return the seconds until a submission could be written, after those ahead of it."""
         writes = self._state_store.write_limit
         queued = len(self._batcher.queued)
         wait = self._state_store.request_limit.wait_time(Priority.SUBMISSIONS)
         if not writes.wait_time(Priority.SUBMISSIONS, queued + writes.burst * RETRY_BURST_SHARE):
-            return wait  # permits would go unused while earlier callers stay away
-        # Earlier callers may come back to any node: each node takes its share of them.
+            return wait  # permits would stay unused until earlier callers retry
+        # Earlier callers may retry at any node: each node expects its share of them.
         ahead = self.queue.count_ahead_of(id) / max(1, self._live_nodes())
         return max(wait, writes.wait_time(Priority.SUBMISSIONS, 1 + queued + ahead))
--- a/pitchtally/api/cancellation.py
+++ b/pitchtally/api/cancellation.py
@@ -1,4 +1,4 @@
-"""Cancellation of jobs: committed before it is answered."""
+"""Cancellation of jobs: it is committed before the request is answered."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 from .status import JobStatuses
 from .validation import is_job_id
 
-# Times that a cancellation is tried again because a shard leader's progress was written first.
+# Attempts at a cancellation; one fails if a shard leader's progress is written first.
 MAX_ATTEMPTS = 4
 
 
 class CancellationWriter:
-    """Commits cancellations, and has peers notified of them."""
+    """Commits cancellations and notifies the peers of them."""
 
     def __init__(
         self,
@@ -35,14 +35,14 @@
         on_decision: DecisionListener,
         notify_peers: Callable[[Cancellation], None],
     ):
-        """`notify_peers`: starts a broadcast without waiting for it; heartbeats repeat it."""
+        """`notify_peers`: starts a broadcast without waiting for it; peer heartbeats repeat it."""
         self._state_store = state_store
         self._replica = replica
         self._on_decision = on_decision
         self._notify_peers = notify_peers
 
     async def commit(self, job: Job) -> None:
-        """Write that a job is cancelled; raises what `StateStoreClient.commit` does."""
+        """Commit a job's cancellation; raises the errors of `StateStoreClient.commit`."""
         final = JobRecord(
             job_record.CANCELLED, job.record.tasks, finished_when_cancelled=job.finished.count
         )
@@ -75,7 +75,7 @@
         self._statuses = statuses
 
     async def cancel(self, id: str) -> Response:
-        """Cancel a job; one that is over already is reported as it is."""
+        """Cancel a job; if it is already over, respond with its state."""
         if not is_job_id(id):
             return unknown_job_response()
         for _ in range(MAX_ATTEMPTS):
@@ -97,7 +97,7 @@
                 if not job.open:
                     return self._statuses.report(job)
             except CompareFailed:
-                # A shard leader's progress was written first: read it and try again.
+                # A shard leader's progress was written first: read the new version and retry.
                 if not isinstance(await self._read_barrier.wait(), BarrierPassed):
                     break
             except (LeaseExpired, StoreUnavailable):
--- a/pitchtally/api/job_creation.py
+++ b/pitchtally/api/job_creation.py
@@ -1,4 +1,4 @@
-"""Creating the record of a submitted job."""
+"""Creation of the record of a submitted job."""
 
 from __future__ import annotations
 
@@ -29,23 +29,23 @@
 
 log = logging.getLogger(__name__)
 
-# Seconds after which to retry a job that only the present stored format can hold.
+# Seconds after which to retry a job that is too large for format 1, until the format gate opens.
 LARGE_JOB_RETRY_S = 3
 
 
 @dataclass(frozen=True, slots=True)
 class Created:
-    """The job's record is in the state store."""
+    """The job's record was written to the state store."""
 
 
 @dataclass(frozen=True, slots=True)
 class AlreadyExists:
-    """The state store holds a record of that id, perhaps of the same request sent before."""
+    """The state store holds a record of that id, perhaps from the same request sent before."""
 
 
 @dataclass(frozen=True, slots=True)
 class NotCreated:
-    """The job can't be accepted now; the same request may be after `retry_after_s` seconds."""
+    """The job can't be accepted now; the request may be retried after `retry_after_s` seconds."""
 
     reason: str
     retry_after_s: float = 1
@@ -55,19 +55,19 @@
 
 
 class SubmissionPlanner:
-    """Assigns a new job to shards: this node's own, else as the cluster leader replies."""
+    """Assigns a new job to shards by this node's own plan, else by the cluster leader's reply."""
 
     def __init__(
         self,
         plan_locally: Callable[[user_api.JobSpec], Plan],
         request_schedule: Callable[[user_api.JobSpec], Awaitable[ScheduleReply | None]],
     ):
-        """`request_schedule`: asks the cluster leader; None if it doesn't reply at once."""
+        """`request_schedule`: asks the cluster leader for a plan; None without a prompt reply."""
         self._plan_locally = plan_locally
         self._request_schedule = request_schedule
 
     async def plan(self, spec: user_api.JobSpec) -> Plan:
-        """Which shards get which tasks; without ranges the cluster leader assigns them later."""
+        """Return which shards get which tasks; without ranges the leader assigns them later."""
         plan = self._plan_locally(spec)
         if plan.ranges or spec.kind == user_api.GANG:
             return plan
@@ -99,18 +99,18 @@
         self._slow_after = slow_after
 
     async def create(self, spec: user_api.JobSpec) -> CreationOutcome:
-        """Commit the record of a new job, if its id has none."""
+        """Commit the record of a new job, unless a record with its id exists."""
         plan = await self._planner.plan(spec)
         preconditions = self._preconditions(spec.id, plan)
         referenced_writes, record = self._layout.lay_out_new(spec.id, self._new_record(spec, plan))
         value = job_record.encode(record)
         if not self._layout.record_fits(value):
-            # The old format can't hold it; the present one can, once every node reads it.
-            return NotCreated("too large to keep before the upgrade is over", LARGE_JOB_RETRY_S)
+            # Format 1 can't hold the job; the current format can, once every node reads it.
+            return NotCreated("too large to store until the upgrade is over", LARGE_JOB_RETRY_S)
         try:
             await self._batcher.commit_unconditionally(referenced_writes)
         except (CompareFailed, LeaseExpired, StoreUnavailable) as error:
-            log.info("not accepted cause=%s", error)
+            log.info("submission not accepted cause=%s", error)
             return NotCreated(STORE_UNAVAILABLE)
         key = keys.job(spec.id)
         return await self._commit(spec.id, PendingSubmission(key, Write(key, value), preconditions))
@@ -118,7 +118,7 @@
     def _preconditions(self, id: str, plan: Plan) -> dict[str, int]:
         preconditions = {keys.job(id): 0}
         for _, _, shard in plan.ranges:
-            # Tasks assigned to a shard of this node: only while this node leads it, so that no
+            # Tasks are assigned to a shard of this node only while this node leads it, so that no
             # earlier leader can have started one of them.
             token = self._shard_token(shard)
             if token is not None:
@@ -155,6 +155,6 @@
         if isinstance(outcome, PreconditionsFailed):
             if submission.key in outcome.keys:
                 return AlreadyExists()
-            return NotCreated("the owner has changed")
-        log.info("not accepted job=%s cause=%s", id, outcome.cause)
+            return NotCreated("the leader of a shard has changed")
+        log.info("submission not accepted job=%s cause=%s", id, outcome.cause)
         return NotCreated(STORE_UNAVAILABLE)
--- a/pitchtally/api/read_barrier.py
+++ b/pitchtally/api/read_barrier.py
@@ -1,13 +1,13 @@
 """The read barrier: linearizable reads of the replica.
 
 A request passes the barrier once the replica covers a read of the state store that was
-dispatched after the request arrived. One read serves every request that waits as it is
-dispatched, and reads overlap: one that hangs delays no later request, and the requests that it
-would have served are served by the next.
+dispatched after the request arrived. One read serves every request that is waiting when the read
+is dispatched. Reads overlap: one that hangs delays no later request, and the requests that it
+would have served are served by the next read.
 
-The outcome is kept in the waiting request's own object, never in a table by identity: the
-address of an object is reused once its caller has left, and a later request must not receive an
-outcome that belongs to an earlier one.
+The outcome is stored in the waiting request's own object, never in a table keyed by object
+identity: the address of an object is reused after its caller has left, and a later request must
+not receive the outcome of an earlier one.
 """
 
 from __future__ import annotations
@@ -25,21 +25,21 @@
 
 log = logging.getLogger(__name__)
 
-# One read may start for as many requests as this node's share of the rate limit allows in the
-# same time: reads take a fifth of the requests at most, and the rest is left to commits.
+# The interval between reads is the time in which this node's share of the rate limit allows this
+# many requests: reads take a fifth of the requests at most, and the rest is left to commits.
 REQUESTS_PER_READ = 5.0
-# Reads under way at once; each takes a connection. While a tenth of the answers is late by
-# seconds, about five reads hang at any time if the rate limit is high.
+# Maximum number of reads in flight; each takes a connection. While a tenth of the responses is
+# late by seconds, about five reads hang at any time if the rate limit is high.
 MAX_CONCURRENT_READS = 16
-# The key in `ReadBarrier.counts` of requests that passed.
+# The key in `ReadBarrier.counts` for requests that passed.
 CONFIRMED = "confirmed"
 
 
 class FailureCause(StrEnum):
     """Why a request did not pass the barrier."""
 
-    REFUSED = "refused"  # the read that served it was refused, or its answer can't be used
-    TIMED_OUT = "timed_out"  # no read dispatched after the request was answered in time
+    REFUSED = "refused"  # the read that served it was refused, or its response is unusable
+    TIMED_OUT = "timed_out"  # no read dispatched after the request got a response in time
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BarrierFailed:
-    """Nothing may be concluded from the replica."""
+    """The replica may be stale: no response may be based on it."""
 
     cause: FailureCause
     reason: str
@@ -62,7 +62,7 @@
 
 @dataclass(slots=True, eq=False)
 class BarrierWaiter:
-    """One request that waits at the barrier; its outcome is stored here and nowhere else."""
+    """A request that waits at the barrier; its outcome is stored here and nowhere else."""
 
     done: trio.Event = field(default_factory=trio.Event)
     outcome: BarrierOutcome | None = None
@@ -74,16 +74,16 @@
 
 
 class ReadBarrier:
-    """Reads the state store on behalf of all requests that need a current replica."""
+    """Reads the state store for all requests that need a current replica."""
 
     def __init__(self, state_store: StateStoreClient, replica: Replica, timeout: float):
-        """`timeout`: seconds that a request waits at most."""
+        """`timeout`: maximum time that a request waits, in seconds."""
         self.state_store = state_store
         self.replica = replica
         self.timeout = timeout
         self.counts: Counter[str] = Counter()  # `CONFIRMED`, and the values of `FailureCause`
         self.last_read: Refresh | None = None  # the newest one that succeeded
-        self._waiters: dict[BarrierWaiter, None] = {}  # an ordered set, first come first
+        self._waiters: dict[BarrierWaiter, None] = {}  # an ordered set, in order of arrival
         self._reads_under_way = 0
         self._wake = trio.Event()
 
@@ -104,7 +104,7 @@
         return outcome
 
     async def run(self) -> None:
-        """Read for as long as any request waits; reads overlap up to a limit."""
+        """Start reads while any request waits; reads overlap up to a limit."""
         self._reads_under_way = 0
         async with trio.open_nursery() as nursery:
             while True:
@@ -116,7 +116,7 @@
                 await trio.sleep(REQUESTS_PER_READ / self.state_store.request_limit.rate)
 
     async def _read(self) -> None:
-        """One read, for every request that waits as it is dispatched."""
+        """Perform one read, for every request that is waiting when it is dispatched."""
         served: list[BarrierWaiter] | None = None
 
         def dispatched() -> None:
@@ -143,7 +143,7 @@
         finally:
             self._reads_under_way -= 1
             self._wake.set()
-        # A read that was never dispatched fails for all: no read is possible now.
+        # If the read was never dispatched, all requests fail: no read is possible now.
         for waiter in list(self._waiters) if served is None else served:
             if waiter in self._waiters:
                 del self._waiters[waiter]
--- a/pitchtally/api/routes.py
+++ b/pitchtally/api/routes.py
@@ -1,4 +1,4 @@
-"""The API of a controller: its components put together, and requests dispatched by path."""
+"""The API of a controller: construction of its components, and dispatch of requests by path."""
 
 from __future__ import annotations
 
@@ -33,49 +33,49 @@
 JOBS_PATH = "/api/jobs"
 CANCEL_SUFFIX = "/cancel"
 
-# Users wait 2 s for a poll: an answer later than that helps nobody.
+# Users wait 2 s for the response to a poll: a later one is useless.
 MAX_BARRIER_WAIT_S = 1.5
-# Calls to the state store that a request may wait for at the read barrier.
+# Time that a request may wait at the read barrier, as a multiple of the timeout of a store call.
 BARRIER_WAIT_CALL_TIMEOUTS = 1.5
 
 
 class Peers(PeerReachability, Protocol):
-    """What the API asks of the other controllers, and of this one's leadership."""
+    """What the API requires of the other controllers, and of this node's shard leadership."""
 
     @property
     def alive(self) -> Mapping[str, object]:
         """Nodes whose session lease is valid, by name."""
 
     def token(self, shard: ShardId) -> FencingToken | None:
-        """This node's fencing token of a shard, None if another node leads it."""
+        """Return this node's fencing token of a shard; None if another node leads it."""
 
     async def forward(self, request: Request) -> Response | None:
-        """Have a peer answer a user's request; None if no peer did."""
+        """Forward a user's request to a peer; return None if no peer responds."""
 
     async def request_schedule(self, spec: user_api.JobSpec) -> ScheduleReply | None:
-        """Ask the cluster leader where a job goes; None if it doesn't reply at once."""
+        """Request a job's assignment from the cluster leader; None if it doesn't reply at once."""
 
 
 @dataclass(frozen=True, slots=True)
 class ApiSchedulerView:
-    """What the API asks of the scheduler."""
+    """What the API requires of the scheduler."""
 
-    plan: Callable[[user_api.JobSpec], Plan]  # a new job's shards, as far as known here
-    running_tasks: Callable[[str], int]  # of a job, on machines known here
+    plan: Callable[[user_api.JobSpec], Plan]  # returns a new job's shards, from this node's data
+    running_tasks: Callable[[str], int]  # returns how many tasks of a job run, as seen by this node
 
 
 @dataclass(frozen=True, slots=True)
 class ApiListeners:
-    """Who is told of what the API does."""
+    """Callbacks that the API calls on its decisions and on cancellations."""
 
     on_decision: DecisionListener
     on_cancelled: Callable[[Cancellation], None]  # starts a broadcast without waiting for it
 
 
 class Api:
-    """The API of one controller; the controller runs the loops of its components.
+    """The API of one controller; the controller runs the loops of the API's components.
 
-    `serve` answers all requests of the public address, `serve_locally` those of users alone.
+    `serve` answers all requests at the public address, `serve_locally` only those of users.
     """
 
     def __init__(
@@ -93,9 +93,9 @@
         serve_agent: Handler,
         listeners: ApiListeners,
     ):
-        """Twelve parameters: all that the package takes from others.
+        """Twelve parameters: all that this package takes from others.
 
-        It only hands them on, each to the components that use it, hence its length too.
+        The constructor only passes each on to the components that use it, hence its length.
         """
         self._replica = replica
         self._peers = peers
@@ -144,7 +144,7 @@
         )
 
     async def serve(self, request: Request) -> Response:
-        """Route a request that came over the public address."""
+        """Route a request that arrived at the public address."""
         path = request.path
         if path == AGENT_HEARTBEATS_PATH:
             if request.method != "POST":
@@ -163,7 +163,7 @@
         return await self.serve_locally(request)
 
     async def serve_locally(self, request: Request) -> Response:
-        """Answer a user's request on this node, also one that a peer forwarded."""
+        """Answer a user's request on this node, including one that a peer has forwarded."""
         path = request.path
         if path == JOBS_PATH:
             if request.method != "POST":
@@ -181,10 +181,11 @@
         return await self.statuses.poll(name)
 
     def _is_ready(self) -> bool:
-        """Whether the load balancer should send users to this node.
+        """Return whether the load balancer should send users to this node.
 
-        If all nodes have lost the state store, final states, agent heartbeats and refusals still
-        work here. A node that alone lost it leaves users to those that can do more.
+        While no node reaches the state store, this node still serves final states, agent
+        heartbeats and refusals. If this node alone has lost the store, other nodes serve users
+        better.
         """
         return (
             self._replica.revision >= 0
@@ -194,7 +195,7 @@
         )
 
     def _is_final(self, path: str) -> bool:
-        """Whether the job that a path names is over, which the replica shows for certain."""
+        """Return whether the replica shows the job that a path names as over, which is final."""
         job = self.statuses.cached(path.removeprefix(JOBS_PATH + "/").removesuffix(CANCEL_SUFFIX))
         return job is not None and not job.open
 
--- a/pitchtally/api/status.py
+++ b/pitchtally/api/status.py
@@ -1,4 +1,4 @@
-"""Answers about the state of a job."""
+"""Responses that report the state of a job."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class JobStatuses:
-    """Reports jobs from the replica; any state that isn't final passes the read barrier first."""
+    """Reports jobs from the replica; a state that isn't final only after the read barrier."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         running_tasks: Callable[[str], int],
         on_decision: DecisionListener,
     ):
-        """`running_tasks`: how many tasks of a job are running on machines known here."""
+        """`running_tasks`: returns how many tasks of a job run, as seen by this node."""
         self._jobs = jobs
         self._replica = replica
         self._read_barrier = read_barrier
@@ -44,13 +44,13 @@
         self._on_decision = on_decision
 
     def cached(self, id: str) -> Job | None:
-        """The job as the replica shows it, however old that is."""
+        """Return the job as the replica shows it, however old the replica is."""
         return self._jobs.get(id)
 
     async def poll(self, id: str, *, exists: bool = False) -> Response:
         """Answer a request for a job's state.
 
-        `exists`: the state store has just reported that the job's record is there.
+        `exists`: whether the state store has just reported that the job has a record.
         """
         if not is_job_id(id):
             return unknown_job_response()
@@ -68,20 +68,20 @@
         return self.report_missing(id, outcome.read, exists=exists)
 
     async def is_accepted(self, id: str) -> bool:
-        """Whether any node has accepted the job; False also if that can't be confirmed now."""
+        """Return whether any node has accepted the job; False also if the read barrier fails."""
         outcome = await self._read_barrier.wait()
         return isinstance(outcome, BarrierPassed) and id in self._jobs
 
     def report(self, job: Job, read: Refresh | None = None) -> Response:
-        """The answer for a job that exists; `read` may be None only if the job is over."""
+        """Return the response for a job that exists; `read` may be None only if it is over."""
         decision = Decision.FOUND if job.open else Decision.FOUND_OVER
         self._on_decision(decision, job.id, DecisionReason(version=job.version, read=read))
         return job_response(200, self._view(job))
 
     def report_missing(self, id: str, read: Refresh, *, exists: bool = False) -> Response:
-        """The answer for a job that the replica doesn't show: 404 only if it has no record."""
+        """Return the response for a job that the index lacks: 404 only if it has no record."""
         if exists or self._replica.version(keys.job(id)):
-            # There is a record that this node lacks or can't read, perhaps of a later version.
+            # There is a record that this node lacks or can't decode, perhaps of a later version.
             return retry_later(STATE_UNCONFIRMED)
         self._on_decision(Decision.UNKNOWN_JOB, id, DecisionReason(read=read))
         return unknown_job_response()
--- a/pitchtally/api/submission.py
+++ b/pitchtally/api/submission.py
@@ -1,7 +1,7 @@
-"""Submissions: validated, admitted, and accepted by a commit.
+"""Handling of submissions: validation, admission, and acceptance by a commit.
 
-Submission is idempotent: a repeated id is answered with the state of the job, whatever else the
-request holds.
+Submission is idempotent: a request with a known id is answered with the state of that job,
+whatever else the request contains.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
         self._creator = creator
 
     async def submit(self, body: bytes) -> Response:
-        """Accept a job, or say why not and when to retry."""
+        """Accept a job, or respond with the reason for refusing it and when to retry."""
         id = extract_job_id(body)
         if id is not None and self._statuses.cached(id) is not None:
             return await self._statuses.poll(id)
@@ -57,7 +57,7 @@
             return await self._reject(spec.id, error)
         retry_after = self._admission.refuse_if_overloaded(spec.id)
         if retry_after is not None:
-            return retry_later("more is asked than can be written", retry_after)
+            return retry_later("too many submissions for the state store's limits", retry_after)
         response = await self.accept(spec)
         if response.status == 503:
             self._admission.queue.record_refusal(spec.id, 1)
@@ -75,7 +75,7 @@
         return retry_later(outcome.reason, outcome.retry_after_s)
 
     async def _reject(self, id: str | None, error: InvalidSubmission) -> Response:
-        """Refuse an invalid submission, unless another node has accepted its id before."""
+        """Refuse an invalid submission, unless a job with its id has already been accepted."""
         if id is not None and await self._statuses.is_accepted(id):
             return await self._statuses.poll(id)
         return error_response(error.status, error.field, error.reason)
--- a/pitchtally/api/submission_batcher.py
+++ b/pitchtally/api/submission_batcher.py
@@ -1,4 +1,4 @@
-"""Group commit: submissions that wait while a transaction is under way share the next."""
+"""Group commit: submissions that arrive while a transaction is in flight share the next one."""
 
 from __future__ import annotations
 
@@ -12,31 +12,31 @@
 from ..state_store.rate_limits import Priority
 from ..state_store.replica import Replica
 
-# Loops that commit, so that a transaction without an answer doesn't hold up all that follow.
+# Number of loops that commit, so that a transaction without a response doesn't delay all others.
 MAX_CONCURRENT_COMMITS = 3
-# Of the 64 KiB that a transaction may hold.
+# Well below the 64 KiB that a transaction may hold.
 MAX_BATCH_BYTES = 40 * 1024
-# What a submission adds to a transaction beside its value: its key and its preconditions.
+# Size of a submission's key and preconditions, which it adds to a transaction besides its value.
 OVERHEAD_BYTES = 300
 
 
 @dataclass(frozen=True, slots=True)
 class Committed:
-    """The submission is in the state store."""
+    """The submission was written to the state store."""
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class PreconditionsFailed:
-    """Nothing was written: these of its preconditions do not hold."""
+    """Nothing was written, because the preconditions on `keys` did not hold."""
 
     keys: list[str]
 
 
 @dataclass(frozen=True, slots=True)
 class CommitFailed:
-    """The state store could not be used; the submission may have been written."""
+    """The commit failed with its outcome unknown: the submission may have been written."""
 
     cause: str
 
@@ -48,11 +48,11 @@
 class PendingSubmission:
     """One submission that waits for its commit."""
 
-    key: str  # of the job's record
+    key: str  # key of the job's record
     change: Write
     preconditions: dict[str, int]  # key -> version
     done: trio.Event = field(default_factory=trio.Event)
-    dispatched_at: float = 0.0  # when its transaction passed the rate limits
+    dispatched_at: float = 0.0  # time at which its transaction passed the rate limits
     outcome: CommitOutcome | None = None
 
     def resolve(self, outcome: CommitOutcome) -> None:
@@ -79,10 +79,10 @@
         return submission.outcome
 
     async def commit_unconditionally(self, changes: Sequence[Write]) -> None:
-        """Write what a record refers to, ahead of the record, in as many transactions as needed.
+        """Write the data that a record refers to, in as many transactions as needed.
 
-        The keys are content-addressed: written again, or late, they hold the same. Raises what
-        `StateStoreClient.commit` does.
+        To be called before the record is committed. The keys are content-addressed: a repeated or
+        late write stores the same value. Raises the errors of `StateStoreClient.commit`.
         """
         most = self.state_store.limits.txn_ops
         for start in range(0, len(changes), most):
@@ -91,7 +91,7 @@
             self.replica.apply_own_commit(group, revision)
 
     def take_batch(self) -> list[PendingSubmission]:
-        """Remove from the queue what goes into the next transaction."""
+        """Remove the submissions for the next transaction from the queue, and return them."""
         batch: list[PendingSubmission] = []
         preconditions: dict[str, int] = {}
         size = 0
@@ -102,9 +102,9 @@
                 and (size > MAX_BATCH_BYTES or len(batch) >= self.state_store.write_limit.burst)
             ):
                 break
-            # A repeated id goes alone, so that its precondition can fail. So does a submission
-            # that was planned under another fencing token of a shard: the transaction would
-            # check only one of the two.
+            # A repeated id is left for a later batch, so that its precondition can fail. So is a
+            # submission planned under another fencing token of a shard: the transaction would
+            # check only one of the two tokens.
             if all(other.key != submission.key for other in batch) and all(
                 preconditions.get(key, version) == version
                 for key, version in submission.preconditions.items()
@@ -115,7 +115,7 @@
         return batch
 
     async def run(self) -> None:
-        """Commit what is queued, group by group."""
+        """Commit the queued submissions, batch by batch."""
         while True:
             while not self.queued:
                 await self._wake.wait()
@@ -155,7 +155,7 @@
                 submission.resolve(Committed(revision))
 
     def _requeue_unaffected(self, batch: list[PendingSubmission], error: CompareFailed) -> None:
-        """Fail the submissions whose preconditions failed; the others go first in the next batch.
+        """Resolve the submissions whose preconditions failed, and requeue the others in front.
 
         Nothing of the batch was written.
         """
--- a/pitchtally/api/validation.py
+++ b/pitchtally/api/validation.py
@@ -1,4 +1,4 @@
-"""Validation of submissions: decoded, checked field by field, and against the deployment."""
+"""Validation of submissions: decoding, checks of each field, and checks by the deployment."""
 
 from __future__ import annotations
 
@@ -18,11 +18,12 @@
 MAX_NAME_LENGTH = 200
 MAX_TYPE_LENGTH = 100
 MAX_TYPES = 100
-# Sums of many floats drift; a total above its limit by less than this is within it.
+# Sums of many floats accumulate rounding errors, so a total above its limit by less than this is
+# within the limit.
 LIMIT_TOLERANCE = 1e-6
 
 _JOB_ID = re.compile(r"wk-[0-9]{1,18}")
-# Field of `JobSpec` -> its name on the wire.
+# Names on the wire, by field of `JobSpec`.
 _WIRE_NAMES = {f.name: f.encode_name for f in msgspec.structs.fields(user_api.JobSpec)}
 _OPTIONAL = {"types", "zone", "deadline"}
 _AMOUNTS = ("cpus", "gpus", "memory", "image_gb", "estimate", "checkpoint", "save")
@@ -32,7 +33,7 @@
     """A submission that can't be accepted, now or later."""
 
     def __init__(self, status: int, field: str, reason: str):
-        """`status`: of the response; `field`: the part at fault, by its name on the wire."""
+        """`status`: HTTP status; `field`: the invalid part, by its name on the wire."""
         super().__init__(f"{field}: {reason}")
         self.status = status
         self.field = field
@@ -63,7 +64,7 @@
 
 
 def _decode_fields(body: bytes) -> dict[str, Any]:
-    """The decoded fields of a submission, with every required one present."""
+    """Return the decoded fields of a submission; raise if a required one is missing."""
     try:
         raw = msgspec.json.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
@@ -112,7 +113,7 @@
         raise _never_runnable("team", "unknown team")
     if not any(_may_run_on(spec, machine_type) for machine_type in machine_types.values()):
         raise _never_runnable("types", "a task fits no allowed machine type")
-    # Tasks of an array run one after another if need be; those of a gang or a service together.
+    # Tasks of an array can run one after another; those of a gang or a service run together.
     at_once = spec.tasks if spec.kind in (user_api.GANG, user_api.SERVICE) else 1
     for name, amount, limit in (
         ("cpus", spec.cpus, team.cpus_max),
@@ -135,7 +136,7 @@
 
 
 def extract_job_id(body: bytes) -> str | None:
-    """The job's id in a body, whatever else is wrong with it; None without one."""
+    """Return the job id in a body, even if the rest is invalid; None if there is no valid id."""
     try:
         found = msgspec.json.decode(body, type=_JobId).id
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
@@ -144,5 +145,5 @@
 
 
 def is_job_id(text: str) -> bool:
-    """Whether a text has the form of a job's id."""
+    """Return whether a text has the form of a job id."""
     return _JOB_ID.fullmatch(text) is not None
