--- a/tests/api/test_admission_queue.py
+++ b/tests/api/test_admission_queue.py
@@ -27,9 +27,8 @@
         queue.record_refusal("c", 90.0)
         await trio.sleep(RETRY_GRACE_S + 0.1)
         assert [queue.count_ahead_of(id) for id in "cd"] == [0, 1]  # no retry of a
-        queue.record_refusal(
-            "a", 1.0
-        )  # it keeps its place: it may have retried at another controller
+        # It keeps its place: it may have retried at another controller.
+        queue.record_refusal("a", 1.0)
         assert [queue.count_ahead_of(id) for id in "acd"] == [0, 1, 2]
         await trio.sleep(MAX_RETRY_S + RETRY_GRACE_S)
         assert queue.count_ahead_of("d") == 0
--- a/tests/api/test_read_barrier.py
+++ b/tests/api/test_read_barrier.py
@@ -1,4 +1,4 @@
-"""The read barrier: a request passes only on a read dispatched after it arrived."""
+"""The read barrier: a request passes only by a read dispatched after the request arrived."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
 
 LIMITS = StateLimits(rps=500, write_rps=30, value_kb=8, txn_ops=8)
 CALL_TIMEOUT = 2.0
-WAIT = 1.5  # seconds that a request waits at the barrier
+WAIT = 1.5  # maximum time that a request waits at the barrier
 USUAL_DELAY = 0.005
-REQUESTS_PER_S = 500 * 0.9 / 3  # of this node
-INTERVAL = REQUESTS_PER_READ / REQUESTS_PER_S  # between the beginnings of two reads
-HANGS = float("inf")
+REQUESTS_PER_S = 500 * 0.9 / 3  # this node's share of the rate limit
+INTERVAL = REQUESTS_PER_READ / REQUESTS_PER_S  # between the starts of two reads
+HANGS = float("inf")  # delay of a response that never arrives
 
 
 class StateService:
-    """Answers each read with the next of `delays`, in seconds, then all after `delay`."""
+    """Responds to each read after the next of `delays`, in seconds; after the last, `delay`."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch):
         self.delay = USUAL_DELAY
@@ -49,7 +49,7 @@
         answer_calls(monkeypatch, self.answer)
 
     async def answer(self, call: Call) -> Response:
-        """The answer is as of the asking; how long it takes is its delay."""
+        """Respond with the state at the time of the call, after the delay."""
         self.reads += 1
         self.under_way += 1
         self.most_under_way = max(self.most_under_way, self.under_way)
@@ -70,7 +70,7 @@
 
 
 def play(monkeypatch: pytest.MonkeyPatch, body: Body) -> None:
-    """Run a read barrier, for a replica at revision 10, on a mock clock."""
+    """Run a test body with a read barrier, for a replica at revision 10, on a mock clock."""
 
     async def main() -> None:
         service = StateService(monkeypatch)
@@ -87,7 +87,7 @@
 
 
 async def ask(read_barrier: ReadBarrier, count: int) -> int:
-    """How many of so many requests, sent at once, passed the barrier."""
+    """Return how many of `count` requests that start at the same time pass the barrier."""
     passed = 0
 
     async def one() -> None:
@@ -102,7 +102,7 @@
 
 
 async def timed(read_barrier: ReadBarrier) -> tuple[BarrierOutcome, float]:
-    """An outcome, and the seconds until it came."""
+    """Return the outcome of a request, and the seconds until it was available."""
     asked_at = trio.current_time()
     outcome = await read_barrier.wait()
     return outcome, trio.current_time() - asked_at
@@ -111,21 +111,22 @@
 def test_outcome_of_an_abandoned_request_passes_no_later_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A 404 for an accepted job: the outcome of an earlier request that had been abandoned.
+    """Guards against a 404 for an accepted job, from an abandoned request's outcome.
 
-    Reads that ended after their waiters had left put down an outcome for each, by the address
-    of an object that was free again; whoever got that address next, and gave up, was passed.
+    Reads that ended after their requests had been abandoned stored an outcome for each of them,
+    keyed by the address of a freed object. A later request whose object got the same address, and
+    that timed out itself, received that outcome and passed.
     """
 
     async def body(read_barrier: ReadBarrier, service: StateService) -> None:
         service.delay = WAIT + 0.3
         assert await ask(read_barrier, 300) == 0
-        await trio.sleep(1)  # the reads end: nobody waits any more
+        await trio.sleep(1)  # the reads end after all requests have timed out
         service.delay = HANGS
         passed = 0
         for _ in range(3):
             passed += await ask(read_barrier, 300)
-        assert passed == 0, f"{passed} of 900 passed by a store that never answered"
+        assert passed == 0, f"{passed} of 900 requests passed although the store never responded"
         assert read_barrier.counts == {FailureCause.TIMED_OUT: 1200}
 
     play(monkeypatch, body)
@@ -147,7 +148,11 @@
 
 @pytest.mark.parametrize("hanging", [1, MAX_CONCURRENT_READS - 1])
 def test_reads_that_hang_hold_up_no_request(hanging: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """803 answers of 503: one read at a time, each up to 2 s, for waiters of 1.5 s."""
+    """Guards against refusals of requests that time out behind a read that hangs.
+
+    There were 803 responses of 503 when reads ran one at a time, each for up to 2 s, while requests
+    wait 1.5 s.
+    """
 
     async def body(read_barrier: ReadBarrier, service: StateService) -> None:
         service.delays = [HANGS] * hanging
@@ -182,7 +187,7 @@
             await ask(read_barrier, 100)
         assert service.most_under_way == MAX_CONCURRENT_READS
         assert service.reads <= MAX_CONCURRENT_READS * 5
-        # And they go on as soon as it answers.
+        # Reads resume as soon as the store responds.
         service.delay = USUAL_DELAY
         assert await ask(read_barrier, 100) == 100
 
@@ -221,8 +226,8 @@
     [
         (503, 10, []),
         (429, 10, []),
-        (410, 10, []),  # the copy is too old
-        (200, 9, []),  # the answer to an older read
+        (410, 10, []),  # the replica's revision is too old
+        (200, 9, []),  # the response to an older read
         (200, 10, "rubbish"),
     ],
 )
@@ -250,7 +255,7 @@
 
 
 def test_late_answer_brings_no_removed_key_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Reads overlap, so an answer may come after one that knows more."""
+    """Reads overlap, so a response may arrive after one of a newer revision."""
 
     async def body(read_barrier: ReadBarrier, service: StateService) -> None:
         replica = read_barrier.replica
@@ -265,7 +270,7 @@
             await replica.refresh()
             assert (replica.revision, replica.version("pt/parts/0")) == (12, 0)
         assert (replica.revision, replica.version("pt/parts/0")) == (12, 0)
-        assert replica.verified_at >= newer_sent_at  # no older than the newest evidence
+        assert replica.verified_at >= newer_sent_at  # no older than the newest response
 
     play(monkeypatch, body)
 
@@ -273,7 +278,7 @@
 def test_answer_older_than_the_copy_does_not_vouch_for_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A repeated answer, read from a reused connection, would make old evidence young."""
+    """A repeated response, read from a reused connection, would make a stale replica look fresh."""
 
     async def body(read_barrier: ReadBarrier, service: StateService) -> None:
         replica = read_barrier.replica
--- a/tests/api/test_responses.py
+++ b/tests/api/test_responses.py
@@ -1,4 +1,4 @@
-"""Bodies and headers of answers that report no job."""
+"""Bodies and headers of error responses."""
 
 from __future__ import annotations
 
--- a/tests/api/test_submission_batcher.py
+++ b/tests/api/test_submission_batcher.py
@@ -1,4 +1,4 @@
-"""Which submissions share a transaction, and what its outcome proves."""
+"""Which submissions share a transaction, and what follows from its outcome."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 def test_job_known_from_a_failed_compare_is_never_denied(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A compare that failed because the record exists is proof enough against a 404."""
+    """A failed precondition that shows the record to exist rules out a 404."""
 
     async def main() -> None:
         config = settings("n0")
@@ -65,7 +65,7 @@
             nursery.start_soon(controller.api.read_barrier.run)
             nursery.start_soon(controller.api.submission_batcher.run)
             assert (await controller.api.submissions.accept(spec)).status == 503
-            assert (await poll()).status == 404  # nothing else is known of it
+            assert (await poll()).status == 404  # the replica shows no record
             controller.replica.learn(f"pt/jobs/{spec.id}", b'{"of":"a later version"}', 11)
             assert (await poll()).status == 503
             assert (await controller.api.cancellations.cancel(spec.id)).status == 503
--- a/tests/api/test_validation.py
+++ b/tests/api/test_validation.py
@@ -1,4 +1,4 @@
-"""Bad input: a status and a reason that names the field, never a fault."""
+"""Invalid input is refused with a status and a reason that names the field, without a fault."""
 
 from __future__ import annotations
 
--- a/tests/jobs/test_job_record.py
+++ b/tests/jobs/test_job_record.py
@@ -1,4 +1,4 @@
-"""Ranges of tasks in job records."""
+"""Merging of task ranges in job records."""
 
 from __future__ import annotations
 
--- a/tests/jobs/test_resources.py
+++ b/tests/jobs/test_resources.py
@@ -1,4 +1,4 @@
-"""What fits where."""
+"""Whether and how often a resource request fits."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 def test_count_fitting(
     requested: tuple[float, float, float], available: tuple[float, float, float], count: int
 ) -> None:
-    """An unlimited share once broke the whole of placement: infinity is a room too."""
+    """Infinity is a valid amount: an unlimited quota share once made all of placement fail."""
     request, free = Resources(*requested), Resources(*available)
     assert count_fitting(request, free) == count
     assert fits(request, free) == (count > 0)
--- a/tests/jobs/test_task_bitmap.py
+++ b/tests/jobs/test_task_bitmap.py
@@ -1,4 +1,4 @@
-"""The set of finished tasks."""
+"""The bitmap of finished tasks."""
 
 from __future__ import annotations
 
