--- a/pitchtally/api/submission_batcher.py
+++ b/pitchtally/api/submission_batcher.py
@@ -84,9 +84,9 @@
         To be called before the record is committed. The keys are content-addressed: a repeated or
         late write stores the same value. Raises the errors of `StateStoreClient.commit`.
         """
-        most = self.state_store.limits.txn_ops
-        for start in range(0, len(changes), most):
-            group = changes[start : start + most]
+        max_writes = self.state_store.limits.txn_ops
+        for start in range(0, len(changes), max_writes):
+            group = changes[start : start + max_writes]
             revision = await self.state_store.commit({}, group, priority=Priority.SUBMISSIONS)
             self.replica.apply_own_commit(group, revision)
 
@@ -105,7 +105,7 @@
             # A repeated id is left for a later batch, so that its precondition can fail. So is a
             # submission planned under another fencing token of a shard: the transaction would
             # check only one of the two tokens.
-            if all(other.key != submission.key for other in batch) and all(
+            if all(batched.key != submission.key for batched in batch) and all(
                 preconditions.get(key, version) == version
                 for key, version in submission.preconditions.items()
             ):
