--- a/pitchtally/api/read_barrier.py
+++ b/pitchtally/api/read_barrier.py
@@ -84,7 +84,7 @@
         self.counts: Counter[str] = Counter()  # `CONFIRMED`, and the values of `FailureCause`
         self.last_read: Refresh | None = None  # the newest one that succeeded
         self._waiters: dict[BarrierWaiter, None] = {}  # an ordered set, in order of arrival
-        self._reads_under_way = 0
+        self._reads_in_flight = 0
         self._wake = trio.Event()
 
     async def wait(self) -> BarrierOutcome:
@@ -105,13 +105,13 @@
 
     async def run(self) -> None:
         """Start reads while any request waits; reads overlap up to a limit."""
-        self._reads_under_way = 0
+        self._reads_in_flight = 0
         async with trio.open_nursery() as nursery:
             while True:
-                while not self._waiters or self._reads_under_way >= MAX_CONCURRENT_READS:
+                while not self._waiters or self._reads_in_flight >= MAX_CONCURRENT_READS:
                     self._wake = trio.Event()
                     await self._wake.wait()
-                self._reads_under_way += 1
+                self._reads_in_flight += 1
                 nursery.start_soon(self._read)
                 await trio.sleep(REQUESTS_PER_READ / self.state_store.request_limit.rate)
 
@@ -141,7 +141,7 @@
             outcome = BarrierFailed(cause, str(error))
             log.debug("read failed cause=%r requests=%d", str(error), len(served or ()))
         finally:
-            self._reads_under_way -= 1
+            self._reads_in_flight -= 1
             self._wake.set()
         # If the read was never dispatched, all requests fail: no read is possible now.
         for waiter in list(self._waiters) if served is None else served:
