--- a/pitchtally/api/reachability.py
+++ b/pitchtally/api/reachability.py
@@ -37,9 +37,9 @@
 
     def is_isolated(self) -> bool:
         """Return whether neither the store nor any peer has responded within a session TTL."""
-        since = self._state_store.failing_since
+        failing_since = self._state_store.failing_since
         return (
-            since is not None
-            and trio.current_time() - since > self._session_ttl
+            failing_since is not None
+            and trio.current_time() - failing_since > self._session_ttl
             and self._peers.is_isolated()
         )
