--- a/pitchtally/api/admission_queue.py
+++ b/pitchtally/api/admission_queue.py
@@ -46,7 +46,7 @@
         """`is_accepted`: returns whether this node's replica shows the job as accepted."""
         self._is_accepted = is_accepted
         self._entries: dict[str, _Entry] = {}
-        self._by_first_attempt: list[tuple[float, str]] = []  # (since, id), sorted
+        self._by_first_attempt: list[tuple[float, str]] = []  # (first_attempt_at, id), sorted
         self._swept_at = -math.inf
 
     @property
@@ -71,9 +71,9 @@
         now = trio.current_time()
         seconds = max(1, min(MAX_RETRY_S, math.ceil(wait)))
         entry = self._entries.setdefault(id, _Entry(now, now))
-        place = bisect.bisect_left(self._by_first_attempt, (entry.first_attempt_at, id))
-        if self._by_first_attempt[place : place + 1] != [(entry.first_attempt_at, id)]:
-            self._by_first_attempt.insert(place, (entry.first_attempt_at, id))
+        position = bisect.bisect_left(self._by_first_attempt, (entry.first_attempt_at, id))
+        if self._by_first_attempt[position : position + 1] != [(entry.first_attempt_at, id)]:
+            self._by_first_attempt.insert(position, (entry.first_attempt_at, id))
         entry.expected_until = now + seconds + RETRY_GRACE_S
         return seconds
 
@@ -93,7 +93,9 @@
             if entry.expected_until + FIRST_ATTEMPT_RETENTION_S < now or self._is_accepted(id):
                 del self._entries[id]
         self._by_first_attempt = [
-            (since, id) for since, id in self._by_first_attempt if self._is_expected(id, now)
+            (first_attempt_at, id)
+            for first_attempt_at, id in self._by_first_attempt
+            if self._is_expected(id, now)
         ]
 
     def _is_expected(self, id: str, now: float) -> bool:
@@ -129,11 +131,13 @@
 
     def _seconds_until_writable(self, id: str) -> float:
         """Return the seconds until a submission could be written, after those ahead of it."""
-        writes = self._state_store.write_limit
+        write_limit = self._state_store.write_limit
         queued = len(self._batcher.queued)
         wait = self._state_store.request_limit.wait_time(Priority.SUBMISSIONS)
-        if not writes.wait_time(Priority.SUBMISSIONS, queued + writes.burst * RETRY_BURST_SHARE):
+        if not write_limit.wait_time(
+            Priority.SUBMISSIONS, queued + write_limit.burst * RETRY_BURST_SHARE
+        ):
             return wait  # permits would stay unused until earlier callers retry
         # Earlier callers may retry at any node: each node expects its share of them.
-        ahead = self.queue.count_ahead_of(id) / max(1, self._live_nodes())
-        return max(wait, writes.wait_time(Priority.SUBMISSIONS, 1 + queued + ahead))
+        earlier_callers = self.queue.count_ahead_of(id) / max(1, self._live_nodes())
+        return max(wait, write_limit.wait_time(Priority.SUBMISSIONS, 1 + queued + earlier_callers))
