--- a/pitchtally/api/validation.py
+++ b/pitchtally/api/validation.py
@@ -71,8 +71,8 @@
         raise InvalidSubmission(400, "body", f"not JSON: {error}") from None
     if not isinstance(raw, dict):
         raise InvalidSubmission(400, "body", "not an object")
-    for name, field in _WIRE_NAMES.items():
-        if name not in _OPTIONAL and raw.get(field) is None:
+    for name, wire_name in _WIRE_NAMES.items():
+        if name not in _OPTIONAL and raw.get(wire_name) is None:
             raise _malformed(name, "missing")
     for name in _AMOUNTS:
         if isinstance(raw[_WIRE_NAMES[name]], bool):
@@ -84,9 +84,9 @@
     try:
         return msgspec.convert(raw, user_api.JobSpec)
     except msgspec.ValidationError as error:
-        text = str(error)
-        path = re.search(r"\$\.(\w+)", text)
-        raise InvalidSubmission(400, path.group(1) if path else "body", text) from None
+        message = str(error)
+        path = re.search(r"\$\.(\w+)", message)
+        raise InvalidSubmission(400, path.group(1) if path else "body", message) from None
 
 
 def _check_sizes(spec: user_api.JobSpec) -> None:
@@ -98,7 +98,7 @@
         if len(getattr(spec, name)) > MAX_NAME_LENGTH:
             raise _malformed(name, "too long")
     types: tuple[str, ...] = spec.types or ()
-    if len(types) > MAX_TYPES or any(len(t) > MAX_TYPE_LENGTH for t in types):
+    if len(types) > MAX_TYPES or any(len(type_name) > MAX_TYPE_LENGTH for type_name in types):
         raise _malformed("types", "too long")
 
 
@@ -138,10 +138,10 @@
 def extract_job_id(body: bytes) -> str | None:
     """Return the job id in a body, even if the rest is invalid; None if there is no valid id."""
     try:
-        found = msgspec.json.decode(body, type=_JobId).id
+        job_id = msgspec.json.decode(body, type=_JobId).id
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
         return None
-    return found if is_job_id(found) else None
+    return job_id if is_job_id(job_id) else None
 
 
 def is_job_id(text: str) -> bool:
