--- a/tests/api/test_submission_batcher.py
+++ b/tests/api/test_submission_batcher.py
@@ -39,7 +39,7 @@
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def test_job_known_from_a_failed_compare_is_never_denied(
+def test_no_404_for_a_job_that_a_failed_precondition_has_shown(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A failed precondition that shows the record to exist rules out a 404."""
