--- a/tests/api/test_validation.py
+++ b/tests/api/test_validation.py
@@ -57,14 +57,14 @@
     ],
 )
 def test_malformed(text: bytes, field: str) -> None:
-    with pytest.raises(InvalidSubmission) as caught:
+    with pytest.raises(InvalidSubmission) as error_info:
         parse_job(text)
-    assert caught.value.status == 400
-    assert str(caught.value).startswith(field + ":")
+    assert error_info.value.status == 400
+    assert str(error_info.value).startswith(field + ":")
 
 
 @pytest.mark.parametrize(
-    ("more", "good"),
+    ("more", "runnable"),
     [
         ({}, True),
         ({"presses": ["big"]}, True),
@@ -78,11 +78,11 @@
         ({"cut": "gang", "crew": "tight", "rows": 4}, False),
     ],
 )
-def test_never_runnable(more: dict[str, Any], good: bool) -> None:
+def test_never_runnable(more: dict[str, Any], runnable: bool) -> None:
     spec = parse_job(body(**more))
-    if good:
+    if runnable:
         check_runnable(spec, settings("n0"), {"big": TYPE})
     else:
-        with pytest.raises(InvalidSubmission) as caught:
+        with pytest.raises(InvalidSubmission) as error_info:
             check_runnable(spec, settings("n0"), {"big": TYPE})
-        assert caught.value.status == 422
+        assert error_info.value.status == 422
