--- a/tests/api/test_responses.py
+++ b/tests/api/test_responses.py
@@ -20,9 +20,9 @@
     assert response.body == b'{"error":"unknown job","field":"ref"}'
 
 
-@pytest.mark.parametrize(("after", "header"), [(0.2, "1"), (1, "1"), (3.7, "3"), (90, "30")])
-def test_retry_after_is_whole_seconds_within_limits(after: float, header: str) -> None:
-    response = retry_later("busy", after)
+@pytest.mark.parametrize(("after_s", "header"), [(0.2, "1"), (1, "1"), (3.7, "3"), (90, "30")])
+def test_retry_after_is_whole_seconds_within_limits(after_s: float, header: str) -> None:
+    response = retry_later("busy", after_s)
     assert response.status == 503
     assert response.body == b'{"error":"busy"}'
     assert response.headers == [("Retry-After", header)]
