--- a/pitchtally/api/admission_queue.py
+++ b/pitchtally/api/admission_queue.py
@@ -122,7 +122,10 @@
         self._max_wait = max_wait
 
     def refuse_if_overloaded(self, id: str) -> int | None:
-        """Return None if the submission is admitted, else the seconds after which to retry."""
+        """Return None if the submission is admitted, else the seconds after which to retry.
+
+        A refusal is recorded in the queue.
+        """
         wait = self._seconds_until_writable(id)
         if wait <= self._max_wait:
             return None
--- a/pitchtally/api/reachability.py
+++ b/pitchtally/api/reachability.py
@@ -20,7 +20,7 @@
 
 
 class StateStoreReachability:
-    """Distinguishes an outage of the state store from a loss of connection on this node alone."""
+    """Distinguishes an outage of the state store from a connection lost by this node alone."""
 
     def __init__(self, state_store: StateStoreClient, peers: PeerReachability, session_ttl: float):
         """`session_ttl`: seconds after which a node without any response counts as isolated."""
--- a/pitchtally/api/read_barrier.py
+++ b/pitchtally/api/read_barrier.py
@@ -82,7 +82,7 @@
         self.replica = replica
         self.timeout = timeout
         self.counts: Counter[str] = Counter()  # `CONFIRMED`, and the values of `FailureCause`
-        self.last_read: Refresh | None = None  # the newest one that succeeded
+        self.last_read: Refresh | None = None  # the newest read that succeeded
         self._waiters: dict[BarrierWaiter, None] = {}  # an ordered set, in order of arrival
         self._reads_in_flight = 0
         self._wake = trio.Event()
--- a/pitchtally/api/validation.py
+++ b/pitchtally/api/validation.py
@@ -1,4 +1,4 @@
-"""Validation of submissions: decoding, checks of each field, and checks by the deployment."""
+"""Validation of submissions: decoding, checks of each field, and checks against the deployment."""
 
 from __future__ import annotations
 
--- a/pitchtally/jobs/commits.py
+++ b/pitchtally/jobs/commits.py
@@ -14,7 +14,7 @@
 
 log = logging.getLogger(__name__)
 
-# This node's fencing token for a shard, None if it doesn't lead the shard.
+# Returns this node's fencing token for a shard; None if it doesn't lead the shard.
 FencingTokenLookup = Callable[[int], int | None]
 
 
@@ -62,7 +62,7 @@
     ) -> bool:
         """Commit changes and apply them to the replica; return whether they were committed.
 
-        They are not if a precondition failed or the lease has expired. After a failed
+        Nothing is committed if a precondition fails or the lease has expired. After a failed
         precondition the replica is refreshed, so that a retry sees the current versions: the usual
         cause is another leader's write that the watch has not delivered yet.
 
--- a/pitchtally/jobs/index.py
+++ b/pitchtally/jobs/index.py
@@ -122,7 +122,7 @@
 
 
 class CancelledVersion(NamedTuple):
-    """A cancelled job, by the version of its record that shows the cancellation."""
+    """The version of a job's record that shows its cancellation; sorts by version."""
 
     version: int
     id: str
--- a/pitchtally/jobs/layout.py
+++ b/pitchtally/jobs/layout.py
@@ -28,7 +28,7 @@
 
 
 class LaidOutJob(NamedTuple):
-    """A job's record for the state store, and the writes that the record refers to."""
+    """A job's record for the state store, and the writes of the data that the record refers to."""
 
     referenced_writes: list[Write]  # to be committed before the record
     record: JobRecord
--- a/pitchtally/jobs/migration.py
+++ b/pitchtally/jobs/migration.py
@@ -47,8 +47,8 @@
     async def convert(self, job: Job, priority: Priority) -> bool:
         """Write a job in the current layout; return whether it was written.
 
-        It is not if another node leads its shards, or if the job has changed. Raises
-        StoreUnavailable.
+        The job isn't written if another node leads its shards, or if it has changed meanwhile.
+        Raises StoreUnavailable.
         """
         shard = self.commits.writable_shard(job)
         if shard is None and job.record.ranges:
--- a/pitchtally/jobs/progress_writer.py
+++ b/pitchtally/jobs/progress_writer.py
@@ -40,7 +40,7 @@
 
     job: Job
     changes: list[Write]
-    is_last: bool
+    is_last: bool  # whether no further changes of the job follow
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,7 +68,7 @@
         """Eight parameters, one for each component that a write passes through.
 
         `period`: seconds between two routine writes of a job's progress.
-        `submissions_queued`: whether any refused submission is expected to be retried.
+        `submissions_queued`: returns whether any refused submission is expected to be retried.
         """
         self.job_index = job_index
         self.commits = commits
