--- a/pitchtally/scheduling/gangs/starter.py
+++ b/pitchtally/scheduling/gangs/starter.py
@@ -13,7 +13,7 @@
 from ..context import SchedulingContext
 from ..priorities import PriorityOrder
 from ..quotas.quotas import Quotas
-from ..shards.allocations import ShardAllocation, ShardState, most_in_zone
+from ..shards.allocations import ShardAllocation, ShardState, max_tasks_in_zone
 from ..shards.eligibility import is_ready, machine_allowed
 from ..shards.shard_statuses import ShardStatuses
 from ..shards.task_start import next_attempt, place_task
@@ -142,7 +142,7 @@
             )
         )
         zone_caps = {zone: cap for p, zone, cap in job.record.zone_caps if p == shard}
-        limit = most_in_zone(job.spec) if job.spec.spread and job.spec.tasks > 1 else wanted
+        limit = max_tasks_in_zone(job.spec) if job.spec.spread and job.spec.tasks > 1 else wanted
         chosen: list[Machine] = []
         zones: dict[str, int] = {}
         for machine, tasks in candidates:
--- a/pitchtally/scheduling/placement/placer.py
+++ b/pitchtally/scheduling/placement/placer.py
@@ -159,7 +159,7 @@
             limit = min(limit, 1 - len(allocation.placed))
         if spec.spread and spec.tasks > 1 and limit:
             zone = machine.zone
-            limit = min(limit, allocation.most_in_zone(zone) - allocation.placed_in(zone))
+            limit = min(limit, allocation.max_tasks_in_zone(zone) - allocation.placed_in(zone))
         return limit
 
     def _record_starts(self, allocation: ShardAllocation, machine: Machine, count: int) -> None:
--- a/pitchtally/scheduling/placement/preemption.py
+++ b/pitchtally/scheduling/placement/preemption.py
@@ -123,7 +123,7 @@
         if allocation.spec.spread and not allocation.gang and allocation.spec.tasks > 1:
             # A zone that has its half of the tasks already can't take more.
             for zone in {step.machine.zone for step in steps}:
-                zone_caps[zone] = allocation.most_in_zone(zone) - allocation.placed_in(zone)
+                zone_caps[zone] = allocation.max_tasks_in_zone(zone) - allocation.placed_in(zone)
         if not allocation.gang:
             # Where capacity is available, the next agent heartbeat starts tasks anyway.
             available = Counter(step.machine.zone for step in steps if not step.victims)
--- a/pitchtally/scheduling/rebalancing/service_migration.py
+++ b/pitchtally/scheduling/rebalancing/service_migration.py
@@ -23,7 +23,7 @@
 from ..gangs.free_capacity import FreeCapacity
 from ..gangs.single_shard_planner import SingleShardPlanner
 from ..quotas.quotas import Quotas
-from ..shards.allocations import ShardAllocation, ShardState, most_in_zone
+from ..shards.allocations import ShardAllocation, ShardState, max_tasks_in_zone
 from ..shards.eligibility import is_ready
 from ..shards.shard_statuses import ShardStatuses
 from .task_migration import TaskMigration
@@ -137,7 +137,7 @@
             return {}
         placed = self._placed(allocation)
         if capped:
-            return {zone: allocation.most_in_zone(zone) - n for zone, n in placed.items()}
+            return {zone: allocation.max_tasks_in_zone(zone) - n for zone, n in placed.items()}
         return zone_limits(allocation.job, placed, allocation.shard)
 
     async def _migrate(self, allocation: ShardAllocation, found: ReplicaMigration) -> None:
@@ -178,7 +178,7 @@
     for other, zone, cap in job.record.zone_caps:
         if other != shard:
             taken[zone] += cap
-    most = most_in_zone(job.spec)
+    most = max_tasks_in_zone(job.spec)
     return {zone: max(0, most - taken[zone]) for zone in placed}
 
 
--- a/pitchtally/scheduling/shards/allocations.py
+++ b/pitchtally/scheduling/shards/allocations.py
@@ -58,7 +58,7 @@
         return removed
 
 
-def most_in_zone(spec: user_api.JobSpec) -> int:
+def max_tasks_in_zone(spec: user_api.JobSpec) -> int:
     """The most tasks of a spread job in one zone, over all shards: half, rounded up."""
     return (spec.tasks + 1) // 2
 
@@ -98,7 +98,7 @@
         self.faulty = False  # see `failure_attribution`
         self.last_shared_attempt = 0  # of a gang over several shards: the attempt placed last
 
-    def most_in_zone(self, zone: str) -> int:
+    def max_tasks_in_zone(self, zone: str) -> int:
         """The most tasks of a spread job that this shard may have in a zone."""
         if self.service and self.job.record.zone_caps:
             return sum(
@@ -106,7 +106,7 @@
                 for cap in self.job.record.zone_caps
                 if cap.shard == self.shard and cap.zone == zone
             )
-        return most_in_zone(self.spec)
+        return max_tasks_in_zone(self.spec)
 
     def placed_in(self, zone: str) -> int:
         """How many of its tasks are on machines of a zone, those being stopped included."""
--- a/tests/scheduling/test_preemption.py
+++ b/tests/scheduling/test_preemption.py
@@ -30,7 +30,7 @@
         shard=0,
         job=SimpleNamespace(record=SimpleNamespace(zone_caps=[])),
         spec=SimpleNamespace(spread=zones is not None, tasks=8),
-        most_in_zone=lambda zone: (zones or {})[zone],
+        max_tasks_in_zone=lambda zone: (zones or {})[zone],
         placed_in=lambda zone: 0,
     )
 
--- a/tests/scheduling/test_service_migration.py
+++ b/tests/scheduling/test_service_migration.py
@@ -17,7 +17,7 @@
     migrated_caps,
     zone_limits,
 )
-from pitchtally.scheduling.shards.allocations import most_in_zone
+from pitchtally.scheduling.shards.allocations import max_tasks_in_zone
 
 from ..harness.services import service
 from ..harness.simulation import submission
@@ -38,7 +38,7 @@
     spec = parse_job(
         json.dumps(submission(service(1, rows=rng.choice([2, 3, 5, 8]), spread=True))).encode()
     )
-    max_in_zone = most_in_zone(spec)
+    max_in_zone = max_tasks_in_zone(spec)
     record = JobRecord(OPEN, spec.tasks, spec, ranges=[TaskRange(0, spec.tasks, 0)])
     replicas = {shard: Counter[str]() for shard in range(3)}
     for zone in ("a", "b", "a", "b", "a", "b", "a", "b")[: spec.tasks]:
