--- a/pitchtally/scheduling/gangs/range_return.py
+++ b/pitchtally/scheduling/gangs/range_return.py
@@ -147,4 +147,4 @@
             allocation.moving = False
             if job.open:
                 self.shard_states.update_allocation(job, shard)
-                allocation.rebuild()
+                allocation.rebuild_pending()
--- a/pitchtally/scheduling/rebalancing/task_migration.py
+++ b/pitchtally/scheduling/rebalancing/task_migration.py
@@ -67,7 +67,7 @@
         finally:
             allocation.moving = False
             if job.open:
-                allocation.rebuild()
+                allocation.rebuild_pending()
 
 
 def _migrated(
--- a/pitchtally/scheduling/shards/allocations.py
+++ b/pitchtally/scheduling/shards/allocations.py
@@ -112,7 +112,7 @@
         """How many of its tasks are on machines of a zone, those being stopped included."""
         return sum(1 for p in self.placed.values() if p.machine.zone == zone)
 
-    def rebuild(self) -> None:
+    def rebuild_pending(self) -> None:
         """Derive the pending tasks: those of the ranges that are neither finished nor placed."""
         self.ranges = [(r.first, r.end) for r in self.job.record.ranges if r.shard == self.shard]
         self.pending = PendingTasks()
--- a/pitchtally/scheduling/shards/shard_states.py
+++ b/pitchtally/scheduling/shards/shard_states.py
@@ -168,9 +168,9 @@
             if allocation.gang:
                 state.gangs[job.id] = allocation
             self.deadlines.refresh(allocation)
-            allocation.rebuild()
+            allocation.rebuild_pending()
         elif allocation.ranges != ranges and not allocation.moving:
-            allocation.rebuild()
+            allocation.rebuild_pending()
         state.lower_smallest_request(allocation.resources)
         if not ranges and not allocation.placed:
             state.allocations.pop(job.id, None)
@@ -197,7 +197,7 @@
             self.agents.stop(placement, 0.0)
             return False
         allocation.placed[placement.task] = placement
-        allocation.rebuild()
+        allocation.rebuild_pending()
         return True
 
     def task_completed(self, placement: Placement, ran: float) -> None:
