--- a/pitchtally/scheduling/shards/allocations.py
+++ b/pitchtally/scheduling/shards/allocations.py
@@ -131,7 +131,7 @@
         for first, end in reversed(runs):
             self.pending.put(first, end)
 
-    def give_back(self, task: int) -> None:
+    def return_to_pending(self, task: int) -> None:
         """Make a task pending that is on no machine any more, unless finished or moved."""
         if any(a <= task < b for a, b in self.ranges) and not self.job.is_finished(task):
             if self.service and not self.pending.count:
--- a/pitchtally/scheduling/shards/shard_states.py
+++ b/pitchtally/scheduling/shards/shard_states.py
@@ -225,7 +225,7 @@
         if not job.open:
             return
         if not job.is_finished(placement.task):
-            allocation.give_back(placement.task)
+            allocation.return_to_pending(placement.task)
             state.lower_smallest_request(allocation.resources)
             if allocation.service:
                 self.failures.replica_ended(allocation, placement, cause)
