--- a/pitchtally/scheduling/shards/allocations.py
+++ b/pitchtally/scheduling/shards/allocations.py
@@ -93,7 +93,7 @@
         self.allotted_at = LONG_AGO  # when tasks were last added to machine queues
         self.not_before = LONG_AGO  # back-off after failures: no start earlier
         self.failed_on: dict[str, float] = {}  # machine -> when a task of the job last failed there
-        self.failed_after = 0.0  # seconds: the longest run that ended in a failure
+        self.longest_failed_run_s = 0.0  # seconds: the longest run that ended in a failure
         self.probe_count = 0  # failed retries since the job was classified as faulty
         self.faulty = False  # see `failure_attribution`
         self.last_shared_attempt = 0  # of a gang over several shards: the attempt placed last
--- a/pitchtally/scheduling/shards/failure_attribution.py
+++ b/pitchtally/scheduling/shards/failure_attribution.py
@@ -29,19 +29,23 @@
 
 
 def classify_job(
-    done: bool, failed_on: int, failed_after: float, running_for: Iterable[float], margin: float
+    done: bool,
+    failed_on: int,
+    longest_failed_run_s: float,
+    running_for: Iterable[float],
+    margin: float,
 ) -> JobHealth:
     """Classify a job.
 
     `done`: a task of it has finished; `failed_on`: the number of machines on which it failed;
-    `failed_after`: seconds of its longest failed run; `running_for`: seconds that each running
+    `longest_failed_run_s`: seconds of its longest failed run; `running_for`: seconds that each running
     task has run; `margin`: seconds by which these may be too large.
     """
     if done:
         return JobHealth.GOOD
     if not failed_on:
         return JobHealth.UNKNOWN
-    if any(ran > 2 * failed_after + margin for ran in running_for):
+    if any(ran > 2 * longest_failed_run_s + margin for ran in running_for):
         return JobHealth.GOOD
     return JobHealth.FAULTY if failed_on >= FAULTY_JOB_MACHINES else JobHealth.UNKNOWN
 
--- a/pitchtally/scheduling/shards/failure_tracker.py
+++ b/pitchtally/scheduling/shards/failure_tracker.py
@@ -42,7 +42,7 @@
             # Whatever the cause, neither the job nor the machine fails each start.
             allocation.short_runs = 0
             allocation.failed_on.clear()
-            allocation.failed_after = 0.0
+            allocation.longest_failed_run_s = 0.0
         elif cause == agent_api.DONE:
             allocation.short_runs += 1
             backoff_s = self.agent_heartbeat_s * min(
@@ -59,7 +59,9 @@
         machine = placement.machine
         allocation.failed_on[machine.name] = now
         if placement.running_since is not None:
-            allocation.failed_after = max(allocation.failed_after, now - placement.running_since)
+            allocation.longest_failed_run_s = max(
+                allocation.longest_failed_run_s, now - placement.running_since
+            )
         self.reclassify(allocation)
         if not allocation.faulty:
             self._quarantine_if_unhealthy(state, machine)
@@ -94,7 +96,7 @@
         return classify_job(
             bool(allocation.job.finished.count or allocation.job.local),
             len(allocation.failed_on),
-            allocation.failed_after,
+            allocation.longest_failed_run_s,
             [
                 now - p.running_since
                 for p in allocation.placed.values()
