--- a/pitchtally/scheduling/shards/allocations.py
+++ b/pitchtally/scheduling/shards/allocations.py
@@ -75,7 +75,7 @@
         self.rank = RANK[spec.rank]
         self.gang = spec.kind == user_api.GANG
         self.service = spec.is_service
-        self.short_runs = 0  # consecutive replicas that exited soon after their start
+        self.consecutive_short_runs = 0  # consecutive replicas that exited soon after their start
         self.one_zone = spec.one_zone and spec.tasks > 1
         self.release = release  # r of the paper: when the job was accepted
         # The next five are refreshed by each survey, see `Deadlines.refresh`.
--- a/pitchtally/scheduling/shards/failure_tracker.py
+++ b/pitchtally/scheduling/shards/failure_tracker.py
@@ -40,15 +40,15 @@
         ran_s = now - placement.running_since if placement.running_since is not None else 0.0
         if ran_s >= self.policy.unhealthy_rest:
             # Whatever the cause, neither the job nor the machine fails each start.
-            allocation.short_runs = 0
+            allocation.consecutive_short_runs = 0
             allocation.failed_on.clear()
             allocation.longest_failed_run_s = 0.0
         elif cause == agent_api.DONE:
-            allocation.short_runs += 1
+            allocation.consecutive_short_runs += 1
             backoff_s = self.agent_heartbeat_s * min(
-                2.0**allocation.short_runs, MAX_BACKOFF_INTERVALS
+                2.0**allocation.consecutive_short_runs, MAX_BACKOFF_INTERVALS
             )
-            if allocation.short_runs > 1:
+            if allocation.consecutive_short_runs > 1:
                 allocation.not_before = now + backoff_s
 
     def task_failed(
