--- a/pitchtally/scheduling/placement/placer.py
+++ b/pitchtally/scheduling/placement/placer.py
@@ -164,7 +164,7 @@
 
     def _record_starts(self, allocation: ShardAllocation, machine: Machine, count: int) -> None:
         """Update the cached capacity and end the reservation after starts on a machine."""
-        available = allocation.capacity_in.get(machine.group)
+        available = allocation.capacity_by_group.get(machine.group)
         if available is not None:
             available.take(count)
         if allocation.aged:
@@ -203,14 +203,14 @@
         self, state: ShardState, allocation: ShardAllocation, group: MachineGroupKey
     ) -> TaskCapacity:
         """Tasks of a job that fit on a group, as of the last survey and the job's starts since."""
-        found = allocation.capacity_in.get(group)
+        found = allocation.capacity_by_group.get(group)
         if found is None:
             capacities = state.capacities.get(group)
             if capacities is None or not self._group_allowed(state, allocation, group):
                 found = TaskCapacity()
             else:
                 found = capacities.for_tasks(allocation.resources, allocation.pending.count)
-            allocation.capacity_in[group] = found
+            allocation.capacity_by_group[group] = found
         return found
 
     def _group_allowed(
--- a/pitchtally/scheduling/shards/allocations.py
+++ b/pitchtally/scheduling/shards/allocations.py
@@ -83,7 +83,7 @@
         self.lateness_penalty = 0.0  # seconds added to its deadline
         self.max_start_delay = 1e9  # seconds from release, see `Deadlines.max_start_delay`
         self.aged = False  # pending for too long: it comes first until its next start
-        self.capacity_in: dict[MachineGroupKey, TaskCapacity] = {}
+        self.capacity_by_group: dict[MachineGroupKey, TaskCapacity] = {}
         self.allowed_groups: dict[MachineGroupKey, bool] = {}  # whether the job allows a group
         self.pending = PendingTasks()
         self.placed: dict[int, Placement] = {}
--- a/pitchtally/scheduling/shards/deadlines.py
+++ b/pitchtally/scheduling/shards/deadlines.py
@@ -95,7 +95,7 @@
         allocation.size = self.job_size(allocation.spec)
         allocation.lateness_penalty = self.lateness_penalty(job, allocation.release)
         allocation.max_start_delay = self.max_start_delay(allocation.spec)
-        allocation.capacity_in.clear()
+        allocation.capacity_by_group.clear()
         started = bool(allocation.placed) or job.finished.count > 0 or bool(job.local)
         pending_since = (
             allocation.pending_since
