--- a/pitchtally/scheduling/assignment/job_assignment.py
+++ b/pitchtally/scheduling/assignment/job_assignment.py
@@ -64,7 +64,7 @@
         jobs.sort(
             key=lambda job: (
                 self.deadlines.is_overdue(job),
-                not self.deadlines.is_late(job),
+                not self.deadlines.is_reservation_due(job),
                 RANK[job.spec.rank],
                 not self.quotas.within_guarantee(job.spec),
                 self.deadlines.release_time(job),
--- a/pitchtally/scheduling/gangs/planner.py
+++ b/pitchtally/scheduling/gangs/planner.py
@@ -79,7 +79,11 @@
             sources.append(CapacitySource.PREEMPTIBLE)
         if within_guarantee and len(self.quotas.teams) > 1:
             sources.append(CapacitySource.OVER_GUARANTEE)
-        if job is not None and self.deadlines.is_late(job) and self._may_reserve(job.id, now):
+        if (
+            job is not None
+            and self.deadlines.is_reservation_due(job)
+            and self._may_reserve(job.id, now)
+        ):
             sources.append(CapacitySource.RESERVED)
         return sources
 
--- a/pitchtally/scheduling/gangs/range_return.py
+++ b/pitchtally/scheduling/gangs/range_return.py
@@ -98,7 +98,7 @@
         elif (
             allocation.gang
             and not begun
-            and not self.deadlines.is_late(job)
+            and not self.deadlines.is_reservation_due(job)
             and job.id not in state.ready_gangs
             and self.quotas.limit_left(job.spec) >= job.spec.tasks
         ):
--- a/pitchtally/scheduling/gangs/reservations.py
+++ b/pitchtally/scheduling/gangs/reservations.py
@@ -121,7 +121,9 @@
         self, current: _ShardReservations, allocation: ShardAllocation, wanted: int
     ) -> bool:
         """Whether a job may reserve machines beside the jobs that have reserved some."""
-        if wanted > 1 and (current.has_wide_gang or not self.deadlines.is_late(allocation.job)):
+        if wanted > 1 and (
+            current.has_wide_gang or not self.deadlines.is_reservation_due(allocation.job)
+        ):
             return False
         # While jobs beyond the limit queue up, every array has been pending for long.
         return allocation.gang or not (
--- a/pitchtally/scheduling/shards/deadlines.py
+++ b/pitchtally/scheduling/shards/deadlines.py
@@ -127,7 +127,7 @@
                 missed += 1
         return missed * MISSED_OBJECTIVE_PENALTY_S
 
-    def is_late(self, job: Job) -> bool:
+    def is_reservation_due(self, job: Job) -> bool:
         """Whether a job has been pending for so long that machines are reserved for it."""
         pending_s = trio.current_time() - self.release_time(job)
         return pending_s > self.policy.start_within * RESERVATION_SHARE
