--- a/pitchtally/scheduling/placement/preemption.py
+++ b/pitchtally/scheduling/placement/preemption.py
@@ -85,7 +85,7 @@
             tasks_at_once = spec.tasks if allocation.gang else 1
             if self.quotas.tasks_within_limit(shard, spec) < tasks_at_once:
                 continue
-            due = self.deadlines.allocation_due(allocation, self.samples.stretches[-1])
+            due = self.deadlines.allocation_deadline(allocation, self.samples.stretches[-1])
             rows.append((allocation.rank, not within_guarantee, due, id))
         for _, outside_guarantee, _, id in sorted(rows)[:MAX_PREEMPTING_JOBS]:
             if is_reserved_for(self.agents.of_shard(shard), id):
--- a/pitchtally/scheduling/priorities.py
+++ b/pitchtally/scheduling/priorities.py
@@ -65,5 +65,5 @@
         return (
             allocation.rank,
             not self.quotas.within_guarantee(allocation.spec),
-            self.deadlines.allocation_due(allocation, level),
+            self.deadlines.allocation_deadline(allocation, level),
         )
--- a/pitchtally/scheduling/shards/deadlines.py
+++ b/pitchtally/scheduling/shards/deadlines.py
@@ -104,7 +104,7 @@
         )
         allocation.aged = now - pending_since > self.policy.start_within * AGING_SHARE
 
-    def allocation_due(self, allocation: ShardAllocation, level: float) -> float:
+    def allocation_deadline(self, allocation: ShardAllocation, level: float) -> float:
         """Like `due`, from what the last `refresh` stored."""
         due = stretch.deadline(allocation.release, allocation.size, level)
         return (
