--- a/pitchtally/scheduling/quotas/quotas.py
+++ b/pitchtally/scheduling/quotas/quotas.py
@@ -172,7 +172,7 @@
         pending_s = trio.current_time() - self.deadlines.release_time(first)
         return (
             pending_s > self.agent_heartbeat_s * _GANG_FIRST_HEARTBEATS
-            or gang.due <= self.deadlines.due(job, _COMPARED_STRETCH)
+            or gang.due <= self.deadlines.deadline(job, _COMPARED_STRETCH)
         )
 
     def find_short_of_quota(self) -> None:
@@ -215,7 +215,7 @@
         )
 
     def _note_short_of_quota(self, gang: Job, shard: int) -> None:
-        entry = GangShortOfQuota(self.deadlines.due(gang, _COMPARED_STRETCH), shard, gang.id)
+        entry = GangShortOfQuota(self.deadlines.deadline(gang, _COMPARED_STRETCH), shard, gang.id)
         first = self.short_of_quota.get(gang.spec.team)
         if first is None or entry < first:
             self.short_of_quota[gang.spec.team] = entry
--- a/pitchtally/scheduling/shards/deadlines.py
+++ b/pitchtally/scheduling/shards/deadlines.py
@@ -61,7 +61,7 @@
         """Drop what is cached of a job that is over."""
         self._released.pop(job_id, None)
 
-    def due(self, job: Job, level: float) -> float:
+    def deadline(self, job: Job, level: float) -> float:
         """The deadline of a job at a stretch: the paper's equation 1, d = r + S w, bounded."""
         release = self.release_time(job)
         due = stretch.deadline(release, self.job_size(job.spec), level)
@@ -105,7 +105,7 @@
         allocation.aged = now - pending_since > self.policy.start_within * AGING_SHARE
 
     def allocation_deadline(self, allocation: ShardAllocation, level: float) -> float:
-        """Like `due`, from what the last `refresh` stored."""
+        """Like `deadline`, from what the last `refresh` stored."""
         due = stretch.deadline(allocation.release, allocation.size, level)
         return (
             min(due, allocation.release + allocation.max_start_delay) + allocation.lateness_penalty
