--- a/pitchtally/scheduling/quotas/quotas.py
+++ b/pitchtally/scheduling/quotas/quotas.py
@@ -37,7 +37,7 @@
     In the order in which such gangs are served.
     """
 
-    due: float  # its stretch deadline
+    deadline: float
     shard: int  # _NO_SHARD if no shard has it
     job_id: str
 
@@ -172,7 +172,7 @@
         pending_s = trio.current_time() - self.deadlines.release_time(first)
         return (
             pending_s > self.agent_heartbeat_s * _GANG_FIRST_HEARTBEATS
-            or gang.due <= self.deadlines.deadline(job, _COMPARED_STRETCH)
+            or gang.deadline <= self.deadlines.deadline(job, _COMPARED_STRETCH)
         )
 
     def find_short_of_quota(self) -> None:
