--- a/pitchtally/scheduling/placement/survey.py
+++ b/pitchtally/scheduling/placement/survey.py
@@ -11,7 +11,7 @@
 from ...protocol import user_api
 from .. import stretch
 from ..context import SchedulingContext
-from ..shards.allocations import CachedLevel, MachineGroup, ShardState, SmallestRequest
+from ..shards.allocations import CachedLeastStretch, MachineGroup, ShardState, SmallestRequest
 from ..shards.deadlines import Deadlines
 from ..shards.failure_tracker import FailureTracker
 from ..shards.lower_price_capacity import list_capacities
@@ -21,7 +21,7 @@
 # Agent heartbeat intervals after which a machine isn't expected to start a task soon.
 HEARTBEAT_TIMEOUT_INTERVALS = 1.5
 
-NO_LEVEL = CachedLevel(-math.inf, 0.0)
+NO_LEAST_STRETCH = CachedLeastStretch(-math.inf, 0.0)
 
 
 class Survey:
@@ -120,12 +120,12 @@
     def _refresh_levels(self, state: ShardState, now: float) -> None:
         """The least stretch of each group (the paper's algorithm 2), once an agent heartbeat."""
         for group, machine_group in state.machine_groups.items():
-            cached = state.level_cache.get(group, NO_LEVEL)
-            machine_group.level = cached.level
+            cached = state.level_cache.get(group, NO_LEAST_STRETCH)
+            machine_group.level = cached.least_stretch
             if now - cached.computed_at < self.agent_heartbeat_s:
                 continue  # it changes with the queue as a whole, not with each task
             queue = machine_queue(state, machine_group, len(user_api.RANKS))
             machine_group.level = max(
                 stretch.least_stretch(queue, now, LEVEL_TOLERANCE), self.samples.stretches[0]
             )
-            state.level_cache[group] = CachedLevel(now, machine_group.level)
+            state.level_cache[group] = CachedLeastStretch(now, machine_group.level)
--- a/pitchtally/scheduling/shards/allocations.py
+++ b/pitchtally/scheduling/shards/allocations.py
@@ -168,11 +168,11 @@
     memory: float  # GiB
 
 
-class CachedLevel(NamedTuple):
+class CachedLeastStretch(NamedTuple):
     """The least stretch of a machine group's queue, and when it was worked out."""
 
     computed_at: float
-    level: float
+    least_stretch: float
 
 
 class ShardState:
@@ -186,7 +186,7 @@
         self.gangs: dict[str, ShardAllocation] = {}  # those of them that are gangs
         # Lets an agent heartbeat skip machines too full for any pending task, which most are.
         self.smallest_request = SmallestRequest(0.0, 0.0)
-        self.level_cache: dict[MachineGroupKey, CachedLevel] = {}
+        self.level_cache: dict[MachineGroupKey, CachedLeastStretch] = {}
         self.queues: dict[MachineGroupKey, dict[str, int]] = {}  # by group: job -> queued tasks
         self.machine_groups: dict[MachineGroupKey, MachineGroup] = {}
         self.capacities: dict[MachineGroupKey, GroupCapacity] = {}  # as of the last survey
