--- a/pitchtally/scheduling/placement/survey.py
+++ b/pitchtally/scheduling/placement/survey.py
@@ -120,7 +120,7 @@
     def _refresh_levels(self, state: ShardState, now: float) -> None:
         """The least stretch of each group (the paper's algorithm 2), once an agent heartbeat."""
         for group, machine_group in state.machine_groups.items():
-            cached = state.level_cache.get(group, NO_LEAST_STRETCH)
+            cached = state.least_stretch_cache.get(group, NO_LEAST_STRETCH)
             machine_group.level = cached.least_stretch
             if now - cached.computed_at < self.agent_heartbeat_s:
                 continue  # it changes with the queue as a whole, not with each task
@@ -128,4 +128,4 @@
             machine_group.level = max(
                 stretch.least_stretch(queue, now, LEVEL_TOLERANCE), self.samples.stretches[0]
             )
-            state.level_cache[group] = CachedLeastStretch(now, machine_group.level)
+            state.least_stretch_cache[group] = CachedLeastStretch(now, machine_group.level)
--- a/pitchtally/scheduling/shards/allocations.py
+++ b/pitchtally/scheduling/shards/allocations.py
@@ -186,7 +186,7 @@
         self.gangs: dict[str, ShardAllocation] = {}  # those of them that are gangs
         # Lets an agent heartbeat skip machines too full for any pending task, which most are.
         self.smallest_request = SmallestRequest(0.0, 0.0)
-        self.level_cache: dict[MachineGroupKey, CachedLeastStretch] = {}
+        self.least_stretch_cache: dict[MachineGroupKey, CachedLeastStretch] = {}
         self.queues: dict[MachineGroupKey, dict[str, int]] = {}  # by group: job -> queued tasks
         self.machine_groups: dict[MachineGroupKey, MachineGroup] = {}
         self.capacities: dict[MachineGroupKey, GroupCapacity] = {}  # as of the last survey
