--- a/pitchtally/scheduling/placement/placer.py
+++ b/pitchtally/scheduling/placement/placer.py
@@ -101,7 +101,9 @@
         reserved_for = self._reserved_for(state, machine, now)
         own = state.queues.get(machine.group, {})
         machine_group = state.machine_groups.get(machine.group)
-        level = machine_group.level if machine_group is not None else self.samples.stretches[0]
+        level = (
+            machine_group.least_stretch if machine_group is not None else self.samples.stretches[0]
+        )
         rows = []
         for id, allocation in state.allocations.items():
             if not allocation.pending.count or allocation.gang:
--- a/pitchtally/scheduling/placement/status_publisher.py
+++ b/pitchtally/scheduling/placement/status_publisher.py
@@ -72,7 +72,9 @@
         old = self.statuses.newest.get(shard)
         status = self._state_of_shard(shard, state, over_guarantee, now)
         if matrices_due or old is None or not old.matrix:
-            status.stretch = min((g.level for g in state.machine_groups.values()), default=0.0)
+            status.stretch = min(
+                (g.least_stretch for g in state.machine_groups.values()), default=0.0
+            )
             status.matrix = self._matrices(state, now)
             self.statuses.unreported.pop(shard, None)
         else:
--- a/pitchtally/scheduling/placement/survey.py
+++ b/pitchtally/scheduling/placement/survey.py
@@ -121,11 +121,11 @@
         """The least stretch of each group (the paper's algorithm 2), once an agent heartbeat."""
         for group, machine_group in state.machine_groups.items():
             cached = state.least_stretch_cache.get(group, NO_LEAST_STRETCH)
-            machine_group.level = cached.least_stretch
+            machine_group.least_stretch = cached.least_stretch
             if now - cached.computed_at < self.agent_heartbeat_s:
                 continue  # it changes with the queue as a whole, not with each task
             queue = machine_queue(state, machine_group, len(user_api.RANKS))
-            machine_group.level = max(
+            machine_group.least_stretch = max(
                 stretch.least_stretch(queue, now, LEVEL_TOLERANCE), self.samples.stretches[0]
             )
-            state.least_stretch_cache[group] = CachedLeastStretch(now, machine_group.level)
+            state.least_stretch_cache[group] = CachedLeastStretch(now, machine_group.least_stretch)
--- a/pitchtally/scheduling/shards/allocations.py
+++ b/pitchtally/scheduling/shards/allocations.py
@@ -152,7 +152,9 @@
         self.machines: list[Machine] = []
         self.load_seconds: dict[str, float] = {}  # job -> machine-seconds running and queued
         self.ranks: dict[str, int] = {}  # job -> rank
-        self.level = 0.0  # S of the paper: the least stretch at which its queue meets all deadlines
+        self.least_stretch = (
+            0.0  # S of the paper: the least stretch at which its queue meets all deadlines
+        )
         self.service_machines = 0.0  # machines' worth of capacity that services take
 
     @property
