--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -98,7 +98,7 @@
         heartbeat.cancellations = [
             Cancellation(*row) for row in self._job_index.cancelled_after(revision)
         ]
-        heartbeat.shards = self._scheduler.statuses.own()
+        heartbeat.shards = self._scheduler.statuses.led_statuses()
         heartbeat.terminated = self._autoscaler.terminated_names()
         heartbeat.draining = self._autoscaler.drain_names()
 
--- a/pitchtally/scheduling/shards/shard_statuses.py
+++ b/pitchtally/scheduling/shards/shard_statuses.py
@@ -108,7 +108,7 @@
             if not self.unreported[shard]:
                 del self.unreported[shard]
 
-    def own(self) -> list[ShardStatus]:
+    def led_statuses(self) -> list[ShardStatus]:
         """The statuses that this controller sends: of the shards that it leads."""
         return [self.newest[shard] for shard in self.shards if shard in self.newest]
 
