--- a/pitchtally/scheduling/gangs/free_capacity.py
+++ b/pitchtally/scheduling/gangs/free_capacity.py
@@ -74,7 +74,7 @@
         The cluster leader plans every pending gang several times a second.
         """
         request = resource_request(spec)
-        cached = self.statuses.zones.setdefault(status.shard, {})
+        cached = self.statuses.capacities_by_zone.setdefault(status.shard, {})
         key = (source, request, spec.types, spec.zone, spec.spot)
         found = cached.get(key)
         if found is not None:
--- a/pitchtally/scheduling/shards/shard_statuses.py
+++ b/pitchtally/scheduling/shards/shard_statuses.py
@@ -63,7 +63,9 @@
         self.unreported: dict[int, list[UnreportedAllocation]] = {}  # by shard
         # Caches by shard.
         self.capacities: dict[int, dict[CapacityKey, int]] = {}  # see `free_capacity`
-        self.zones: dict[int, dict[tuple[object, ...], dict[str, int]]] = {}  # see `FreeCapacity`
+        self.capacities_by_zone: dict[
+            int, dict[tuple[object, ...], dict[str, int]]
+        ] = {}  # see `FreeCapacity`
         self.groups: dict[int, dict[MachineGroupKey, list[MachineStatus]]] = {}  # see `groups_of`
 
     def put(self, status: ShardStatus) -> None:
@@ -87,7 +89,7 @@
     def _invalidate(self, shard: int) -> None:
         """Drop what was derived from a shard's last status."""
         self.capacities.pop(shard, None)
-        self.zones.pop(shard, None)
+        self.capacities_by_zone.pop(shard, None)
         self.groups.pop(shard, None)
 
     def groups_of(self, status: ShardStatus) -> dict[MachineGroupKey, list[MachineStatus]]:
