--- a/pitchtally/scheduling/placement/status_publisher.py
+++ b/pitchtally/scheduling/placement/status_publisher.py
@@ -105,7 +105,7 @@
             usage={
                 team: self.quotas.use(shard, team)
                 for team in self.quotas.teams
-                if self.quotas.limited(team)
+                if self.quotas.has_limit(team)
             },
         )
 
@@ -193,7 +193,7 @@
         teams = " ".join(
             f"{t}:{quotas.use(shard, t)[0]:g}/{quotas.share(shard, t)[0]:g}"
             for t in quotas.teams
-            if quotas.limited(t)
+            if quotas.has_limit(t)
         )
         log.info("load shard=%d free=[%s] pending=%s quota=[%s]", shard, text, pending, teams)
 
--- a/pitchtally/scheduling/quotas/quota_transfer.py
+++ b/pitchtally/scheduling/quotas/quota_transfer.py
@@ -61,7 +61,7 @@
                 continue
             for team in self.quotas.teams.values():
                 in_flight = (shard, team.name) in self.quotas.transfers_in_flight
-                if not self.quotas.limited(team.name) or in_flight:
+                if not self.quotas.has_limit(team.name) or in_flight:
                     continue
                 if self.shards.get(shard) is not state:
                     break  # lost while a share of it was being transferred
--- a/pitchtally/scheduling/quotas/quotas.py
+++ b/pitchtally/scheduling/quotas/quotas.py
@@ -89,7 +89,7 @@
             gpus - leaving[1] if settings.gpus_max > 0 else math.inf,
         )
 
-    def limited(self, team: str) -> bool:
+    def has_limit(self, team: str) -> bool:
         """Whether a team has a limit; an unknown one counts as limited."""
         found = self.teams.get(team)
         return found is None or found.cpus_max > 0 or found.gpus_max > 0
@@ -109,7 +109,7 @@
 
     def tasks_within_limit(self, shard: int, spec: user_api.JobSpec) -> int:
         """How many more tasks of this job the team's share allows in the shard."""
-        if not self.limited(spec.team):
+        if not self.has_limit(spec.team):
             return _UNLIMITED_TASKS
         unreconciled = self._unreconciled_use(shard)
         if unreconciled is None:
@@ -185,14 +185,14 @@
                 if (
                     job is not None
                     and job.spec.kind == user_api.GANG
-                    and self.limited(job.spec.team)
+                    and self.has_limit(job.spec.team)
                     and self._is_short_of_share(status, job, count)
                 ):
                     self._note_short_of_quota(job, status.shard)
 
     def _find_unassigned_gangs(self) -> None:
         """Gangs that no shard has, since the limit has no place for all of their tasks."""
-        limited = {team for team in self.teams if self.limited(team)}
+        limited = {team for team in self.teams if self.has_limit(team)}
         for gang in self.job_index.open.values() if limited else ():
             if (
                 gang.spec.kind == user_api.GANG
