--- a/pitchtally/scheduling/priorities.py
+++ b/pitchtally/scheduling/priorities.py
@@ -41,7 +41,7 @@
             for objective in self.deadlines.objectives.get(spec.job_class, ())
             if objective.within_s is not None
         )
-        if spec.kind == user_api.GANG and self.quotas.guaranteed(spec.team):
+        if spec.kind == user_api.GANG and self.quotas.has_guarantee(spec.team):
             # Arrays start as capacity becomes available, but a gang within its team's guarantee
             # starts in time only if machines for all of it are up already.
             limits.extend(
--- a/pitchtally/scheduling/quotas/quotas.py
+++ b/pitchtally/scheduling/quotas/quotas.py
@@ -94,7 +94,7 @@
         found = self.teams.get(team)
         return found is None or found.cpus_max > 0 or found.gpus_max > 0
 
-    def guaranteed(self, team: str) -> bool:
+    def has_guarantee(self, team: str) -> bool:
         """Whether a team has a guarantee."""
         found = self.teams.get(team)
         return found is not None and (found.cpus > 0 or found.gpus > 0)
