--- a/pitchtally/scheduling/quotas/quotas.py
+++ b/pitchtally/scheduling/quotas/quotas.py
@@ -220,7 +220,7 @@
         if first is None or entry < first:
             self.short_of_quota[gang.spec.team] = entry
 
-    def use_anywhere(self, team: str) -> ResourceUse:
+    def total_use(self, team: str) -> ResourceUse:
         """A team's use in all shards: ours exactly, others' as last reported."""
         cpus = gpus = 0.0
         for shard, status in self.statuses.newest.items():
@@ -240,7 +240,7 @@
         team = self.teams.get(spec.team)
         if team is None or not (team.cpus or team.gpus):
             return False
-        cpus, gpus = self.use_anywhere(spec.team)
+        cpus, gpus = self.total_use(spec.team)
         return (not team.cpus or cpus + spec.cpus <= team.cpus + TOLERANCE) and (
             not team.gpus or gpus + spec.gpus <= team.gpus + TOLERANCE
         )
@@ -250,7 +250,7 @@
         team = self.teams.get(spec.team)
         if team is None:
             return 0
-        cpus, gpus = self.use_anywhere(spec.team)
+        cpus, gpus = self.total_use(spec.team)
         available = Resources(
             team.cpus_max - cpus if team.cpus_max else math.inf,
             team.gpus_max - gpus if team.gpus_max else math.inf,
@@ -267,5 +267,5 @@
         team = self.teams.get(name)
         if team is None:
             return False
-        cpus, gpus = self.use_anywhere(name)
+        cpus, gpus = self.total_use(name)
         return cpus > team.cpus + TOLERANCE or (gpus > team.gpus + TOLERANCE and team.gpus > 0)
