--- a/pitchtally/scheduling/shards/failure_attribution.py
+++ b/pitchtally/scheduling/shards/failure_attribution.py
@@ -38,7 +38,7 @@
     """Classify a job.
 
     `done`: a task of it has finished; `failed_on`: the number of machines on which it failed;
-    `longest_failed_run_s`: seconds of its longest failed run; `running_for`: seconds that each running
+    `longest_failed_run_s`: its longest failed run; `running_for`: seconds that each running
     task has run; `margin`: seconds by which these may be too large.
     """
     if done:
