--- a/pitchtally/scheduling/assignment/proportional_split.py
+++ b/pitchtally/scheduling/assignment/proportional_split.py
@@ -45,7 +45,9 @@
         """
         total = 0
         size = stretch.last_index_at_most(self.samples.sizes, self.deadlines.job_size(spec))
-        unreported = sum(sent.work for sent in self.statuses.unreported.get(status.shard, ()))
+        unreported = sum(
+            sent.machine_seconds for sent in self.statuses.unreported.get(status.shard, ())
+        )
         for name, cells in status.matrix:
             type_, zone, spot = MachineGroupKey.parse(name)
             machine_type = self.machine_types().get(type_)
--- a/pitchtally/scheduling/shards/shard_statuses.py
+++ b/pitchtally/scheduling/shards/shard_statuses.py
@@ -30,7 +30,7 @@
     """Tasks assigned to a shard that its newest status may not include yet."""
 
     recorded_at: float
-    work: float  # machine-seconds
+    machine_seconds: float
 
 
 class CapacityKey(NamedTuple):
