--- a/pitchtally/scheduling/placement/status_publisher.py
+++ b/pitchtally/scheduling/placement/status_publisher.py
@@ -39,15 +39,15 @@
         self.shards = shards
         self.statuses = statuses
         self.quotas = quotas
-        self.matrix_at = LONG_AGO
+        self.matrices_refreshed_at = LONG_AGO
 
     def refresh(self) -> float:
         """Refresh the statuses of our shards; the seconds that it took."""
         now = trio.current_time()
         self.statuses.drop_reported_allocations(now)
-        matrices_due = now - self.matrix_at >= self.policy.period
+        matrices_due = now - self.matrices_refreshed_at >= self.policy.period
         if matrices_due:
-            self.matrix_at = now
+            self.matrices_refreshed_at = now
         over_guarantee: set[str] = set()
         if len(self.quotas.teams) > 1:
             over_guarantee = {
