--- a/pitchtally/scheduling/placement/placer.py
+++ b/pitchtally/scheduling/placement/placer.py
@@ -168,7 +168,7 @@
         """Update the cached capacity and end the reservation after starts on a machine."""
         available = allocation.capacity_by_group.get(machine.group)
         if available is not None:
-            available.take(count)
+            available.subtract(count)
         if allocation.aged:
             allocation.aged = False  # it has started: the next job's turn
             if machine.reservation and machine.reservation.job_id == allocation.job.id:
--- a/pitchtally/scheduling/shards/lower_price_capacity.py
+++ b/pitchtally/scheduling/shards/lower_price_capacity.py
@@ -21,7 +21,7 @@
     on_busy: int = 0  # on machines with placements
     on_idle: int = 0  # on empty machines
 
-    def take(self, count: int) -> None:
+    def subtract(self, count: int) -> None:
         """Subtract tasks that have been started there, busy machines first."""
         from_busy = min(count, self.on_busy)
         self.on_busy -= from_busy
