--- a/pitchtally/scheduling/placement/preemption.py
+++ b/pitchtally/scheduling/placement/preemption.py
@@ -27,7 +27,7 @@
     """Capacity for one more task on a machine, and the placements to stop for it."""
 
     cost: float  # work lost on the machine by this step and those before it
-    name: str  # of the machine
+    machine_name: str
     machine: Machine
     victims: list[Placement]  # none where the capacity is available already
 
@@ -175,7 +175,7 @@
             if self._may_start_on(allocation, machine, within_guarantee, now):
                 victims = self._victims_on(allocation, machine, within_guarantee, now)
                 steps.extend(_steps_on(allocation, machine, victims))
-        return sorted(steps, key=lambda step: (step.cost, step.name))
+        return sorted(steps, key=lambda step: (step.cost, step.machine_name))
 
     def _may_start_on(
         self, allocation: ShardAllocation, machine: Machine, within_guarantee: bool, now: float
--- a/tests/scheduling/test_preemption.py
+++ b/tests/scheduling/test_preemption.py
@@ -56,4 +56,4 @@
 )
 def test_steps_that_serve_a_job(allocation: Any, steps: list[Step], chosen: list[str]) -> None:
     found = Preemption._choose(allocation, steps)
-    assert [step.name for step in found] == chosen
+    assert [step.machine_name for step in found] == chosen
