--- a/pitchtally/scheduling/placement/placer.py
+++ b/pitchtally/scheduling/placement/placer.py
@@ -20,7 +20,7 @@
 
 # Ratios of another machine's price for a task to this one's: below the first it is lower,
 # below the second similar.
-LOWER_PRICE, SIMILAR_PRICE = 0.8, 1.2
+LOWER_PRICE_RATIO, SIMILAR_PRICE = 0.8, 1.2
 # Machines of a group that are tried to find out whether the job may use the group.
 GROUP_SAMPLE = 3
 # Resources below this count as none.
@@ -191,7 +191,7 @@
         total = 0
         for group, machine_group in state.machine_groups.items():
             other_price = self.price(spec, machine_group.machines[0])
-            lower = other_price < price * LOWER_PRICE
+            lower = other_price < price * LOWER_PRICE_RATIO
             # Among machines of similar price, an idle one stays idle while busy ones have
             # capacity, so that it can be terminated.
             similar = not machine.placements and other_price < price * SIMILAR_PRICE
