--- a/pitchtally/scheduling/placement/placer.py
+++ b/pitchtally/scheduling/placement/placer.py
@@ -20,7 +20,7 @@
 
 # Ratios of another machine's price for a task to this one's: below the first it is lower,
 # below the second similar.
-LOWER_PRICE_RATIO, SIMILAR_PRICE = 0.8, 1.2
+LOWER_PRICE_RATIO, SIMILAR_PRICE_RATIO = 0.8, 1.2
 # Machines of a group that are tried to find out whether the job may use the group.
 GROUP_SAMPLE = 3
 # Resources below this count as none.
@@ -194,7 +194,7 @@
             lower = other_price < price * LOWER_PRICE_RATIO
             # Among machines of similar price, an idle one stays idle while busy ones have
             # capacity, so that it can be terminated.
-            similar = not machine.placements and other_price < price * SIMILAR_PRICE
+            similar = not machine.placements and other_price < price * SIMILAR_PRICE_RATIO
             if not lower and not similar:
                 continue
             capacity = self._capacity_in(state, allocation, group)
