--- a/pitchtally/scheduling/placement/placer.py
+++ b/pitchtally/scheduling/placement/placer.py
@@ -22,7 +22,7 @@
 # below the second similar.
 LOWER_PRICE_RATIO, SIMILAR_PRICE_RATIO = 0.8, 1.2
 # Machines of a group that are tried to find out whether the job may use the group.
-GROUP_SAMPLE = 3
+GROUP_SAMPLE_MACHINES = 3
 # Resources below this count as none.
 MIN_AVAILABLE = 1e-6
 
@@ -222,7 +222,7 @@
         machines = state.machine_groups[group].machines
         return any(
             machine_allowed(allocation, machine, self.policy.unhealthy_rest)
-            for machine in machines[:GROUP_SAMPLE]
+            for machine in machines[:GROUP_SAMPLE_MACHINES]
         )
 
     def price(self, spec: user_api.JobSpec, machine: Machine) -> float:
