--- a/pitchtally/scheduling/placement/placer.py
+++ b/pitchtally/scheduling/placement/placer.py
@@ -24,7 +24,7 @@
 # Machines of a group that are tried to find out whether the job may use the group.
 GROUP_SAMPLE_MACHINES = 3
 # Resources below this count as none.
-MIN_AVAILABLE = 1e-6
+MIN_AVAILABLE_AMOUNT = 1e-6
 
 
 class Placer:
@@ -67,11 +67,11 @@
     def _start_pending(self, state: ShardState, machine: Machine, now: float) -> None:
         available = machine.available()
         if (
-            available[0] + MIN_AVAILABLE < state.smallest_request[0]
-            or available[2] + MIN_AVAILABLE < state.smallest_request[1]
+            available[0] + MIN_AVAILABLE_AMOUNT < state.smallest_request[0]
+            or available[2] + MIN_AVAILABLE_AMOUNT < state.smallest_request[1]
         ):
             return
-        if min(available[0], available[2]) <= MIN_AVAILABLE:
+        if min(available[0], available[2]) <= MIN_AVAILABLE_AMOUNT:
             return
         for id in self._startable(state, machine, available, now):
             allocation = state.allocations[id]
