--- a/pitchtally/scheduling/placement/draining.py
+++ b/pitchtally/scheduling/placement/draining.py
@@ -9,7 +9,7 @@
 
 # A task ends in time if this many times what is left of it fits into the notice: the notice
 # may be cut short, and estimates are rough.
-NOTICE_MARGIN = 2
+NOTICE_MARGIN_RATIO = 2
 
 
 class DrainingEviction:
@@ -43,7 +43,7 @@
                 ran_s = (
                     now - placement.running_since if placement.running_since is not None else 0.0
                 )
-                ends_in_time = (self.estimates.task(spec) - ran_s) * NOTICE_MARGIN < left_s
+                ends_in_time = (self.estimates.task(spec) - ran_s) * NOTICE_MARGIN_RATIO < left_s
                 if ends_in_time and not spec.is_service:
                     continue
                 for each in state.with_gang(placement):
