--- a/pitchtally/scheduling/placement/preemption.py
+++ b/pitchtally/scheduling/placement/preemption.py
@@ -44,7 +44,7 @@
 # The least weight of a task's CPUs in its loss.
 MIN_LOSS_CPUS = 0.1
 # The loss by stopping any running task.
-BASE_LOSS = 0.1
+BASE_LOSS_CPU_S = 0.1
 # Agent heartbeat intervals after the grace for which machines stay reserved for the job.
 RESERVATION_INTERVALS = 3
 
@@ -231,7 +231,7 @@
         if spec.checkpoint:
             lost_s = min(lost_s, spec.save)
         tasks = spec.tasks if spec.kind == user_api.GANG else 1  # a gang stops as a whole
-        return lost_s * max(placement.resources.cpus, MIN_LOSS_CPUS) * tasks + BASE_LOSS
+        return lost_s * max(placement.resources.cpus, MIN_LOSS_CPUS) * tasks + BASE_LOSS_CPU_S
 
 
 def _steps_on(allocation: ShardAllocation, machine: Machine, victims: list[Victim]) -> list[Step]:
