--- a/pitchtally/scheduling/placement/survey.py
+++ b/pitchtally/scheduling/placement/survey.py
@@ -17,7 +17,7 @@
 from ..shards.lower_price_capacity import list_capacities
 from ..shards.machine_queues import add_to_queue, machine_queue
 
-LEVEL_TOLERANCE = 0.05  # of the least stretch of a queue, relative
+LEAST_STRETCH_TOLERANCE_RATIO = 0.05  # of the least stretch of a queue, relative
 # Agent heartbeat intervals after which a machine isn't expected to start a task soon.
 HEARTBEAT_TIMEOUT_INTERVALS = 1.5
 
@@ -126,6 +126,7 @@
                 continue  # it changes with the queue as a whole, not with each task
             queue = machine_queue(state, machine_group, len(user_api.RANKS))
             machine_group.least_stretch = max(
-                stretch.least_stretch(queue, now, LEVEL_TOLERANCE), self.samples.stretches[0]
+                stretch.least_stretch(queue, now, LEAST_STRETCH_TOLERANCE_RATIO),
+                self.samples.stretches[0],
             )
             state.least_stretch_cache[group] = CachedLeastStretch(now, machine_group.least_stretch)
