--- a/pitchtally/scheduling/quotas/quotas.py
+++ b/pitchtally/scheduling/quotas/quotas.py
@@ -28,7 +28,7 @@
 # Agent heartbeats after which a gang short of quota comes before all of its team's arrays.
 _GANG_FIRST_HEARTBEATS = 4
 # The stretch at which deadlines of gangs and arrays are compared.
-_COMPARED_STRETCH = 1.0
+_COMPARISON_STRETCH = 1.0
 
 
 class GangShortOfQuota(NamedTuple):
@@ -172,7 +172,7 @@
         pending_s = trio.current_time() - self.deadlines.release_time(first)
         return (
             pending_s > self.agent_heartbeat_s * _GANG_FIRST_HEARTBEATS
-            or gang.deadline <= self.deadlines.deadline(job, _COMPARED_STRETCH)
+            or gang.deadline <= self.deadlines.deadline(job, _COMPARISON_STRETCH)
         )
 
     def find_short_of_quota(self) -> None:
@@ -215,7 +215,7 @@
         )
 
     def _note_short_of_quota(self, gang: Job, shard: int) -> None:
-        entry = GangShortOfQuota(self.deadlines.deadline(gang, _COMPARED_STRETCH), shard, gang.id)
+        entry = GangShortOfQuota(self.deadlines.deadline(gang, _COMPARISON_STRETCH), shard, gang.id)
         first = self.short_of_quota.get(gang.spec.team)
         if first is None or entry < first:
             self.short_of_quota[gang.spec.team] = entry
