--- a/pitchtally/scheduling/quotas/quotas.py
+++ b/pitchtally/scheduling/quotas/quotas.py
@@ -26,7 +26,7 @@
 # In place of a shard, for a gang that no shard has yet.
 _NO_SHARD = -1
 # Agent heartbeats after which a gang short of quota comes before all of its team's arrays.
-_GANG_FIRST_HEARTBEATS = 4
+_GANG_FIRST_INTERVALS = 4
 # The stretch at which deadlines of gangs and arrays are compared.
 _COMPARISON_STRETCH = 1.0
 
@@ -171,7 +171,7 @@
         # limit, and only once: after a few heartbeats it comes first.
         pending_s = trio.current_time() - self.deadlines.release_time(first)
         return (
-            pending_s > self.agent_heartbeat_s * _GANG_FIRST_HEARTBEATS
+            pending_s > self.agent_heartbeat_s * _GANG_FIRST_INTERVALS
             or gang.deadline <= self.deadlines.deadline(job, _COMPARISON_STRETCH)
         )
 
