--- a/pitchtally/scheduling/shards/deadlines.py
+++ b/pitchtally/scheduling/shards/deadlines.py
@@ -21,7 +21,7 @@
 # The share of `start_within` after which a pending job comes first. Under overload most jobs
 # are pending for that long, and each early start makes another job miss its deadline: hence a
 # large share, and priority for one task only.
-AGING_SHARE = 0.75
+AGING_START_WITHIN_SHARE = 0.75
 
 # An objective for at least this share of a class is a deadline for each of its jobs.
 STRICT_OBJECTIVE_SHARE = 0.95
@@ -102,7 +102,7 @@
             if started
             else min(allocation.pending_since, allocation.release)
         )
-        allocation.aged = now - pending_since > self.policy.start_within * AGING_SHARE
+        allocation.aged = now - pending_since > self.policy.start_within * AGING_START_WITHIN_SHARE
 
     def allocation_deadline(self, allocation: ShardAllocation, level: float) -> float:
         """Like `deadline`, from what the last `refresh` stored."""
