--- a/pitchtally/scheduling/shards/deadlines.py
+++ b/pitchtally/scheduling/shards/deadlines.py
@@ -27,7 +27,7 @@
 STRICT_OBJECTIVE_SHARE = 0.95
 
 # The share of `start_within` after which machines are reserved for a job.
-RESERVATION_SHARE = 1 / 4
+RESERVATION_START_WITHIN_SHARE = 1 / 4
 
 # Seconds added to a deadline for each objective that is missed already: jobs that can still
 # meet theirs come first.
@@ -130,7 +130,7 @@
     def is_reservation_due(self, job: Job) -> bool:
         """Whether a job has been pending for so long that machines are reserved for it."""
         pending_s = trio.current_time() - self.release_time(job)
-        return pending_s > self.policy.start_within * RESERVATION_SHARE
+        return pending_s > self.policy.start_within * RESERVATION_START_WITHIN_SHARE
 
     def is_overdue(self, job: Job) -> bool:
         """Whether a job that must start within one shard can't start in time any more.
