--- a/pitchtally/scheduling/shards/deadlines.py
+++ b/pitchtally/scheduling/shards/deadlines.py
@@ -51,21 +51,21 @@
 
     def release_time(self, job: Job) -> float:
         """When the job was accepted, on the monotonic clock: r of the paper."""
-        found = self._released.get(job.id)
-        if found is None:
-            found = trio.current_time() - max(0.0, time.time() - job.record.accepted_at)
-            self._released[job.id] = found
-        return found
+        release = self._released.get(job.id)
+        if release is None:
+            release = trio.current_time() - max(0.0, time.time() - job.record.accepted_at)
+            self._released[job.id] = release
+        return release
 
     def drop(self, job_id: str) -> None:
         """Drop what is cached of a job that is over."""
         self._released.pop(job_id, None)
 
-    def deadline(self, job: Job, level: float) -> float:
+    def deadline(self, job: Job, target_stretch: float) -> float:
         """The deadline of a job at a stretch: the paper's equation 1, d = r + S w, bounded."""
         release = self.release_time(job)
-        due = stretch.deadline(release, self.job_size(job.spec), level)
-        return min(due, release + self.max_start_delay(job.spec)) + self.lateness_penalty(
+        deadline = stretch.deadline(release, self.job_size(job.spec), target_stretch)
+        return min(deadline, release + self.max_start_delay(job.spec)) + self.lateness_penalty(
             job, release
         )
 
@@ -77,16 +77,16 @@
         the objective. An objective that lets many jobs miss it is served best by that order and
         doesn't count here.
         """
-        task = self.estimates.task(spec)
-        found = [math.inf if spec.deadline is None else spec.deadline]
-        found.extend(
-            objective.within_s - task
+        task_s = self.estimates.task(spec)
+        delays_s = [math.inf if spec.deadline is None else spec.deadline]
+        delays_s.extend(
+            objective.within_s - task_s
             for objective in self.objectives.get(spec.job_class, ())
             if objective.kind == "finished"
             and objective.within_s is not None
             and (objective.share or 0.0) >= STRICT_OBJECTIVE_SHARE
         )
-        return max(0.0, min(found))
+        return max(0.0, min(delays_s))
 
     def refresh(self, allocation: ShardAllocation) -> None:
         """Update what the priority order reads of an allocation; called once a survey."""
@@ -104,28 +104,29 @@
         )
         allocation.aged = now - pending_since > self.policy.start_within * AGING_START_WITHIN_SHARE
 
-    def allocation_deadline(self, allocation: ShardAllocation, level: float) -> float:
+    def allocation_deadline(self, allocation: ShardAllocation, target_stretch: float) -> float:
         """Like `deadline`, from what the last `refresh` stored."""
-        due = stretch.deadline(allocation.release, allocation.size, level)
+        deadline = stretch.deadline(allocation.release, allocation.size, target_stretch)
         return (
-            min(due, allocation.release + allocation.max_start_delay) + allocation.lateness_penalty
+            min(deadline, allocation.release + allocation.max_start_delay)
+            + allocation.lateness_penalty
         )
 
     def lateness_penalty(self, job: Job, release: float) -> float:
         """Seconds that put a job behind others: for each objective that it can't meet any more."""
         spec = job.spec
-        task = self.estimates.task(spec)
+        task_s = self.estimates.task(spec)
         now = trio.current_time()
-        missed = 0
+        missed_objectives = 0
         for objective in self.objectives.get(spec.job_class, ()):
             if objective.kind == "wait":
                 continue
-            limit = objective.within_s
-            if limit is None and spec.deadline is not None:
-                limit = spec.deadline * (objective.times or 1.0)
-            if limit is not None and now + task > release + limit:
-                missed += 1
-        return missed * MISSED_OBJECTIVE_PENALTY_S
+            limit_s = objective.within_s
+            if limit_s is None and spec.deadline is not None:
+                limit_s = spec.deadline * (objective.times or 1.0)
+            if limit_s is not None and now + task_s > release + limit_s:
+                missed_objectives += 1
+        return missed_objectives * MISSED_OBJECTIVE_PENALTY_S
 
     def is_reservation_due(self, job: Job) -> bool:
         """Whether a job has been pending for so long that machines are reserved for it."""
@@ -142,5 +143,5 @@
         if job.service:
             return False  # replicas may be pending long after the service was accepted
         pending_s = trio.current_time() - self.release_time(job)
-        limit = self.policy.start_within
-        return stays_in_one_shard(job.spec) and limit < pending_s < 2 * limit
+        limit_s = self.policy.start_within
+        return stays_in_one_shard(job.spec) and limit_s < pending_s < 2 * limit_s
