--- a/pitchtally/scheduling/shards/shard_states.py
+++ b/pitchtally/scheduling/shards/shard_states.py
@@ -84,15 +84,15 @@
         state = self.states[shard]
         for id in sorted(state.blocked):
             job = self.job_index.jobs[id]
-            if any(self._may_be_on(job, group) for group in groups):
+            if any(self._may_have_run_on(job, group) for group in groups):
                 continue
             state.blocked.discard(id)
             self.update_allocation(job, shard)
-            self._attach_early(state, id)
+            self._attach_unattached(state, id)
             log.debug("job unblocked shard=%d job=%s", shard, id)
         self.planning_trigger.set()
 
-    def _may_be_on(self, job: Job, group: MachineGroupKey) -> bool:
+    def _may_have_run_on(self, job: Job, group: MachineGroupKey) -> bool:
         """Whether an earlier leader may have placed a task of the job on machines of a group."""
         machine_type = self.machine_types().get(group.type)
         spec = job.spec
@@ -102,7 +102,7 @@
             return False
         return allows_machine_type(spec, machine_type, group.zone, group.spot)
 
-    def _attach_early(self, state: ShardState, id: str) -> None:
+    def _attach_unattached(self, state: ShardState, id: str) -> None:
         """Attach the tasks of a job that were found on machines while it was blocked."""
         unattached = [placement for placement in state.unattached if placement.job.id == id]
         state.unattached = [placement for placement in state.unattached if placement.job.id != id]
@@ -119,7 +119,7 @@
         for job in list(self.job_index.open.values()):
             self.update_allocation(job, shard)
         for id in sorted({placement.job.id for placement in state.unattached}):
-            self._attach_early(state, id)
+            self._attach_unattached(state, id)
         self.planning_trigger.set()
 
     def on_job(self, job: Job, old: JobRecord | None) -> None:
@@ -193,7 +193,7 @@
         if allocation is None or placement.task in allocation.placed:
             self.agents.stop(placement, 0.0)
             return False
-        if not any(a <= placement.task < b for a, b in allocation.ranges):
+        if not any(first <= placement.task < end for first, end in allocation.ranges):
             self.agents.stop(placement, 0.0)
             return False
         allocation.placed[placement.task] = placement
@@ -205,10 +205,10 @@
         self.estimates.learn(placement.spec, ran)
         state = self.states.get(placement.machine.shard)
         allocation = state.allocations.get(placement.job.id) if state else None
-        last = (
+        is_last_task = (
             allocation is not None and not allocation.pending.count and len(allocation.placed) <= 1
         )
-        self.job_index.task_done(placement.job, placement.task, urgent=last)
+        self.job_index.task_done(placement.job, placement.task, urgent=is_last_task)
 
     def placement_lost(self, placement: Placement, cause: str) -> None:
         """The task is on no machine any more: it is finished, or becomes pending again."""
@@ -235,6 +235,6 @@
                 allocation.not_before = trio.current_time() + self.agent_heartbeat_s
         if job.spec.kind == user_api.GANG and not job.is_finished(placement.task):
             # The other tasks can't go on; the next attempt starts once all are stopped.
-            for other in list(allocation.placed.values()):
-                self.agents.stop(other, job.spec.save)
+            for remaining in list(allocation.placed.values()):
+                self.agents.stop(remaining, job.spec.save)
         self.planning_trigger.set()
