--- a/pitchtally/scheduling/shards/shard_statuses.py
+++ b/pitchtally/scheduling/shards/shard_statuses.py
@@ -94,19 +94,21 @@
 
     def groups_of(self, status: ShardStatus) -> dict[MachineGroupKey, list[MachineStatus]]:
         """The machines of a status by group; a job allows all machines of a group, or none."""
-        found = self.groups.get(status.shard)
-        if found is None:
-            found = self.groups[status.shard] = {}
+        groups = self.groups.get(status.shard)
+        if groups is None:
+            groups = self.groups[status.shard] = {}
             for machine in status.machines:
                 group = MachineGroupKey(machine.type, machine.zone, machine.spot)
-                found.setdefault(group, []).append(machine)
-        return found
+                groups.setdefault(group, []).append(machine)
+        return groups
 
     def drop_reported_allocations(self, now: float) -> None:
         """Drop allocations so old that the shard's own status includes them."""
-        limit = self.policy.heartbeat_interval * REPORTING_HEARTBEATS
-        for shard, rows in list(self.unreported.items()):
-            self.unreported[shard] = [row for row in rows if now - row.recorded_at < limit]
+        max_age_s = self.policy.heartbeat_interval * REPORTING_HEARTBEATS
+        for shard, allocations in list(self.unreported.items()):
+            self.unreported[shard] = [
+                allocation for allocation in allocations if now - allocation.recorded_at < max_age_s
+            ]
             if not self.unreported[shard]:
                 del self.unreported[shard]
 
@@ -120,11 +122,11 @@
         """How many tasks the shard's machines could start now, or by preemption."""
         resources = resource_request(spec)
         # A status is replaced a few times a second, and this is asked far more often.
-        cached = self.capacities.setdefault(status.shard, {})
+        task_counts = self.capacities.setdefault(status.shard, {})
         key = CapacityKey(by_preemption, resources, spec.types, spec.zone, spec.spot)
-        found = cached.get(key)
-        if found is not None:
-            return found
+        count = task_counts.get(key)
+        if count is not None:
+            return count
         total = 0
         for (type_, zone, spot), machines in self.groups_of(status).items():
             machine_type = self.machine_types().get(type_)
@@ -138,20 +140,23 @@
                     available = available.plus(machine.preemptible)
                 if fits(resources, available):
                     total += count_fitting(resources, available)
-        cached[key] = total
+        task_counts[key] = total
         return total
 
     def record_allocation(self, shard: int, spec: user_api.JobSpec, count: int) -> None:
         """Lower a shard's availability at once, before its next status includes the tasks."""
-        suitable = [
+        suitable_types = [
             machine_type
             for machine_type in self.machine_types().values()
             if fits(resource_request(spec), capacity_of(machine_type))
         ]
-        if suitable:
-            share = min(dominant_share(resource_request(spec), each) for each in suitable)
-            work = count * self.estimates.task(spec) * share
-            allocation = UnreportedAllocation(trio.current_time(), work)
+        if suitable_types:
+            share = min(
+                dominant_share(resource_request(spec), machine_type)
+                for machine_type in suitable_types
+            )
+            machine_seconds = count * self.estimates.task(spec) * share
+            allocation = UnreportedAllocation(trio.current_time(), machine_seconds)
             self.unreported.setdefault(shard, []).append(allocation)
 
     def running(self, id: str) -> int:
