--- a/pitchtally/scheduling/shards/lower_price_capacity.py
+++ b/pitchtally/scheduling/shards/lower_price_capacity.py
@@ -52,11 +52,11 @@
         if not fits(resources, self.largest):
             return TaskCapacity()
         return TaskCapacity(
-            _count(resources, self.busy, limit), _count(resources, self.idle, limit)
+            _count_tasks(resources, self.busy, limit), _count_tasks(resources, self.idle, limit)
         )
 
 
-def _count(resources: Resources, capacities: list[Resources], limit: int) -> int:
+def _count_tasks(resources: Resources, capacities: list[Resources], limit: int) -> int:
     total = 0
     for available in capacities:
         if fits(resources, available):
@@ -67,17 +67,17 @@
 
 
 def list_capacities(
-    machines: Iterable[Machine], now: float, heartbeat_timeout: float
+    machines: Iterable[Machine], now: float, heartbeat_timeout_s: float
 ) -> dict[MachineGroupKey, GroupCapacity]:
     """What is available on unreserved machines, by group.
 
-    `heartbeat_timeout`: seconds since its last heartbeat after which a machine is left out.
+    `heartbeat_timeout_s`: seconds since its last heartbeat after which a machine is left out.
     """
-    found: dict[MachineGroupKey, GroupCapacity] = {}
+    capacities: dict[MachineGroupKey, GroupCapacity] = {}
     for machine in machines:
         if machine.reservation is not None and machine.reservation.until >= now:
             continue
-        if now - machine.last_heartbeat_at > heartbeat_timeout:
+        if now - machine.last_heartbeat_at > heartbeat_timeout_s:
             continue
-        found.setdefault(machine.group, GroupCapacity()).add(machine)
-    return found
+        capacities.setdefault(machine.group, GroupCapacity()).add(machine)
+    return capacities
