--- a/pitchtally/scheduling/shards/allocations.py
+++ b/pitchtally/scheduling/shards/allocations.py
@@ -44,17 +44,17 @@
         self.count -= 1
         return first
 
-    def split_off(self, wanted: int) -> list[tuple[int, int]]:
-        """Remove up to `wanted` tasks, furthest from the next start first; return their ranges."""
+    def split_off(self, max_count: int) -> list[tuple[int, int]]:
+        """Remove up to `max_count` tasks, furthest from the next start first; return their ranges."""
         removed = []
-        while wanted > 0 and self.ranges:
+        while max_count > 0 and self.ranges:
             first, end = self.ranges.pop(0)
-            take = min(wanted, end - first)
-            removed.append((end - take, end))
-            if first < end - take:
-                self.ranges.insert(0, (first, end - take))
-            wanted -= take
-            self.count -= take
+            taken = min(max_count, end - first)
+            removed.append((end - taken, end))
+            if first < end - taken:
+                self.ranges.insert(0, (first, end - taken))
+            max_count -= taken
+            self.count -= taken
         return removed
 
 
@@ -133,7 +133,9 @@
 
     def return_to_pending(self, task: int) -> None:
         """Make a task pending that is on no machine any more, unless finished or moved."""
-        if any(a <= task < b for a, b in self.ranges) and not self.job.is_finished(task):
+        if any(first <= task < end for first, end in self.ranges) and not self.job.is_finished(
+            task
+        ):
             if self.service and not self.pending.count:
                 self.pending_since = trio.current_time()  # all of the service ran until now
             self.pending.put(task, task + 1)
@@ -144,7 +146,7 @@
 
     The paper keeps a queue and an availability matrix for each machine. Interchangeable
     machines share one of each, so the cost does not grow with their number; availability is
-    the same, since any of them can take the next task.
+    the same, since any of them can taken the next task.
     """
 
     def __init__(self, machine_type: cloud_api.MachineType) -> None:
@@ -155,7 +157,7 @@
         self.least_stretch = (
             0.0  # S of the paper: the least stretch at which its queue meets all deadlines
         )
-        self.service_machines = 0.0  # machines' worth of capacity that services take
+        self.service_machines = 0.0  # machines' worth of capacity that services taken
 
     @property
     def batch_machines(self) -> float:
