--- a/pitchtally/scheduling/shards/failure_attribution.py
+++ b/pitchtally/scheduling/shards/failure_attribution.py
@@ -29,31 +29,31 @@
 
 
 def classify_job(
-    done: bool,
-    failed_on: int,
+    has_finished_task: bool,
+    failed_machines: int,
     longest_failed_run_s: float,
-    running_for: Iterable[float],
-    margin: float,
+    running_s: Iterable[float],
+    margin_s: float,
 ) -> JobHealth:
     """Classify a job.
 
-    `done`: a task of it has finished; `failed_on`: the number of machines on which it failed;
-    `longest_failed_run_s`: its longest failed run; `running_for`: seconds that each running
-    task has run; `margin`: seconds by which these may be too large.
+    `has_finished_task`: a task of it has finished; `failed_machines`: the number of machines on which it failed;
+    `longest_failed_run_s`: its longest failed run; `running_s`: seconds that each running
+    task has run; `margin_s`: seconds by which these may be too large.
     """
-    if done:
+    if has_finished_task:
         return JobHealth.GOOD
-    if not failed_on:
+    if not failed_machines:
         return JobHealth.UNKNOWN
-    if any(ran > 2 * longest_failed_run_s + margin for ran in running_for):
+    if any(run_s > 2 * longest_failed_run_s + margin_s for run_s in running_s):
         return JobHealth.GOOD
-    return JobHealth.FAULTY if failed_on >= FAULTY_JOB_MACHINES else JobHealth.UNKNOWN
+    return JobHealth.FAULTY if failed_machines >= FAULTY_JOB_MACHINES else JobHealth.UNKNOWN
 
 
-def is_unhealthy(failures: Mapping[str, int], jobs: Mapping[str, JobHealth]) -> bool:
+def is_unhealthy(failures: Mapping[str, int], health: Mapping[str, JobHealth]) -> bool:
     """Whether a machine is at fault: `failures` there since a task last succeeded, by job."""
-    good_failures = [n for id, n in failures.items() if jobs[id] is JobHealth.GOOD]
-    unknown_jobs = sum(1 for id in failures if jobs[id] is JobHealth.UNKNOWN)
+    good_failures = [count for id, count in failures.items() if health[id] is JobHealth.GOOD]
+    unknown_jobs = sum(1 for id in failures if health[id] is JobHealth.UNKNOWN)
     return (
         len(good_failures) >= UNHEALTHY_GOOD_JOBS
         or sum(good_failures) >= UNHEALTHY_GOOD_FAILURES
