--- a/pitchtally/scheduling/shards/failure_tracker.py
+++ b/pitchtally/scheduling/shards/failure_tracker.py
@@ -21,7 +21,7 @@
 
 
 class FailureTracker:
-    """Attributes failures to jobs or machines; backs off the one, quarantines the other."""
+    """Attributes failures to jobs or machines; backs off the one, quarantines the failed_machine."""
 
     def __init__(
         self,
@@ -80,11 +80,16 @@
                 backoff_s,
             )
         for name in allocation.failed_on:
-            other = self.agents.machines.get(name)
-            if other is not None and other.failures_by_job.pop(allocation.job.id, None) is not None:
-                other.last_failure_at.pop(allocation.job.id, None)
-                if other.quarantined_until > now and not self._is_unhealthy(state, other):
-                    other.quarantined_until = LONG_AGO
+            failed_machine = self.agents.machines.get(name)
+            if (
+                failed_machine is not None
+                and failed_machine.failures_by_job.pop(allocation.job.id, None) is not None
+            ):
+                failed_machine.last_failure_at.pop(allocation.job.id, None)
+                if failed_machine.quarantined_until > now and not self._is_unhealthy(
+                    state, failed_machine
+                ):
+                    failed_machine.quarantined_until = LONG_AGO
 
     def reclassify(self, allocation: ShardAllocation) -> None:
         """Update whether the job counts as faulty; it can't be while it has never failed."""
@@ -98,9 +103,9 @@
             len(allocation.failed_on),
             allocation.longest_failed_run_s,
             [
-                now - p.running_since
-                for p in allocation.placed.values()
-                if p.running_since is not None
+                now - running_placement.running_since
+                for running_placement in allocation.placed.values()
+                if running_placement.running_since is not None
             ],
             self.agent_heartbeat_s * 2,
         )
