--- a/pitchtally/scheduling/shards/machine_queues.py
+++ b/pitchtally/scheduling/shards/machine_queues.py
@@ -17,10 +17,10 @@
 
     The estimate times the dominant share; the time to fetch the image is spread over all tasks.
     """
-    seconds = estimates.task(spec)
+    task_s = estimates.task(spec)
     if spec.image:
-        seconds += spec.image_gb / max(machine_type.fetch_rate, 1e-3) / max(1, spec.tasks)
-    return seconds * dominant_share(resource_request(spec), machine_type)
+        task_s += spec.image_gb / max(machine_type.fetch_rate, 1e-3) / max(1, spec.tasks)
+    return task_s * dominant_share(resource_request(spec), machine_type)
 
 
 def machine_queue(
@@ -31,12 +31,14 @@
     Each job's work is divided evenly by the machines that services leave.
     """
     entries = []
-    for id, amount in machine_group.load_seconds.items():
+    for id, machine_seconds in machine_group.load_seconds.items():
         allocation = state.allocations.get(id)
         if allocation is not None and machine_group.ranks[id] <= rank:
             entries.append(
                 stretch.QueueEntry(
-                    allocation.release, allocation.size, amount / machine_group.batch_machines
+                    allocation.release,
+                    allocation.size,
+                    machine_seconds / machine_group.batch_machines,
                 )
             )
     return entries
@@ -47,6 +49,6 @@
 ) -> None:
     """Add tasks of a job to the work in the queue of a machine group."""
     machine_group, allocation = state.machine_groups[group], state.allocations[id]
-    amount = count * task_work(estimates, allocation.spec, machine_group.machine_type)
-    machine_group.load_seconds[id] = machine_group.load_seconds.get(id, 0.0) + amount
+    machine_seconds = count * task_work(estimates, allocation.spec, machine_group.machine_type)
+    machine_group.load_seconds[id] = machine_group.load_seconds.get(id, 0.0) + machine_seconds
     machine_group.ranks[id] = allocation.rank
