--- a/pitchtally/scheduling/placement/allotment.py
+++ b/pitchtally/scheduling/placement/allotment.py
@@ -98,11 +98,13 @@
                 group.batch_machines / max(cost, MIN_TASK_COST_S)
                 for cost, group in zip(costs, groups.values(), strict=True)
             ]
-        for key, share in zip(groups, stretch.proportional_shares(weights, count), strict=True):
-            if share:
+        for key, task_count in zip(
+            groups, stretch.proportional_shares(weights, count), strict=True
+        ):
+            if task_count:
                 queue = state.queues.setdefault(key, {})
-                queue[id] = queue.get(id, 0) + share
-                add_to_queue(self.estimates, state, key, id, share)
+                queue[id] = queue.get(id, 0) + task_count
+                add_to_queue(self.estimates, state, key, id, task_count)
 
     def _covering_counts(
         self,
@@ -110,9 +112,9 @@
         allocation: ShardAllocation,
         groups: list[MachineGroup],
         costs: list[float],
-        wanted: int,
+        count: int,
     ) -> list[int]:
-        """Tasks available on each group at the least stretch sample that covers `wanted`.
+        """Tasks available on each group at the least stretch sample that covers `count`.
 
         The paper's algorithm 4, on availability by algorithm 3; at the largest sample if none
         covers them. `costs`: a of the paper, for each group.
@@ -122,11 +124,13 @@
         machine_counts = [group.batch_machines for group in groups]
         release, size = allocation.release, allocation.size
 
-        def counts(level: float) -> list[int]:
+        def counts(stretch_sample: float) -> list[int]:
             return [
                 int(
                     machines
-                    * stretch.tasks_in_gap(stretch.gap(queue, level, release, size, now), cost)
+                    * stretch.tasks_in_gap(
+                        stretch.gap(queue, stretch_sample, release, size, now), cost
+                    )
                 )
                 for queue, cost, machines in zip(queues, costs, machine_counts, strict=True)
             ]
@@ -134,7 +138,7 @@
         low, high = 0, len(self.samples.stretches) - 1
         while low < high:
             middle = (low + high) // 2
-            if sum(counts(self.samples.stretches[middle])) >= wanted:
+            if sum(counts(self.samples.stretches[middle])) >= count:
                 high = middle
             else:
                 low = middle + 1
