--- a/pitchtally/scheduling/placement/draining.py
+++ b/pitchtally/scheduling/placement/draining.py
@@ -35,7 +35,7 @@
         for machine in self.agents.of_shard(shard):
             if machine.preemption_at is None:
                 continue
-            left_s = machine.preemption_at - now
+            notice_left_s = machine.preemption_at - now
             for placement in list(machine.placements.values()):
                 if placement.stop_grace is not None or not placement.observed:
                     continue
@@ -43,8 +43,10 @@
                 ran_s = (
                     now - placement.running_since if placement.running_since is not None else 0.0
                 )
-                ends_in_time = (self.estimates.task(spec) - ran_s) * NOTICE_MARGIN_RATIO < left_s
+                ends_in_time = (
+                    self.estimates.task(spec) - ran_s
+                ) * NOTICE_MARGIN_RATIO < notice_left_s
                 if ends_in_time and not spec.is_service:
                     continue
-                for each in state.with_gang(placement):
-                    self.agents.stop(each, each.spec.save if each.spec.checkpoint else 0.0)
+                for member in state.with_gang(placement):
+                    self.agents.stop(member, member.spec.save if member.spec.checkpoint else 0.0)
