--- a/pitchtally/scheduling/placement/placer.py
+++ b/pitchtally/scheduling/placement/placer.py
@@ -73,7 +73,7 @@
             return
         if min(available[0], available[2]) <= MIN_AVAILABLE_AMOUNT:
             return
-        for id in self._startable(state, machine, available, now):
+        for id in self._startable_jobs(state, machine, available, now):
             allocation = state.allocations[id]
             count = self._max_starts(state, allocation, machine, available, now)
             resources = allocation.resources
@@ -86,11 +86,11 @@
                     next_attempt(self.agents, machine.shard),
                 )
                 available = available.minus(resources)
-                self._take_from_queue(state, machine.group, id)
+                self._dequeue(state, machine.group, id)
             if count > 0:
                 self._record_starts(allocation, machine, count)
 
-    def _startable(
+    def _startable_jobs(
         self, state: ShardState, machine: Machine, available: Resources, now: float
     ) -> list[str]:
         """Jobs of which a task could start on the machine now, in priority order.
@@ -99,12 +99,12 @@
         a job's deadline.
         """
         reserved_for = self._reserved_for(state, machine, now)
-        own = state.queues.get(machine.group, {})
+        group_queue = state.queues.get(machine.group, {})
         machine_group = state.machine_groups.get(machine.group)
-        level = (
+        least_stretch = (
             machine_group.least_stretch if machine_group is not None else self.samples.stretches[0]
         )
-        rows = []
+        candidates = []
         for id, allocation in state.allocations.items():
             if not allocation.pending.count or allocation.gang:
                 continue
@@ -117,15 +117,15 @@
             if not machine_allowed(allocation, machine, self.policy.unhealthy_rest):
                 continue
             spec = allocation.spec
-            rank, over_guarantee, due = self.priorities.key(allocation, level)
+            rank, over_guarantee, deadline = self.priorities.key(allocation, least_stretch)
             if (
                 spec.image
                 and spec.image not in machine.cached_images
                 and machine.machine_type is not None
             ):
-                due += spec.image_gb / max(machine.machine_type.fetch_rate, 1e-3)
-            rows.append((rank, over_guarantee, due, not own.get(id, 0), id))
-        return [row[-1] for row in sorted(rows)]
+                deadline += spec.image_gb / max(machine.machine_type.fetch_rate, 1e-3)
+            candidates.append((rank, over_guarantee, deadline, not group_queue.get(id, 0), id))
+        return [candidate[-1] for candidate in sorted(candidates)]
 
     def _reserved_for(self, state: ShardState, machine: Machine, now: float) -> str | None:
         """The job that the machine is reserved for; end a reservation not needed any more."""
@@ -152,8 +152,8 @@
         if limit:
             limit = min(limit, self.quotas.tasks_within_limit(machine.shard, spec))
         if limit and not allocation.aged:
-            elsewhere = self._lower_price_capacity(state, allocation, machine)
-            limit = min(limit, allocation.pending.count - elsewhere)
+            lower_price_tasks = self._lower_price_capacity(state, allocation, machine)
+            limit = min(limit, allocation.pending.count - lower_price_tasks)
         if allocation.aged:
             limit = min(limit, 1)
         if allocation.faulty:
@@ -205,15 +205,15 @@
         self, state: ShardState, allocation: ShardAllocation, group: MachineGroupKey
     ) -> TaskCapacity:
         """Tasks of a job that fit on a group, as of the last survey and the job's starts since."""
-        found = allocation.capacity_by_group.get(group)
-        if found is None:
+        capacity = allocation.capacity_by_group.get(group)
+        if capacity is None:
             capacities = state.capacities.get(group)
             if capacities is None or not self._group_allowed(state, allocation, group):
-                found = TaskCapacity()
+                capacity = TaskCapacity()
             else:
-                found = capacities.for_tasks(allocation.resources, allocation.pending.count)
-            allocation.capacity_by_group[group] = found
-        return found
+                capacity = capacities.for_tasks(allocation.resources, allocation.pending.count)
+            allocation.capacity_by_group[group] = capacity
+        return capacity
 
     def _group_allowed(
         self, state: ShardState, allocation: ShardAllocation, group: MachineGroupKey
@@ -235,15 +235,15 @@
         )
         return per_hour * dominant_share(resource_request(spec), machine_type)
 
-    def _take_from_queue(self, state: ShardState, group: MachineGroupKey, id: str) -> None:
+    def _dequeue(self, state: ShardState, group: MachineGroupKey, id: str) -> None:
         """Dequeue a started task: from the group's queue, else from the longest with the job."""
-        own = state.queues.get(group)
-        if own and own.get(id, 0):
-            own[id] -= 1
+        group_queue = state.queues.get(group)
+        if group_queue and group_queue.get(id, 0):
+            group_queue[id] -= 1
             return
         longest = max(
-            (q for q in state.queues.values() if q.get(id, 0)),
-            key=lambda q: sum(q.values()),
+            (queue for queue in state.queues.values() if queue.get(id, 0)),
+            key=lambda queue: sum(queue.values()),
             default=None,
         )
         if longest is not None:
