--- a/pitchtally/scheduling/placement/preemption.py
+++ b/pitchtally/scheduling/placement/preemption.py
@@ -71,7 +71,7 @@
         """Preempt for pending jobs of higher rank, or of teams within their guarantee."""
         state = self.shards[shard]
         now = trio.current_time()
-        rows = []
+        candidates = []
         over_guarantee = [team for team in self.quotas.teams if self.quotas.over_guarantee(team)]
         for id, allocation in state.allocations.items():
             if not self._may_preempt(state, allocation, now):
@@ -85,9 +85,9 @@
             tasks_at_once = spec.tasks if allocation.gang else 1
             if self.quotas.tasks_within_limit(shard, spec) < tasks_at_once:
                 continue
-            due = self.deadlines.allocation_deadline(allocation, self.samples.stretches[-1])
-            rows.append((allocation.rank, not within_guarantee, due, id))
-        for _, outside_guarantee, _, id in sorted(rows)[:MAX_PREEMPTING_JOBS]:
+            deadline = self.deadlines.allocation_deadline(allocation, self.samples.stretches[-1])
+            candidates.append((allocation.rank, not within_guarantee, deadline, id))
+        for _, outside_guarantee, _, id in sorted(candidates)[:MAX_PREEMPTING_JOBS]:
             if is_reserved_for(self.agents.of_shard(shard), id):
                 continue
             allocation = state.allocations[id]
@@ -112,9 +112,9 @@
     @staticmethod
     def _choose(allocation: ShardAllocation, steps: list[Step]) -> list[Step]:
         """The cheapest steps that the job needs; none for a gang that couldn't start."""
-        wanted = allocation.pending.count
+        needed = allocation.pending.count
         chosen: list[Step] = []
-        zones: dict[str, int] = {}
+        starts_by_zone: dict[str, int] = {}
         zone_caps = {
             cap.zone: cap.tasks
             for cap in allocation.job.record.zone_caps
@@ -128,17 +128,19 @@
             # Where capacity is available, the next agent heartbeat starts tasks anyway.
             available = Counter(step.machine.zone for step in steps if not step.victims)
             for zone, free in available.items():
-                zones[zone] = max(0, min(free, zone_caps.get(zone, free)))
-            wanted -= sum(zones.values())
+                starts_by_zone[zone] = max(0, min(free, zone_caps.get(zone, free)))
+            needed -= sum(starts_by_zone.values())
         for step in steps:
             zone = step.machine.zone
-            if len(chosen) >= wanted or zones.get(zone, 0) >= zone_caps.get(zone, math.inf):
+            if len(chosen) >= needed or starts_by_zone.get(zone, 0) >= zone_caps.get(
+                zone, math.inf
+            ):
                 continue
             if not allocation.gang and not step.victims:
                 continue
-            zones[zone] = zones.get(zone, 0) + 1
+            starts_by_zone[zone] = starts_by_zone.get(zone, 0) + 1
             chosen.append(step)
-        if allocation.gang and len(chosen) < wanted:
+        if allocation.gang and len(chosen) < needed:
             return []  # it starts all its tasks or none
         return chosen
 
@@ -148,8 +150,8 @@
         """Stop the victims, and reserve their machines for the job until it starts."""
         victims = [victim for step in chosen for victim in step.victims]
         for victim in victims:
-            for each in state.with_gang(victim):
-                self.agents.stop(each, each.spec.save)
+            for member in state.with_gang(victim):
+                self.agents.stop(member, member.spec.save)
         grace_s = max(victim.spec.save for victim in victims)
         id = allocation.job.id
         until = now + grace_s + self.agent_heartbeat_s * RESERVATION_INTERVALS
@@ -188,8 +190,8 @@
             return False
         if not within_guarantee:
             # Only lower ranks are preempted, and their sum is known.
-            most = machine.available().plus(machine.preemptible(allocation.rank))
-            if not fits(allocation.resources, most):
+            max_available = machine.available().plus(machine.preemptible(allocation.rank))
+            if not fits(allocation.resources, max_available):
                 return False
         return machine_allowed(allocation, machine, self.policy.unhealthy_rest)
 
