--- a/pitchtally/scheduling/placement/status_publisher.py
+++ b/pitchtally/scheduling/placement/status_publisher.py
@@ -70,7 +70,7 @@
     ) -> None:
         """Replace the status of one shard; without new matrices it keeps those of the last."""
         old = self.statuses.newest.get(shard)
-        status = self._state_of_shard(shard, state, over_guarantee, now)
+        status = self._shard_status(shard, state, over_guarantee, now)
         if matrices_due or old is None or not old.matrix:
             status.stretch = min(
                 (g.least_stretch for g in state.machine_groups.values()), default=0.0
@@ -81,7 +81,7 @@
             status.matrix, status.stretch = old.matrix, old.stretch
         self.statuses.put(status)
 
-    def _state_of_shard(
+    def _shard_status(
         self, shard: int, state: ShardState, over_guarantee: set[str], now: float
     ) -> ShardStatus:
         """The status of a shard without its matrices and its least stretch."""
@@ -124,7 +124,7 @@
             Resources(*machine.used_by_rank[-1]),
             len(machine.placements),
             now - machine.idle_since,
-            self._flag(machine, now),
+            self._machine_flag(machine, now),
             over_guarantee=self._used_over_guarantee(machine, over_guarantee),
         )
 
@@ -175,29 +175,31 @@
         for machine in self.agents.of_shard(shard):
             if machine.schedulable and machine.machine_type is not None:
                 free = machine.available()
-                row = capacities.setdefault(
+                totals = capacities.setdefault(
                     f"{machine.type}{'*' if machine.spot else ''}", [0, 0, 0]
                 )
-                row[0] += 1
-                row[1] += free[0]
-                row[2] += free[1]
+                totals[0] += 1
+                totals[1] += free[0]
+                totals[2] += free[1]
         pending: dict[str, int] = {}
         for allocation in state.allocations.values():
             if allocation.pending.count:
                 name = allocation.job.spec.job_class
                 pending[name] = pending.get(name, 0) + allocation.pending.count
-        text = " ".join(
+        free_text = " ".join(
             f"{t}:{int(n)}x,{c:g}c,{g:g}g" for t, (n, c, g) in sorted(capacities.items())
         )
         quotas = self.quotas
-        teams = " ".join(
+        quota_text = " ".join(
             f"{t}:{quotas.use(shard, t)[0]:g}/{quotas.share(shard, t)[0]:g}"
             for t in quotas.teams
             if quotas.has_limit(t)
         )
-        log.info("load shard=%d free=[%s] pending=%s quota=[%s]", shard, text, pending, teams)
+        log.info(
+            "load shard=%d free=[%s] pending=%s quota=[%s]", shard, free_text, pending, quota_text
+        )
 
-    def _flag(self, machine: Machine, now: float) -> MachineFlag:
+    def _machine_flag(self, machine: Machine, now: float) -> MachineFlag:
         """Why tasks may not start on a machine, the most lasting reason first."""
         if machine.lost:
             return MachineFlag.LOST if machine.confirmed else MachineFlag.SUSPECT
