--- a/pitchtally/scheduling/placement/survey.py
+++ b/pitchtally/scheduling/placement/survey.py
@@ -66,7 +66,7 @@
             for id, count in queue.items():
                 if count and id in state.allocations:
                     add_to_queue(self.estimates, state, group, id, count)
-        self._refresh_levels(state, now)
+        self._refresh_least_stretches(state, now)
 
     def _refresh_allocations(self, state: ShardState) -> dict[str, float]:
         """Refresh allocations and the smallest request; expected seconds of one task, by job."""
@@ -117,7 +117,7 @@
                 machine_group.load_seconds[id] = load.remaining_seconds(seconds, now) * share
                 machine_group.ranks[id] = load.rank
 
-    def _refresh_levels(self, state: ShardState, now: float) -> None:
+    def _refresh_least_stretches(self, state: ShardState, now: float) -> None:
         """The least stretch of each group (the paper's algorithm 2), once an agent heartbeat."""
         for group, machine_group in state.machine_groups.items():
             cached = state.least_stretch_cache.get(group, NO_LEAST_STRETCH)
