--- a/pitchtally/scheduling/quotas/quota_transfer.py
+++ b/pitchtally/scheduling/quotas/quota_transfer.py
@@ -25,7 +25,7 @@
     """What a shard's pending tasks of a team lack of its share."""
 
     total: ShardQuotaShare  # for all that machines there have capacity for
-    least: ShardQuotaShare  # for the one task, or gang, that lacks the least
+    smallest: ShardQuotaShare  # for the one task, or gang, that lacks the least
 
 
 class QuotaTransfer:
@@ -70,21 +70,21 @@
     async def _transfer_spare(self, shard: int, state: ShardState, token: int, team: Team) -> None:
         """Transfer what a shard has to spare to the first shard that it is of use to."""
         spare = self._spare(shard, state, team.name)
-        for other in self.statuses.newest.values():
-            if other.shard == shard:
+        for target in self.statuses.newest.values():
+            if target.shard == shard:
                 continue
-            shortage = self._shortage(other, team.name)
+            shortage = self._shortage(target, team.name)
             amount = ShardQuotaShare(
                 min(spare.cpus, shortage.total.cpus), min(spare.gpus, shortage.total.gpus)
             )
             gang = self.quotas.short_of_quota.get(team.name)
             if gang is not None:
-                if gang.shard != other.shard:
+                if gang.shard != target.shard:
                     continue  # the gang that is short of quota comes first
-            elif not fits(Resources(*shortage.least, 0.0), Resources(*amount, 0.0)):
+            elif not fits(Resources(*shortage.smallest, 0.0), Resources(*amount, 0.0)):
                 continue  # not enough to start even one task there
             if amount.cpus > TOLERANCE or amount.gpus > TOLERANCE:
-                await self._commit_transfer(shard, token, other.shard, team, amount)
+                await self._commit_transfer(shard, token, target.shard, team, amount)
                 return
 
     def _spare(self, shard: int, state: ShardState, team: str) -> ShardQuotaShare:
@@ -121,9 +121,9 @@
     def _shortage(self, status: ShardStatus, team: str) -> _Shortage:
         """What a shard's pending tasks of a team lack; nothing if none of them can start."""
         share, used = self.quotas.share(status.shard, team), self.quotas.reported_use(status, team)
-        left = ShardQuotaShare(share.cpus - used.cpus, share.gpus - used.gpus)
+        unused = ShardQuotaShare(share.cpus - used.cpus, share.gpus - used.gpus)
         cpus = gpus = 0.0
-        least = ShardQuotaShare(math.inf, math.inf)
+        smallest = ShardQuotaShare(math.inf, math.inf)
         for id, count in status.pending.items():
             job = self.job_index.open.get(id)
             if job is None or job.spec.team != team:
@@ -133,25 +133,29 @@
             if not count:
                 continue
             cpus, gpus = cpus + spec.cpus * count, gpus + spec.gpus * count
-            at_once = spec.tasks if spec.kind == user_api.GANG else 1
-            least = min(least, _lacking(spec.cpus * at_once, spec.gpus * at_once, left))
-        if least.cpus == math.inf:
+            tasks_at_once = spec.tasks if spec.kind == user_api.GANG else 1
+            smallest = min(
+                smallest, _lacking(spec.cpus * tasks_at_once, spec.gpus * tasks_at_once, unused)
+            )
+        if smallest.cpus == math.inf:
             return _Shortage(NO_SHARE, NO_SHARE)
-        return _Shortage(_lacking(cpus, gpus, left), least)
+        return _Shortage(_lacking(cpus, gpus, unused), smallest)
 
     async def _commit_transfer(
         self, shard: int, token: int, target: int, team: Team, amount: ShardQuotaShare
     ) -> None:
-        equal = ShardQuotaShare(team.cpus_max / self.shard_count, team.gpus_max / self.shard_count)
-        shares = self.quotas.shares.of(team.name) or [equal] * self.shard_count
-        changed = list(shares)
-        changed[shard] = ShardQuotaShare(
+        equal_share = ShardQuotaShare(
+            team.cpus_max / self.shard_count, team.gpus_max / self.shard_count
+        )
+        shares = self.quotas.shares.of(team.name) or [equal_share] * self.shard_count
+        new_shares = list(shares)
+        new_shares[shard] = ShardQuotaShare(
             shares[shard].cpus - amount.cpus, shares[shard].gpus - amount.gpus
         )
-        changed[target] = ShardQuotaShare(
+        new_shares[target] = ShardQuotaShare(
             shares[target].cpus + amount.cpus, shares[target].gpus + amount.gpus
         )
-        change = self.quotas.shares.change(team.name, changed)
+        change = self.quotas.shares.change(team.name, new_shares)
         versions = self.quotas.shares.versions(team.name)
         preconditions = {keys.shard(shard): token, **versions}
         self.quotas.transfers_in_flight[(shard, team.name)] = amount
@@ -170,6 +174,6 @@
             self.quotas.transfers_in_flight.pop((shard, team.name), None)
 
 
-def _lacking(cpus: float, gpus: float, left: ShardQuotaShare) -> ShardQuotaShare:
+def _lacking(cpus: float, gpus: float, unused: ShardQuotaShare) -> ShardQuotaShare:
     """What is missing of an amount beyond what is left of a share."""
-    return ShardQuotaShare(max(0.0, cpus - left.cpus), max(0.0, gpus - left.gpus))
+    return ShardQuotaShare(max(0.0, cpus - unused.cpus), max(0.0, gpus - unused.gpus))
