--- a/pitchtally/scheduling/quotas/quotas.py
+++ b/pitchtally/scheduling/quotas/quotas.py
@@ -83,21 +83,21 @@
             cpus, gpus = shares[shard]
         else:
             cpus, gpus = settings.cpus_max / self.shard_count, settings.gpus_max / self.shard_count
-        leaving = self.transfers_in_flight.get((shard, team), NO_SHARE)
+        in_flight = self.transfers_in_flight.get((shard, team), NO_SHARE)
         return (
-            cpus - leaving[0] if settings.cpus_max > 0 else math.inf,
-            gpus - leaving[1] if settings.gpus_max > 0 else math.inf,
+            cpus - in_flight[0] if settings.cpus_max > 0 else math.inf,
+            gpus - in_flight[1] if settings.gpus_max > 0 else math.inf,
         )
 
     def has_limit(self, team: str) -> bool:
         """Whether a team has a limit; an unknown one counts as limited."""
-        found = self.teams.get(team)
-        return found is None or found.cpus_max > 0 or found.gpus_max > 0
+        settings = self.teams.get(team)
+        return settings is None or settings.cpus_max > 0 or settings.gpus_max > 0
 
     def has_guarantee(self, team: str) -> bool:
         """Whether a team has a guarantee."""
-        found = self.teams.get(team)
-        return found is not None and (found.cpus > 0 or found.gpus > 0)
+        settings = self.teams.get(team)
+        return settings is not None and (settings.cpus > 0 or settings.gpus > 0)
 
     def use(self, shard: int, team: str) -> ResourceUse:
         """CPUs and GPUs that a team's tasks take in a shard."""
@@ -156,7 +156,7 @@
         return ResourceUse(cpus, gpus)
 
     def yields_to_gang(self, spec: user_api.JobSpec) -> bool:
-        """Whether a gang of the team comes first and is short of quota.
+        """Whether a gang of the team comes gang_job and is short of quota.
 
         Arrays take what frees up task by task, so a gang would never start under a limit
         that its own team's arrays reach.
@@ -164,12 +164,12 @@
         gang = self.short_of_quota.get(spec.team)
         if gang is None or spec.kind == user_api.GANG:
             return False
-        job, first = self.job_index.open.get(spec.id), self.job_index.open.get(gang.job_id)
-        if job is None or first is None or RANK[spec.rank] < RANK[first.spec.rank]:
+        job, gang_job = self.job_index.open.get(spec.id), self.job_index.open.get(gang.job_id)
+        if job is None or gang_job is None or RANK[spec.rank] < RANK[gang_job.spec.rank]:
             return False
         # A gang's stretch deadline is far off for its size, while it needs little of the
         # limit, and only once: after a few heartbeats it comes first.
-        pending_s = trio.current_time() - self.deadlines.release_time(first)
+        pending_s = trio.current_time() - self.deadlines.release_time(gang_job)
         return (
             pending_s > self.agent_heartbeat_s * _GANG_FIRST_INTERVALS
             or gang.deadline <= self.deadlines.deadline(job, _COMPARISON_STRETCH)
@@ -188,7 +188,7 @@
                     and self.has_limit(job.spec.team)
                     and self._is_short_of_share(status, job, count)
                 ):
-                    self._note_short_of_quota(job, status.shard)
+                    self._record_short_of_quota(job, status.shard)
 
     def _find_unassigned_gangs(self) -> None:
         """Gangs that no shard has, since the limit has no place for all of their tasks."""
@@ -200,7 +200,7 @@
                 and gang.spec.team in limited
                 and self.limit_left(gang.spec) < gang.spec.tasks
             ):
-                self._note_short_of_quota(gang, _NO_SHARD)
+                self._record_short_of_quota(gang, _NO_SHARD)
 
     def _is_short_of_share(self, status: ShardStatus, job: Job, count: int) -> bool:
         """Whether a shard has capacity for these pending tasks, but too small a share."""
@@ -214,10 +214,10 @@
             or self.statuses.free_capacity(status, spec, by_preemption=True) >= count
         )
 
-    def _note_short_of_quota(self, gang: Job, shard: int) -> None:
+    def _record_short_of_quota(self, gang: Job, shard: int) -> None:
         entry = GangShortOfQuota(self.deadlines.deadline(gang, _COMPARISON_STRETCH), shard, gang.id)
-        first = self.short_of_quota.get(gang.spec.team)
-        if first is None or entry < first:
+        current = self.short_of_quota.get(gang.spec.team)
+        if current is None or entry < current:
             self.short_of_quota[gang.spec.team] = entry
 
     def total_use(self, team: str) -> ResourceUse:
@@ -225,8 +225,8 @@
         cpus = gpus = 0.0
         for shard, status in self.statuses.newest.items():
             # Not `reported_use`, whose record would be made for each job on each heartbeat.
-            ours = shard in self.shards
-            use = self.use(shard, team) if ours else status.usage.get(team, NO_USE)
+            is_led = shard in self.shards
+            use = self.use(shard, team) if is_led else status.usage.get(team, NO_USE)
             cpus += use[0]
             gpus += use[1]
         return ResourceUse(cpus, gpus)
@@ -258,14 +258,14 @@
         )
         return count_fitting(limited_request(spec), available)
 
-    def other_team_over_guarantee(self, spec: user_api.JobSpec, other: str) -> bool:
-        """Whether the job's team isn't `other`, and runs more than its guarantee."""
-        return spec.team != other and self.over_guarantee(spec.team)
+    def other_team_over_guarantee(self, spec: user_api.JobSpec, preempting_team: str) -> bool:
+        """Whether the job's team isn't `preempting_team`, and runs more than its guarantee."""
+        return spec.team != preempting_team and self.over_guarantee(spec.team)
 
-    def over_guarantee(self, name: str) -> bool:
+    def over_guarantee(self, team_name: str) -> bool:
         """Whether a team runs more than its guarantee."""
-        team = self.teams.get(name)
+        team = self.teams.get(team_name)
         if team is None:
             return False
-        cpus, gpus = self.total_use(name)
+        cpus, gpus = self.total_use(team_name)
         return cpus > team.cpus + TOLERANCE or (gpus > team.gpus + TOLERANCE and team.gpus > 0)
