--- a/pitchtally/scheduling/shards/deadlines.py
+++ b/pitchtally/scheduling/shards/deadlines.py
@@ -18,19 +18,19 @@
 from ..context import SchedulingContext
 from .allocations import ShardAllocation
 
-# The share of `start_within` after which a pending job comes first. Under overload most jobs
-# are pending for that long, and each early start makes another job miss its deadline: hence a
-# large share, and priority for one task only.
+# Share of `start_within` after which a pending job takes precedence over all others. Under
+# overload most jobs are pending for that long, and each early start makes another job miss its
+# deadline: hence a large share, and precedence for one task only.
 AGING_START_WITHIN_SHARE = 0.75
 
-# An objective for at least this share of a class is a deadline for each of its jobs.
+# An objective that covers at least this share of a job class is a deadline for each of its jobs.
 STRICT_OBJECTIVE_SHARE = 0.95
 
-# The share of `start_within` after which machines are reserved for a job.
+# Share of `start_within` after which machines are reserved for a pending job.
 RESERVATION_START_WITHIN_SHARE = 1 / 4
 
-# Seconds added to a deadline for each objective that is missed already: jobs that can still
-# meet theirs come first.
+# Added to a job's deadline for each objective that it can no longer meet, so that jobs which can
+# still meet theirs are ordered first.
 MISSED_OBJECTIVE_PENALTY_S = 1e5
 
 
@@ -40,17 +40,18 @@
     def __init__(self, context: SchedulingContext) -> None:
         self.policy = context.policy
         self.estimates = context.estimates
-        self._released: dict[str, float] = {}  # job -> when it was accepted
-        self.objectives: dict[str | None, list[Objective]] = {}  # by job class
+        self._released: dict[str, float] = {}  # job ID -> time of acceptance
+        # Job class -> its objectives.
+        self.objectives: dict[str | None, list[Objective]] = {}
         for objective in context.settings.deployment.objectives:
             self.objectives.setdefault(objective.job_class, []).append(objective)
 
     def job_size(self, spec: user_api.JobSpec) -> float:
-        """Size of the whole job in task-seconds: w of the paper."""
+        """Return the size of all tasks of a job, in task-seconds (w of the paper)."""
         return spec.tasks * self.estimates.task(spec)
 
     def release_time(self, job: Job) -> float:
-        """When the job was accepted, on the monotonic clock: r of the paper."""
+        """Return when the job was accepted, on the monotonic clock (r of the paper)."""
         release = self._released.get(job.id)
         if release is None:
             release = trio.current_time() - max(0.0, time.time() - job.record.accepted_at)
@@ -58,11 +59,14 @@
         return release
 
     def drop(self, job_id: str) -> None:
-        """Drop what is cached of a job that is over."""
+        """Drop the cached release time of a closed job."""
         self._released.pop(job_id, None)
 
     def deadline(self, job: Job, target_stretch: float) -> float:
-        """The deadline of a job at a stretch: the paper's equation 1, d = r + S w, bounded."""
+        """Return a job's deadline at a stretch: the paper's equation 1, d = r + S w, bounded.
+
+        `max_start_delay` bounds it from above; `lateness_penalty` is then added.
+        """
         release = self.release_time(job)
         deadline = stretch.deadline(release, self.job_size(job.spec), target_stretch)
         return min(deadline, release + self.max_start_delay(job.spec)) + self.lateness_penalty(
@@ -70,12 +74,12 @@
         )
 
     def max_start_delay(self, spec: user_api.JobSpec) -> float:
-        """Seconds from release by which tasks must have started, whatever the stretch.
+        """Return the seconds from release by which tasks must have started at any stretch.
 
-        The least of the job's own deadline and of strict objectives of its class. Under
-        overload a stretch deadline delays the widest jobs of a class most, so that those miss
-        the objective. An objective that lets many jobs miss it is served best by that order and
-        doesn't count here.
+        This is the minimum of the job's own deadline and of the strict objectives of its class.
+        Under overload, stretch deadlines delay the jobs with the most tasks of a class longest,
+        and those jobs would miss a strict objective. An objective that many jobs may miss is
+        ignored here: the order by stretch serves it best.
         """
         task_s = self.estimates.task(spec)
         delays_s = [math.inf if spec.deadline is None else spec.deadline]
@@ -89,7 +93,7 @@
         return max(0.0, min(delays_s))
 
     def refresh(self, allocation: ShardAllocation) -> None:
-        """Update what the priority order reads of an allocation; called once a survey."""
+        """Update the fields of an allocation that the priority order reads; once per survey."""
         now = trio.current_time()
         job = allocation.job
         allocation.size = self.job_size(allocation.spec)
@@ -105,7 +109,7 @@
         allocation.aged = now - pending_since > self.policy.start_within * AGING_START_WITHIN_SHARE
 
     def allocation_deadline(self, allocation: ShardAllocation, target_stretch: float) -> float:
-        """Like `deadline`, from what the last `refresh` stored."""
+        """Return the same as `deadline`, from the fields that the last `refresh` stored."""
         deadline = stretch.deadline(allocation.release, allocation.size, target_stretch)
         return (
             min(deadline, allocation.release + allocation.max_start_delay)
@@ -113,7 +117,7 @@
         )
 
     def lateness_penalty(self, job: Job, release: float) -> float:
-        """Seconds that put a job behind others: for each objective that it can't meet any more."""
+        """Return the seconds added to a deadline for objectives that a job can no longer meet."""
         spec = job.spec
         task_s = self.estimates.task(spec)
         now = trio.current_time()
@@ -129,19 +133,19 @@
         return missed_objectives * MISSED_OBJECTIVE_PENALTY_S
 
     def is_reservation_due(self, job: Job) -> bool:
-        """Whether a job has been pending for so long that machines are reserved for it."""
+        """Return whether a job has been pending long enough to reserve machines for it."""
         pending_s = trio.current_time() - self.release_time(job)
         return pending_s > self.policy.start_within * RESERVATION_START_WITHIN_SHARE
 
     def is_overdue(self, job: Job) -> bool:
-        """Whether a job that must start within one shard can't start in time any more.
+        """Return whether a job confined to one shard has missed its start time.
 
-        Under overload, reserving machines for a gang that is late already makes the next one
-        late too. It goes behind those that may still be in time, but not indefinitely: after
-        twice `start_within` it comes first again.
+        Under overload, reserving machines for a gang that has missed its start time makes the
+        next gang miss its own. Such a gang is ordered behind those that can still start in
+        time, but only until twice `start_within` has passed.
         """
         if job.service:
-            return False  # replicas may be pending long after the service was accepted
+            return False  # replicas may become pending long after the service was accepted
         pending_s = trio.current_time() - self.release_time(job)
         limit_s = self.policy.start_within
         return stays_in_one_shard(job.spec) and limit_s < pending_s < 2 * limit_s
--- a/pitchtally/scheduling/shards/eligibility.py
+++ b/pitchtally/scheduling/shards/eligibility.py
@@ -1,4 +1,4 @@
-"""Whether a job's tasks may start now, and on which machines."""
+"""Checks of whether a job's tasks may start now, and on which machines."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def is_ready(state: ShardState, id: str, allocation: ShardAllocation, now: float) -> bool:
-    """Whether pending tasks of the job may start at all now."""
+    """Return whether pending tasks of the job may start now on any machine."""
     return (
         allocation.pending.count > 0
         and not allocation.moving
@@ -22,7 +22,7 @@
 
 
 def machine_allowed(allocation: ShardAllocation, machine: Machine, quarantine_s: float) -> bool:
-    """Whether a machine may run tasks of the job; doesn't ask what is available there.
+    """Return whether a machine may run tasks of the job, regardless of its free capacity.
 
     `quarantine_s`: seconds for which a job avoids a machine on which it failed.
     """
@@ -36,8 +36,9 @@
         )
     if not allowed:
         return False
-    # Failures recorded with the machine count as well: an allocation is new after a migration
-    # or a failover. They expire, since a machine may recover and there may be no other.
+    # Failures recorded with the machine count as well, since an allocation is empty after a
+    # migration or a failover. Failures expire, since a machine may recover and may be the only
+    # one that the job allows.
     if allocation.failed_on or machine.last_failure_at:
         failed_at = max(
             allocation.failed_on.get(machine.name, LONG_AGO),
--- a/pitchtally/scheduling/shards/failure_attribution.py
+++ b/pitchtally/scheduling/shards/failure_attribution.py
@@ -1,9 +1,9 @@
-"""Failure attribution: whether the machine or the job is at fault. Pure functions.
+"""Attribution of task failures to the job or the machine. Pure functions.
 
-A faulty machine fails the tasks of any job; a job submitted with a mistake fails on any
-machine, and a single failure doesn't tell one from the other. A job that has finished a task
-anywhere, or runs one for longer than its failures took, is good. A job that failed on several
-machines and has done neither is faulty, and its failures are no evidence against the machines.
+Tasks of any job fail on a faulty machine, and tasks of a faulty job fail on any machine, so a
+single failure can't be attributed. A job that has finished a task anywhere, or has run one for
+longer than its failed runs took, is good. A job that failed on several machines and has done
+neither is faulty, and its failures don't count against the machines.
 """
 
 from __future__ import annotations
@@ -11,17 +11,17 @@
 from collections.abc import Iterable, Mapping
 from enum import Enum
 
-# Distinct machines on which a job without any success fails before it counts as faulty.
+# Number of distinct machines on which a job without any success must fail to be faulty.
 FAULTY_JOB_MACHINES = 2
-# Each of these makes a machine unhealthy: good jobs that failed there, failures of good jobs
-# there, and jobs of unknown health that failed there.
+# A machine is unhealthy once any of these is reached: the number of good jobs that failed
+# there, of failures of good jobs there, and of jobs of unknown health that failed there.
 UNHEALTHY_GOOD_JOBS = 2
 UNHEALTHY_GOOD_FAILURES = 3
 UNHEALTHY_UNKNOWN_JOBS = 3
 
 
 class JobHealth(Enum):
-    """What the failures and successes of a job so far say of it."""
+    """Classification of a job by its failures and successes so far."""
 
     GOOD = "good"
     UNKNOWN = "unknown"
@@ -35,11 +35,12 @@
     running_s: Iterable[float],
     margin_s: float,
 ) -> JobHealth:
-    """Classify a job.
+    """Classify a job by its failures and successes.
 
-    `has_finished_task`: a task of it has finished; `failed_machines`: the number of machines on which it failed;
-    `longest_failed_run_s`: its longest failed run; `running_s`: seconds that each running
-    task has run; `margin_s`: seconds by which these may be too large.
+    `has_finished_task`: whether a task of the job has finished; `failed_machines`: the number
+    of machines on which tasks failed; `longest_failed_run_s`: its longest failed run;
+    `running_s`: for how long each running task has run; `margin_s`: maximum error of
+    `running_s`, which may be too large by that much.
     """
     if has_finished_task:
         return JobHealth.GOOD
@@ -51,7 +52,10 @@
 
 
 def is_unhealthy(failures: Mapping[str, int], health: Mapping[str, JobHealth]) -> bool:
-    """Whether a machine is at fault: `failures` there since a task last succeeded, by job."""
+    """Return whether a machine is at fault.
+
+    `failures`: by job, the failures there since a task last succeeded; `health`: by job.
+    """
     good_failures = [count for id, count in failures.items() if health[id] is JobHealth.GOOD]
     unknown_jobs = sum(1 for id in failures if health[id] is JobHealth.UNKNOWN)
     return (
--- a/pitchtally/scheduling/shards/failure_tracker.py
+++ b/pitchtally/scheduling/shards/failure_tracker.py
@@ -1,4 +1,4 @@
-"""Acts on failure attribution: back-off of faulty jobs, quarantine of unhealthy machines."""
+"""Back-off of faulty jobs and quarantine of unhealthy machines, after failure attribution."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 log = logging.getLogger(__name__)
 
-# Agent heartbeat intervals: the cap of the exponential back-off.
+# Upper bound of the exponential back-off, in agent heartbeat intervals.
 MAX_BACKOFF_INTERVALS = 16.0
 
 
 class FailureTracker:
-    """Attributes failures to jobs or machines; backs off the one, quarantines the failed_machine."""
+    """Attributes failures to jobs, which it backs off, or machines, which it quarantines."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
             return
         ran_s = now - placement.running_since if placement.running_since is not None else 0.0
         if ran_s >= self.policy.unhealthy_rest:
-            # Whatever the cause, neither the job nor the machine fails each start.
+            # After a long run, neither the job nor the machine is failing at each start.
             allocation.consecutive_short_runs = 0
             allocation.failed_on.clear()
             allocation.longest_failed_run_s = 0.0
@@ -54,7 +54,7 @@
     def task_failed(
         self, state: ShardState, allocation: ShardAllocation, placement: Placement
     ) -> None:
-        """Attribute the failure of a task: back off its job, or quarantine its machine."""
+        """Back off the job of a failed task, or quarantine the machine, whichever is at fault."""
         now = trio.current_time()
         machine = placement.machine
         allocation.failed_on[machine.name] = now
@@ -92,7 +92,7 @@
                     failed_machine.quarantined_until = LONG_AGO
 
     def reclassify(self, allocation: ShardAllocation) -> None:
-        """Update whether the job counts as faulty; it can't be while it has never failed."""
+        """Update whether the job is faulty; a job without any failure never is."""
         if allocation.failed_on:
             allocation.faulty = self._classify(allocation) is JobHealth.FAULTY
 
@@ -116,7 +116,7 @@
         for id, count in machine.failures_by_job.items():
             job, allocation = self.job_index.jobs.get(id), state.allocations.get(id)
             if job is None or (not job.open and job.record.stage != DONE):
-                continue  # cancelled, as users do with a job that has a mistake
+                continue  # probably cancelled by its user because of a mistake in the job
             failures[id] = count
             if allocation is not None:
                 health[id] = self._classify(allocation)
--- a/pitchtally/scheduling/shards/lower_price_capacity.py
+++ b/pitchtally/scheduling/shards/lower_price_capacity.py
@@ -1,8 +1,8 @@
-"""Capacity for a job's tasks on lower-priced machines, so that they leave expensive ones free.
+"""Capacity for a job's tasks on lower-priced machines, to keep expensive machines free.
 
-It is asked for at each agent heartbeat. What is available on a shard's machines is listed once a
-survey, by machine group. A job then scans a group at most once a survey, only if its request fits
-the largest amounts available there, and stops at the capacity for all of its pending tasks.
+The placer reads this capacity on each agent heartbeat, so it is cached. Each survey lists the free
+resources of a shard's machines by machine group. A job scans a group at most once per survey, only
+if its request fits the largest free amounts there, and only until all its pending tasks fit.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 
 @dataclass(slots=True)
 class TaskCapacity:
-    """How many tasks of a job fit on the machines of a group."""
+    """Number of tasks of a job that fit on the machines of a group."""
 
     on_busy: int = 0  # on machines with placements
     on_idle: int = 0  # on empty machines
 
     def subtract(self, count: int) -> None:
-        """Subtract tasks that have been started there, busy machines first."""
+        """Subtract tasks that were started in the group, from busy machines first."""
         from_busy = min(count, self.on_busy)
         self.on_busy -= from_busy
         self.on_idle = max(0, self.on_idle - (count - from_busy))
@@ -30,14 +30,14 @@
 
 @dataclass(slots=True)
 class GroupCapacity:
-    """What is available on each machine of a group that accepts tasks."""
+    """Free resources of each machine of a group that accepts tasks."""
 
     busy: list[Resources] = field(default_factory=list)
     idle: list[Resources] = field(default_factory=list)
-    largest: Resources = NO_RESOURCES  # resource by resource
+    largest: Resources = NO_RESOURCES  # the maximum of each resource
 
     def add(self, machine: Machine) -> None:
-        """Add a machine."""
+        """Add the free resources of a machine."""
         free = machine.available()
         (self.busy if machine.placements else self.idle).append(free)
         largest = self.largest
@@ -48,7 +48,7 @@
         )
 
     def for_tasks(self, resources: Resources, limit: int) -> TaskCapacity:
-        """Capacity for tasks with this request, counted until `limit` each on busy and idle."""
+        """Return how many such tasks fit; stop counting at `limit` for busy and for idle."""
         if not fits(resources, self.largest):
             return TaskCapacity()
         return TaskCapacity(
@@ -69,7 +69,7 @@
 def list_capacities(
     machines: Iterable[Machine], now: float, heartbeat_timeout_s: float
 ) -> dict[MachineGroupKey, GroupCapacity]:
-    """What is available on unreserved machines, by group.
+    """Return the free resources of unreserved machines, by group.
 
     `heartbeat_timeout_s`: seconds since its last heartbeat after which a machine is left out.
     """
--- a/pitchtally/scheduling/shards/machine_queues.py
+++ b/pitchtally/scheduling/shards/machine_queues.py
@@ -1,4 +1,4 @@
-"""The queue that the machines of a group share, as the paper's local scheduler sees it."""
+"""The queue shared by the machines of a group, as input to the paper's local scheduler."""
 
 from __future__ import annotations
 
@@ -13,9 +13,10 @@
 def task_work(
     estimates: Estimates, spec: user_api.JobSpec, machine_type: cloud_api.MachineType
 ) -> float:
-    """Machine-seconds of one task on such a machine: a of the paper.
+    """Return the machine-seconds of one task on a machine of this type (a of the paper).
 
-    The estimate times the dominant share; the time to fetch the image is spread over all tasks.
+    The estimated run time is multiplied by the task's dominant share of the machine. It
+    includes the time to fetch the image, divided by the number of tasks of the job.
     """
     task_s = estimates.task(spec)
     if spec.image:
@@ -26,9 +27,9 @@
 def machine_queue(
     state: ShardState, machine_group: MachineGroup, rank: int
 ) -> list[stretch.QueueEntry]:
-    """The queue of one machine of the group, without the ranks that a job of `rank` preempts.
+    """Return the queue of one machine of the group, without ranks that `rank` can preempt.
 
-    Each job's work is divided evenly by the machines that services leave.
+    Each job's work is divided evenly over the capacity that services leave free.
     """
     entries = []
     for id, machine_seconds in machine_group.load_seconds.items():
@@ -47,7 +48,7 @@
 def add_to_queue(
     estimates: Estimates, state: ShardState, group: MachineGroupKey, id: str, count: int
 ) -> None:
-    """Add tasks of a job to the work in the queue of a machine group."""
+    """Add the work of `count` tasks of a job to the queue of a machine group."""
     machine_group, allocation = state.machine_groups[group], state.allocations[id]
     machine_seconds = count * task_work(estimates, allocation.spec, machine_group.machine_type)
     machine_group.load_seconds[id] = machine_group.load_seconds.get(id, 0.0) + machine_seconds
--- a/pitchtally/scheduling/shards/shard_states.py
+++ b/pitchtally/scheduling/shards/shard_states.py
@@ -1,4 +1,7 @@
-"""The shards that this controller leads: acquired, loaded, reconciled, lost, and their tasks."""
+"""Lifecycle of the shards that this controller leads, and of the tasks in them.
+
+A shard is acquired, loaded, reconciled, and finally lost to another leader.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +27,7 @@
 
 
 class JobShape(NamedTuple):
-    """What decides which machines suit a job, together with its class."""
+    """Job class and the fields of a job that determine which machines it may use."""
 
     job_class: str
     types: tuple[str, ...] | None
@@ -33,7 +36,7 @@
 
 
 class ShardStates:
-    """Keeps the states of our shards up to date; implements `agents.listener.AgentListener`."""
+    """Maintains the states of led shards; implements `agents.listener.AgentListener`."""
 
     def __init__(
         self,
@@ -54,20 +57,23 @@
         self.deadlines = deadlines
         self.failures = failures
         self.planning_trigger = planning_trigger
-        self.recent_jobs: dict[JobShape, user_api.JobSpec] = {}  # the newest of each shape
+        self.recent_jobs: dict[JobShape, user_api.JobSpec] = {}  # the newest job of each shape
         self.job_index.subscribe(self.on_job)
 
     def shard_acquired(self, shard: int) -> None:
-        """Begin to lead a shard; its state is empty until the replica covers the failover."""
+        """Create the state of an acquired shard; empty until the replica covers the failover."""
         self.states[shard] = ShardState()
 
     def shard_lost(self, shard: int) -> None:
-        """Drop the state of a shard that another controller leads from now on."""
+        """Drop the state of a shard that another controller now leads."""
         self.states.pop(shard, None)
         self.statuses.newest.pop(shard, None)
 
     def shard_loaded(self, shard: int) -> None:
-        """The replica covers the failover: block jobs until their machines are heard from."""
+        """Block the jobs of a shard whose failover the replica now covers.
+
+        They stay blocked until the agents of their machines have sent heartbeats.
+        """
         state = self.states[shard]
         state.loaded = True
         for job in list(self.job_index.open.values()):
@@ -77,9 +83,10 @@
     def suspects_changed(self, shard: int, groups: Collection[MachineGroupKey]) -> None:
         """Unblock the jobs of which no suspect machine can run a task.
 
-        `groups`: the groups of the machines that are still suspect. A job's tasks only ever run
-        on machines that it allows, so a suspect machine needn't block jobs that could never
-        have run there.
+        A job's tasks run only on machines that the job allows, so a suspect machine blocks
+        only the jobs that allow it.
+
+        `groups`: the groups of the machines that are still suspect.
         """
         state = self.states[shard]
         for id in sorted(state.blocked):
@@ -93,7 +100,7 @@
         self.planning_trigger.set()
 
     def _may_have_run_on(self, job: Job, group: MachineGroupKey) -> bool:
-        """Whether an earlier leader may have placed a task of the job on machines of a group."""
+        """Return whether an earlier leader may have placed a task of the job in a group."""
         machine_type = self.machine_types().get(group.type)
         spec = job.spec
         if machine_type is None:
@@ -103,16 +110,19 @@
         return allows_machine_type(spec, machine_type, group.zone, group.spot)
 
     def _attach_unattached(self, state: ShardState, id: str) -> None:
-        """Attach the tasks of a job that were found on machines while it was blocked."""
+        """Attach the tasks of a job that were found on machines while the job was blocked."""
         unattached = [placement for placement in state.unattached if placement.job.id == id]
         state.unattached = [placement for placement in state.unattached if placement.job.id != id]
         for placement in unattached:
-            # `placement_lost` has made those pending that ended meanwhile.
+            # `placement_lost` has already handled tasks that ended in the meantime.
             if placement.machine.placements.get(placement.key) is placement:
                 self._attach(placement)
 
     def shard_reconciled(self, shard: int) -> None:
-        """Every machine that may run a task is heard from, or lost: other tasks are pending."""
+        """Unblock all jobs: each machine that may run a task has reported its tasks or is lost.
+
+        Tasks that were not reported are therefore pending.
+        """
         state = self.states[shard]
         state.reconciled = True
         state.blocked.clear()
@@ -123,7 +133,7 @@
         self.planning_trigger.set()
 
     def on_job(self, job: Job, old: JobRecord | None) -> None:
-        """A job's record has changed; `old`: the record before, None for a new job."""
+        """Update the allocations of a changed job; `old` is its previous record, None if new."""
         if not job.open:
             self._drop_job(job)
             if old is None or old.stage == OPEN:
@@ -140,7 +150,7 @@
         self.planning_trigger.set()
 
     def _drop_job(self, job: Job) -> None:
-        """Drop the allocations of a job that is over, and stop its tasks without grace."""
+        """Drop the allocations of a closed job, and stop its tasks without a grace period."""
         self.deadlines.drop(job.id)
         for state in self.states.values():
             allocation = state.allocations.pop(job.id, None)
@@ -153,10 +163,10 @@
                     self.agents.stop(placement, 0.0)
 
     def update_allocation(self, job: Job, shard: int) -> None:
-        """Make a shard's allocation of a job match the job's record."""
+        """Bring a shard's allocation of a job in line with the job's record."""
         state = self.states.get(shard)
         if state is None:
-            return  # another leader acquired the shard during the write
+            return  # another controller acquired the shard during the write
         ranges = [(r.first, r.end) for r in job.record.ranges if r.shard == shard]
         allocation = state.allocations.get(job.id)
         if allocation is None:
@@ -177,7 +187,7 @@
             state.gangs.pop(job.id, None)
 
     def adopt(self, placement: Placement) -> bool:
-        """Take over a running task that an earlier leader started; False: it is to be stopped."""
+        """Adopt a running task that an earlier leader started; return False if it must stop."""
         state = self.states.get(placement.machine.shard)
         if state is None:
             return False
@@ -187,7 +197,7 @@
         return self._attach(placement)
 
     def _attach(self, placement: Placement) -> bool:
-        """Count a running task as placed; stop it if it is another shard's or runs twice."""
+        """Record a running task as placed; stop it if another shard has it or it runs twice."""
         state = self.states[placement.machine.shard]
         allocation = state.allocations.get(placement.job.id)
         if allocation is None or placement.task in allocation.placed:
@@ -201,7 +211,7 @@
         return True
 
     def task_completed(self, placement: Placement, ran: float) -> None:
-        """A task in one of our shards has finished after `ran` seconds."""
+        """Record that a task in a led shard finished after running for `ran` seconds."""
         self.estimates.learn(placement.spec, ran)
         state = self.states.get(placement.machine.shard)
         allocation = state.allocations.get(placement.job.id) if state else None
@@ -211,7 +221,7 @@
         self.job_index.task_done(placement.job, placement.task, urgent=is_last_task)
 
     def placement_lost(self, placement: Placement, cause: str) -> None:
-        """The task is on no machine any more: it is finished, or becomes pending again."""
+        """Remove a placement whose task has left its machine; requeue the task if unfinished."""
         state = self.states.get(placement.machine.shard)
         if state is None:
             return
@@ -234,7 +244,8 @@
             elif cause == agent_api.UNKNOWN:
                 allocation.not_before = trio.current_time() + self.agent_heartbeat_s
         if job.spec.kind == user_api.GANG and not job.is_finished(placement.task):
-            # The other tasks can't go on; the next attempt starts once all are stopped.
+            # A gang can't run without one of its tasks; the next attempt starts once all are
+            # stopped.
             for remaining in list(allocation.placed.values()):
                 self.agents.stop(remaining, job.spec.save)
         self.planning_trigger.set()
--- a/pitchtally/scheduling/shards/shard_statuses.py
+++ b/pitchtally/scheduling/shards/shard_statuses.py
@@ -1,4 +1,4 @@
-"""The newest status of every shard, from our own planning and from peer heartbeats."""
+"""The newest status of every shard, from this controller's planning and peer heartbeats."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from ..context import SchedulingContext
 from .allocations import ShardState
 
-# Peer heartbeats after which a shard's status includes the tasks assigned to it before.
+# Number of peer heartbeats after which a shard's status includes an assignment of tasks to it.
 REPORTING_HEARTBEATS = 3
 
 
@@ -34,7 +34,7 @@
 
 
 class CapacityKey(NamedTuple):
-    """What `ShardStatuses.free_capacity` depends on, besides the status."""
+    """Cache key of `ShardStatuses.free_capacity`: its inputs besides the status."""
 
     by_preemption: bool
     resources: Resources
@@ -44,7 +44,7 @@
 
 
 class ShardStatuses:
-    """The newest status of every shard, and results derived from it, cached until the next."""
+    """The newest status of every shard, and values derived from it, cached until it changes."""
 
     def __init__(
         self,
@@ -58,10 +58,11 @@
         self.estimates = context.estimates
         self.membership = membership
         self.shards = shards
-        self.newest: dict[int, ShardStatus] = {}  # of every shard, ours included
-        self.received_at: dict[int, float] = {}  # of statuses from peers
-        self.unreported: dict[int, list[UnreportedAllocation]] = {}  # by shard
-        # Caches by shard.
+        self.newest: dict[int, ShardStatus] = {}  # shard -> status; includes led shards
+        self.received_at: dict[int, float] = {}  # shard -> receipt time; peers' shards only
+        # Shard -> tasks that its newest status may not include yet.
+        self.unreported: dict[int, list[UnreportedAllocation]] = {}
+        # Caches, by shard.
         self.capacities: dict[int, dict[CapacityKey, int]] = {}  # see `free_capacity`
         self.capacities_by_zone: dict[
             int, dict[tuple[object, ...], dict[str, int]]
@@ -74,7 +75,7 @@
         self._invalidate(status.shard)
 
     def take_heartbeat(self, heartbeat: PeerHeartbeat) -> None:
-        """Store the statuses of the shards that a peer leads; ignore others in its heartbeat."""
+        """Store the statuses of shards that the sending peer leads; ignore all others."""
         for status in heartbeat.shards:
             leader = self.membership.leader(status.shard)
             if leader != heartbeat.node:
@@ -87,13 +88,13 @@
             self.newest[status.shard] = status
 
     def _invalidate(self, shard: int) -> None:
-        """Drop what was derived from a shard's last status."""
+        """Drop the values derived from a shard's previous status."""
         self.capacities.pop(shard, None)
         self.capacities_by_zone.pop(shard, None)
         self.groups.pop(shard, None)
 
     def groups_of(self, status: ShardStatus) -> dict[MachineGroupKey, list[MachineStatus]]:
-        """The machines of a status by group; a job allows all machines of a group, or none."""
+        """Return the machines of a status by group; a job allows all or none of a group."""
         groups = self.groups.get(status.shard)
         if groups is None:
             groups = self.groups[status.shard] = {}
@@ -103,7 +104,7 @@
         return groups
 
     def drop_reported_allocations(self, now: float) -> None:
-        """Drop allocations so old that the shard's own status includes them."""
+        """Drop allocations old enough to be included in the shard's status."""
         max_age_s = self.policy.heartbeat_interval * REPORTING_HEARTBEATS
         for shard, allocations in list(self.unreported.items()):
             self.unreported[shard] = [
@@ -113,15 +114,15 @@
                 del self.unreported[shard]
 
     def led_statuses(self) -> list[ShardStatus]:
-        """The statuses that this controller sends: of the shards that it leads."""
+        """Return the statuses of the shards that this controller leads, for its peers."""
         return [self.newest[shard] for shard in self.shards if shard in self.newest]
 
     def free_capacity(
         self, status: ShardStatus, spec: user_api.JobSpec, *, by_preemption: bool
     ) -> int:
-        """How many tasks the shard's machines could start now, or by preemption."""
+        """Return how many tasks fit on the shard's machines now, or with preemption."""
         resources = resource_request(spec)
-        # A status is replaced a few times a second, and this is asked far more often.
+        # A status is replaced a few times per second, and this method is called far more often.
         task_counts = self.capacities.setdefault(status.shard, {})
         key = CapacityKey(by_preemption, resources, spec.types, spec.zone, spec.spot)
         count = task_counts.get(key)
@@ -144,7 +145,7 @@
         return total
 
     def record_allocation(self, shard: int, spec: user_api.JobSpec, count: int) -> None:
-        """Lower a shard's availability at once, before its next status includes the tasks."""
+        """Record assigned tasks, which lowers a shard's availability before its next status."""
         suitable_types = [
             machine_type
             for machine_type in self.machine_types().values()
@@ -160,7 +161,7 @@
             self.unreported.setdefault(shard, []).append(allocation)
 
     def running(self, id: str) -> int:
-        """How many tasks of a job run, as far as this controller knows; for display only."""
+        """Return how many tasks of a job are reported as running; for display only."""
         return sum(
             load.running
             for shard in self.shards
--- a/pitchtally/scheduling/shards/task_start.py
+++ b/pitchtally/scheduling/shards/task_start.py
@@ -1,4 +1,4 @@
-"""Places tasks on machines, under attempt numbers that are never used twice."""
+"""Placement of tasks on machines, under attempt numbers that are never reused."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def next_attempt(agents: AgentManager, shard: int) -> int:
-    """The attempt number of the next start in a shard; no leader of it has used it before."""
+    """Return an attempt number that no leader of the shard has used before."""
     return agents.shards[shard].next_attempt()
 
 
