--- a/pitchtally/scheduling/placement/allotment.py
+++ b/pitchtally/scheduling/placement/allotment.py
@@ -1,4 +1,4 @@
-"""Pending tasks of a shard distributed over the queues of its machine groups."""
+"""Distribution of a shard's pending tasks over the queues of its machine groups."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from ..shards.eligibility import machine_allowed
 from ..shards.machine_queues import add_to_queue, machine_queue, task_work
 
-# Machine-seconds: the least cost of a task where costs divide.
+# Lower bound of a task's cost in machine-seconds where it is a divisor.
 MIN_TASK_COST_S = 1e-6
 
 
 class Allotment:
-    """Distributes pending tasks over machine queues by availability; gangs need no queue."""
+    """Distributes pending tasks over machine queues by availability, except tasks of gangs."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         self.shards = shards
 
     def allot(self, shard: int) -> None:
-        """Make the machine queues of a shard hold all pending tasks of its arrays and services."""
+        """Queue all pending tasks of a shard's arrays and services on its machine groups."""
         state = self.shards[shard]
         now = trio.current_time()
         for id, allocation in state.allocations.items():
@@ -43,16 +43,16 @@
             if unqueued <= 0:
                 continue
             if queued and now - allocation.allotted_at < self.agent_heartbeat_s:
-                continue  # a few became pending since: they start without a queue as well
+                continue  # the few tasks that became pending since start without a queue entry
             allocation.allotted_at = now
             groups = self._allowed_groups(state, allocation)
             if groups:
                 self._enqueue(state, id, allocation, groups, unqueued)
 
     def _shorten_queues(self, state: ShardState, id: str, pending: int) -> int:
-        """Drop queued tasks beyond those pending, longest queue first; how many stay queued.
+        """Drop queued tasks in excess of pending ones, longest queue first; return those left.
 
-        Tasks leave the pending ones without their queue when they move to another shard.
+        When pending tasks move to another shard, their queue entries aren't removed with them.
         """
         queued = sum(queue.get(id, 0) for queue in state.queues.values())
         if queued > pending:
@@ -66,7 +66,7 @@
     def _allowed_groups(
         self, state: ShardState, allocation: ShardAllocation
     ) -> dict[MachineGroupKey, MachineGroup]:
-        """The machine groups with a machine that may run tasks of the job."""
+        """Return the machine groups with a machine that may run tasks of the job."""
         return {
             key: group
             for key, group in state.machine_groups.items()
@@ -84,7 +84,7 @@
         groups: dict[MachineGroupKey, MachineGroup],
         count: int,
     ) -> None:
-        """Add tasks of a job to the queues of these groups, in proportion to availability."""
+        """Add `count` tasks of a job to the queues of groups, in proportion to availability."""
         costs = [
             task_work(self.estimates, allocation.spec, group.machine_type)
             for group in groups.values()
@@ -93,7 +93,7 @@
             state, allocation, list(groups.values()), costs, count
         )
         if not sum(weights):
-            # Not available at the largest sample either: by the speed of each group alone.
+            # Nothing is available even at the largest stretch sample: weight by speed alone.
             weights = [
                 group.batch_machines / max(cost, MIN_TASK_COST_S)
                 for cost, group in zip(costs, groups.values(), strict=True)
@@ -114,10 +114,11 @@
         costs: list[float],
         count: int,
     ) -> list[int]:
-        """Tasks available on each group at the least stretch sample that covers `count`.
+        """Return each group's available tasks at the least stretch sample that covers `count`.
 
-        The paper's algorithm 4, on availability by algorithm 3; at the largest sample if none
-        covers them. `costs`: a of the paper, for each group.
+        This is the paper's algorithm 4, on availability by algorithm 3. If no sample covers the
+        tasks, the largest is used. `costs`: machine-seconds of a task on each group (a of the
+        paper).
         """
         now = trio.current_time()
         queues = [machine_queue(state, group, allocation.rank) for group in groups]
--- a/pitchtally/scheduling/placement/draining.py
+++ b/pitchtally/scheduling/placement/draining.py
@@ -7,13 +7,13 @@
 from ..context import SchedulingContext
 from ..shards.allocations import ShardState
 
-# A task ends in time if this many times what is left of it fits into the notice: the notice
-# may be cut short, and estimates are rough.
+# A task is expected to end in time if this multiple of its remaining run time fits into the
+# notice: the cloud may cut the notice short, and estimates are rough.
 NOTICE_MARGIN_RATIO = 2
 
 
 class DrainingEviction:
-    """Stops tasks that won't finish before the cloud preempts their machine."""
+    """Stops tasks that aren't expected to finish before the cloud preempts their machine."""
 
     def __init__(
         self,
@@ -25,9 +25,9 @@
         self.shards = shards
 
     def evict_draining(self, shard: int) -> None:
-        """Checkpoint and stop the tasks that won't finish on machines under a notice.
+        """Checkpoint and stop the tasks that won't finish on machines under a preemption notice.
 
-        Otherwise they would lose their progress, and could not start again until the machine's
+        Otherwise they would lose their progress, and couldn't start again until the machine's
         lease has expired.
         """
         now = trio.current_time()
--- a/pitchtally/scheduling/placement/placer.py
+++ b/pitchtally/scheduling/placement/placer.py
@@ -1,4 +1,4 @@
-"""Which array and service tasks start on a machine whose agent has just sent a heartbeat."""
+"""Selection of the array and service tasks that start on a machine upon its heartbeat."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from ..shards.lower_price_capacity import TaskCapacity
 from ..shards.task_start import next_attempt, place_task
 
-# Ratios of another machine's price for a task to this one's: below the first it is lower,
-# below the second similar.
+# Another machine's price for a task, divided by this machine's price: below the first ratio
+# the price counts as lower, below the second as similar.
 LOWER_PRICE_RATIO, SIMILAR_PRICE_RATIO = 0.8, 1.2
-# Machines of a group that are tried to find out whether the job may use the group.
+# Number of machines of a group that are checked to decide whether a job may use the group.
 GROUP_SAMPLE_MACHINES = 3
-# Resources below this count as none.
+# A smaller amount of a resource counts as none.
 MIN_AVAILABLE_AMOUNT = 1e-6
 
 
@@ -48,7 +48,7 @@
         self.gang_starter = gang_starter
 
     def schedule_on(self, machine: Machine) -> list[Placement]:
-        """Place tasks on a machine whose agent sent a heartbeat; all placements yet to start."""
+        """Place tasks on a machine whose agent sent a heartbeat; return those to start."""
         now = trio.current_time()
         state = self.shards.get(machine.shard)
         if state is None or not state.loaded:
@@ -93,10 +93,10 @@
     def _startable_jobs(
         self, state: ShardState, machine: Machine, available: Resources, now: float
     ) -> list[str]:
-        """Jobs of which a task could start on the machine now, in priority order.
+        """Return the jobs of which a task could start on the machine now, in priority order.
 
-        A job whose queue the machine serves comes first among equals; fetching its image delays
-        a job's deadline.
+        Among jobs of equal priority, those queued on the machine's group come first. The time
+        to fetch an image that isn't cached is added to the job's deadline.
         """
         reserved_for = self._reserved_for(state, machine, now)
         group_queue = state.queues.get(machine.group, {})
@@ -128,7 +128,7 @@
         return [candidate[-1] for candidate in sorted(candidates)]
 
     def _reserved_for(self, state: ShardState, machine: Machine, now: float) -> str | None:
-        """The job that the machine is reserved for; end a reservation not needed any more."""
+        """Return the job that the machine is reserved for; end an obsolete reservation."""
         if machine.reservation is None:
             return None
         id, until = machine.reservation
@@ -146,7 +146,7 @@
         available: Resources,
         now: float,
     ) -> int:
-        """How many tasks of a job may start on a machine with this much available."""
+        """Return how many tasks of a job may start on a machine with these free resources."""
         spec = allocation.spec
         limit = min(count_fitting(allocation.resources, available), allocation.pending.count)
         if limit:
@@ -157,7 +157,7 @@
         if allocation.aged:
             limit = min(limit, 1)
         if allocation.faulty:
-            # One task at a time is enough to find out whether it still fails.
+            # One task at a time is enough to detect whether the job still fails.
             limit = min(limit, 1 - len(allocation.placed))
         if spec.spread and spec.tasks > 1 and limit:
             zone = machine.zone
@@ -170,7 +170,7 @@
         if available is not None:
             available.subtract(count)
         if allocation.aged:
-            allocation.aged = False  # it has started: the next job's turn
+            allocation.aged = False  # precedence ends with the start of one task
             if machine.reservation and machine.reservation.job_id == allocation.job.id:
                 machine.reservation = None
         if not allocation.pending.count:
@@ -179,14 +179,14 @@
     def _lower_price_capacity(
         self, state: ShardState, allocation: ShardAllocation, machine: Machine
     ) -> int:
-        """How many tasks of this job fit on machines of its shard that should be used first.
+        """Return how many tasks of a job fit on machines of its shard that should be used first.
 
         Their agents send heartbeats within `agent_heartbeat_s`, so the tasks wait that long at
-        most, and the more expensive machine stays free for others or is terminated.
+        most, and the more expensive machine stays free for other jobs or is terminated.
         """
         spec = allocation.spec
         if self.agent_heartbeat_s > self.policy.defer_share * self.priorities.slack(spec):
-            return 0  # this class can't wait even for one heartbeat
+            return 0  # jobs of this class can't wait for even one heartbeat
         price = self.price(spec, machine)
         total = 0
         for group, machine_group in state.machine_groups.items():
@@ -204,7 +204,7 @@
     def _capacity_in(
         self, state: ShardState, allocation: ShardAllocation, group: MachineGroupKey
     ) -> TaskCapacity:
-        """Tasks of a job that fit on a group, as of the last survey and the job's starts since."""
+        """Return the tasks of a job that fit on a group: at the last survey, less later starts."""
         capacity = allocation.capacity_by_group.get(group)
         if capacity is None:
             capacities = state.capacities.get(group)
@@ -218,7 +218,10 @@
     def _group_allowed(
         self, state: ShardState, allocation: ShardAllocation, group: MachineGroupKey
     ) -> bool:
-        """Whether the job may use a group; a sample is enough, as it failed on few machines."""
+        """Return whether the job may use a group, by a sample of its machines.
+
+        A sample is enough, since the job avoids only the few machines on which it failed.
+        """
         machines = state.machine_groups[group].machines
         return any(
             machine_allowed(allocation, machine, self.policy.unhealthy_rest)
@@ -226,7 +229,7 @@
         )
 
     def price(self, spec: user_api.JobSpec, machine: Machine) -> float:
-        """The price per hour of the machine's share that one task of the job uses."""
+        """Return the price per hour of the share of the machine that one task of the job uses."""
         machine_type = machine.machine_type
         if machine_type is None:
             return math.inf
@@ -236,7 +239,7 @@
         return per_hour * dominant_share(resource_request(spec), machine_type)
 
     def _dequeue(self, state: ShardState, group: MachineGroupKey, id: str) -> None:
-        """Dequeue a started task: from the group's queue, else from the longest with the job."""
+        """Dequeue a started task from the group's queue, else from the longest that has the job."""
         group_queue = state.queues.get(group)
         if group_queue and group_queue.get(id, 0):
             group_queue[id] -= 1
--- a/pitchtally/scheduling/placement/preemption.py
+++ b/pitchtally/scheduling/placement/preemption.py
@@ -1,4 +1,4 @@
-"""Preemption: of lower ranks, and of teams over their guarantee for teams within theirs."""
+"""Preemption of lower ranks, and of teams over their guarantee by teams within theirs."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 class Step(NamedTuple):
     """Capacity for one more task on a machine, and the placements to stop for it."""
 
-    cost: float  # work lost on the machine by this step and those before it
+    cost: float  # work lost on the machine by this step and the preceding ones
     machine_name: str
     machine: Machine
-    victims: list[Placement]  # none where the capacity is available already
+    victims: list[Placement]  # empty where the capacity is already free
 
 
 class Victim(NamedTuple):
@@ -39,13 +39,13 @@
     placement: Placement
 
 
-# Jobs that may preempt in one planning round; others may in the next.
+# Maximum number of jobs that preempt in one planning round; the others may in the next.
 MAX_PREEMPTING_JOBS = 8
-# The least weight of a task's CPUs in its loss.
+# Minimum number of CPUs by which a task's loss is weighted.
 MIN_LOSS_CPUS = 0.1
-# The loss by stopping any running task.
+# Loss added for stopping any running task, in task-seconds weighted by CPUs.
 BASE_LOSS_CPU_S = 0.1
-# Agent heartbeat intervals after the grace for which machines stay reserved for the job.
+# Agent heartbeat intervals for which machines stay reserved after the victims' grace period.
 RESERVATION_INTERVALS = 3
 
 
@@ -81,7 +81,7 @@
             if not sum(state.running_by_rank[allocation.rank + 1 :]) and not (
                 within_guarantee and any(team != spec.team for team in over_guarantee)
             ):
-                continue  # there is nothing here that it may preempt
+                continue  # the shard runs nothing that the job may preempt
             tasks_at_once = spec.tasks if allocation.gang else 1
             if self.quotas.tasks_within_limit(shard, spec) < tasks_at_once:
                 continue
@@ -97,13 +97,13 @@
                 self._stop_victims(state, allocation, chosen, now)
 
     def _may_preempt(self, state: ShardState, allocation: ShardAllocation, now: float) -> bool:
-        """Whether a job has been pending for long enough to preempt for it."""
+        """Return whether a job is ready and has been pending long enough to preempt for it."""
         if not allocation.pending.count:
             return False
         if not is_ready(state, allocation.job.id, allocation, now):
             return False
         if allocation.service:
-            return True  # available capacity is counted first, see `_choose`
+            return True  # `_choose` counts free capacity before it preempts
         if not allocation.gang:
             return now - allocation.pending_since >= self.policy.preempt_after
         attempt = allocation.job.record.attempt
@@ -111,7 +111,7 @@
 
     @staticmethod
     def _choose(allocation: ShardAllocation, steps: list[Step]) -> list[Step]:
-        """The cheapest steps that the job needs; none for a gang that couldn't start."""
+        """Return the cheapest steps that the job needs; none for a gang that couldn't start."""
         needed = allocation.pending.count
         chosen: list[Step] = []
         starts_by_zone: dict[str, int] = {}
@@ -121,11 +121,11 @@
             if cap.shard == allocation.shard
         }
         if allocation.spec.spread and not allocation.gang and allocation.spec.tasks > 1:
-            # A zone that has its half of the tasks already can't take more.
+            # A zone that already has its maximum of the tasks can't run more.
             for zone in {step.machine.zone for step in steps}:
                 zone_caps[zone] = allocation.max_tasks_in_zone(zone) - allocation.placed_in(zone)
         if not allocation.gang:
-            # Where capacity is available, the next agent heartbeat starts tasks anyway.
+            # Where capacity is free, the next agent heartbeat starts tasks without preemption.
             available = Counter(step.machine.zone for step in steps if not step.victims)
             for zone, free in available.items():
                 starts_by_zone[zone] = max(0, min(free, zone_caps.get(zone, free)))
@@ -141,13 +141,13 @@
             starts_by_zone[zone] = starts_by_zone.get(zone, 0) + 1
             chosen.append(step)
         if allocation.gang and len(chosen) < needed:
-            return []  # it starts all its tasks or none
+            return []  # a gang starts all its tasks or none
         return chosen
 
     def _stop_victims(
         self, state: ShardState, allocation: ShardAllocation, chosen: list[Step], now: float
     ) -> None:
-        """Stop the victims, and reserve their machines for the job until it starts."""
+        """Stop the victims, and reserve the chosen machines for the job until it starts."""
         victims = [victim for step in chosen for victim in step.victims]
         for victim in victims:
             for member in state.with_gang(victim):
@@ -171,7 +171,7 @@
         within_guarantee: bool,
         now: float,
     ) -> list[Step]:
-        """Every way to gain capacity for one more task, cheapest first."""
+        """Return all steps that gain capacity for one more task each, cheapest first."""
         steps: list[Step] = []
         for machine in self.agents.of_shard(shard):
             if self._may_start_on(allocation, machine, within_guarantee, now):
@@ -182,14 +182,14 @@
     def _may_start_on(
         self, allocation: ShardAllocation, machine: Machine, within_guarantee: bool, now: float
     ) -> bool:
-        """Whether a task of the job could start on a machine, were its capacity sufficient."""
+        """Return whether a task of the job could start on a machine with enough free capacity."""
         if not machine.schedulable or machine.quarantined_until >= now:
             return False
         reservation = machine.reservation
         if reservation and reservation.job_id != allocation.job.id and reservation.until >= now:
             return False
         if not within_guarantee:
-            # Only lower ranks are preempted, and their sum is known.
+            # Only lower ranks can be preempted, and the sum of their resources is maintained.
             max_available = machine.available().plus(machine.preemptible(allocation.rank))
             if not fits(allocation.resources, max_available):
                 return False
@@ -198,7 +198,7 @@
     def _victims_on(
         self, allocation: ShardAllocation, machine: Machine, within_guarantee: bool, now: float
     ) -> list[Victim]:
-        """Placements on a machine that the job may preempt, least loss last."""
+        """Return the placements on a machine that the job may preempt, least loss last."""
         victims = [
             Victim(self._loss(placement, now), placement)
             for placement in machine.placements.values()
@@ -210,7 +210,7 @@
     def _is_preemptible(
         self, allocation: ShardAllocation, placement: Placement, within_guarantee: bool
     ) -> bool:
-        """Whether the job may preempt a placement: by rank, or by its team's guarantee."""
+        """Return whether the job may preempt a placement, by rank or by its team's guarantee."""
         if placement.stop_grace is not None or placement.job.id == allocation.job.id:
             return False
         if _is_shared_gang(placement):
@@ -225,21 +225,21 @@
         )
 
     def _loss(self, placement: Placement, now: float) -> float:
-        """Work lost by a stop: the task-seconds since the last checkpoint, weighted by CPUs."""
+        """Return the work lost by a stop: task-seconds since the last checkpoint, times CPUs."""
         if placement.running_since is None or not placement.observed:
             return 0.0
         spec = placement.spec
         lost_s = now - placement.running_since
         if spec.checkpoint:
             lost_s = min(lost_s, spec.save)
-        tasks = spec.tasks if spec.kind == user_api.GANG else 1  # a gang stops as a whole
+        tasks = spec.tasks if spec.kind == user_api.GANG else 1  # all tasks of a gang stop
         return lost_s * max(placement.resources.cpus, MIN_LOSS_CPUS) * tasks + BASE_LOSS_CPU_S
 
 
 def _steps_on(allocation: ShardAllocation, machine: Machine, victims: list[Victim]) -> list[Step]:
-    """Steps on one machine, each dearer than the one before: their costs add up.
+    """Return the steps on one machine, in order; their costs are cumulative.
 
-    Removes the victims that it uses, from the end of the list.
+    Removes the victims that it uses from the end of `victims`.
     """
     resources = allocation.resources
     available = machine.available()
@@ -260,5 +260,8 @@
 
 
 def _is_shared_gang(placement: Placement) -> bool:
-    """Whether it belongs to a gang over several shards: one leader alone can't stop those."""
+    """Return whether a placement belongs to a gang over several shards.
+
+    A single shard leader can't stop all tasks of such a gang.
+    """
     return placement.job.record.attempt != 0
--- a/pitchtally/scheduling/placement/status_publisher.py
+++ b/pitchtally/scheduling/placement/status_publisher.py
@@ -1,4 +1,4 @@
-"""The statuses of the shards that this controller leads, for its peers and its own planning."""
+"""Statuses of the shards that this controller leads, for its peers and its own planning."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class StatusPublisher:
-    """Refreshes the statuses of our shards; their availability matrices only once a period."""
+    """Refreshes the statuses of led shards; their availability matrices only once per period."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         self.matrices_refreshed_at = LONG_AGO
 
     def refresh(self) -> float:
-        """Refresh the statuses of our shards; the seconds that it took."""
+        """Refresh the statuses of all led shards; return the seconds that it took."""
         now = trio.current_time()
         self.statuses.drop_reported_allocations(now)
         matrices_due = now - self.matrices_refreshed_at >= self.policy.period
@@ -68,7 +68,7 @@
         matrices_due: bool,
         now: float,
     ) -> None:
-        """Replace the status of one shard; without new matrices it keeps those of the last."""
+        """Replace the status of one shard; keep the previous matrices if no new ones are due."""
         old = self.statuses.newest.get(shard)
         status = self._shard_status(shard, state, over_guarantee, now)
         if matrices_due or old is None or not old.matrix:
@@ -84,7 +84,7 @@
     def _shard_status(
         self, shard: int, state: ShardState, over_guarantee: set[str], now: float
     ) -> ShardStatus:
-        """The status of a shard without its matrices and its least stretch."""
+        """Return the status of a shard without its matrices and its least stretch."""
         machines = self.agents.of_shard(shard)
         reserved = [m for m in machines if m.reservation and m.reservation.until >= now]
         pending = _pending_tasks(state)
@@ -129,7 +129,7 @@
         )
 
     def _queued_seconds(self, state: ShardState, pending: dict[str, int]) -> float:
-        """The work of pending tasks, in CPU-seconds."""
+        """Return the work of pending tasks, in CPU-seconds."""
         queued = 0.0
         for id, count in pending.items():
             allocation = state.allocations[id]
@@ -137,7 +137,7 @@
         return queued
 
     def _matrices(self, state: ShardState, now: float) -> list[GroupMatrix]:
-        """The paper's availability matrices, one for each machine group."""
+        """Return the paper's availability matrices, one for each machine group."""
         matrices = []
         for key, group in state.machine_groups.items():
             queue = machine_queue(state, group, len(user_api.RANKS))
@@ -153,9 +153,10 @@
         return matrices
 
     def _used_over_guarantee(self, machine: Machine, over_guarantee: set[str]) -> Resources:
-        """What teams over their guarantee use, except the lowest rank and gangs.
+        """Return the resources that teams over their guarantee use, without some tasks.
 
-        The lowest rank is preemptible anyway, and gangs aren't preempted for a guarantee.
+        Tasks of the lowest rank are left out, since they are preemptible anyway, and so are
+        gangs, since they aren't preempted for a guarantee.
         """
         used = NO_RESOURCES
         if over_guarantee:
@@ -170,7 +171,7 @@
         return used
 
     def _log_load(self, shard: int, state: ShardState) -> None:
-        """Log what is available and what is pending in a shard."""
+        """Log the free resources, pending tasks and quota usage of a shard."""
         capacities: dict[str, list[float]] = {}
         for machine in self.agents.of_shard(shard):
             if machine.schedulable and machine.machine_type is not None:
@@ -200,7 +201,7 @@
         )
 
     def _machine_flag(self, machine: Machine, now: float) -> MachineFlag:
-        """Why tasks may not start on a machine, the most lasting reason first."""
+        """Return why tasks may not start on a machine; of several reasons the most lasting."""
         if machine.lost:
             return MachineFlag.LOST if machine.confirmed else MachineFlag.SUSPECT
         if machine.preemption_at is not None:
@@ -215,7 +216,7 @@
 
 
 def _pending_tasks(state: ShardState) -> dict[str, int]:
-    """Pending tasks by job; one of a faulty job, since a single machine is enough to retry it."""
+    """Return pending tasks by job; 1 for a faulty job, which one machine is enough to retry."""
     return {
         id: 1 if allocation.faulty and not allocation.gang else allocation.pending.count
         for id, allocation in state.allocations.items()
@@ -224,7 +225,7 @@
 
 
 def _ready_gangs(state: ShardState) -> set[str]:
-    """The ready gangs that the shard still has, and that still are over several shards."""
+    """Return the ready gangs that the shard still has and that still span several shards."""
     return {
         id
         for id in state.ready_gangs
--- a/pitchtally/scheduling/placement/survey.py
+++ b/pitchtally/scheduling/placement/survey.py
@@ -1,4 +1,4 @@
-"""The survey of a shard: machine groups, their loads and capacities, anew each round."""
+"""Survey of a shard: rebuilds its machine groups, loads and capacities on each round."""
 
 from __future__ import annotations
 
@@ -17,8 +17,9 @@
 from ..shards.lower_price_capacity import list_capacities
 from ..shards.machine_queues import add_to_queue, machine_queue
 
-LEAST_STRETCH_TOLERANCE_RATIO = 0.05  # of the least stretch of a queue, relative
-# Agent heartbeat intervals after which a machine isn't expected to start a task soon.
+LEAST_STRETCH_TOLERANCE_RATIO = 0.05  # relative tolerance of the search for the least stretch
+# Agent heartbeat intervals without a heartbeat after which a machine isn't expected to start a
+# task soon.
 HEARTBEAT_TIMEOUT_INTERVALS = 1.5
 
 NO_LEAST_STRETCH = CachedLeastStretch(-math.inf, 0.0)
@@ -45,8 +46,8 @@
     def survey(self, shard: int) -> None:
         """Rebuild the machine groups of a shard with their loads and capacities.
 
-        This is the only pass over all machines and allocations; an agent heartbeat uses its
-        results, and sums that are updated with each change.
+        This is the only pass over all machines and allocations. The handling of an agent
+        heartbeat reads its results, and sums that are updated with each change.
         """
         state = self.shards[shard]
         now = trio.current_time()
@@ -69,7 +70,7 @@
         self._refresh_least_stretches(state, now)
 
     def _refresh_allocations(self, state: ShardState) -> dict[str, float]:
-        """Refresh allocations and the smallest request; expected seconds of one task, by job."""
+        """Refresh allocations and the smallest request; return the seconds of a task, by job."""
         task_seconds: dict[str, float] = {}
         min_cpus = min_memory = math.inf
         for id, allocation in state.allocations.items():
@@ -83,12 +84,15 @@
         return task_seconds
 
     def _add_to_group(self, state: ShardState, machine: Machine, now: float) -> None:
-        """Add a machine to its group if tasks may start there; else drop starts not sent yet."""
+        """Add a machine to its group if tasks may start there; clear an unschedulable machine.
+
+        Clearing stops the tasks that the agent has not yet been commanded to start.
+        """
         usable = machine.schedulable
         if not usable:
             for placement in list(machine.placements.values()):
                 if not placement.start_heartbeat_seq and not placement.observed:
-                    # Placed before the machine became unschedulable; not commanded yet.
+                    # Placed before the machine became unschedulable, and not yet commanded.
                     self.agents.stop(placement, 0.0)
         if not usable or machine.quarantined_until >= now or machine.machine_type is None:
             return
@@ -100,7 +104,7 @@
     def _add_loads(
         self, state: ShardState, shard: int, task_seconds: dict[str, float], now: float
     ) -> None:
-        """Count the running tasks by rank, and their remaining work in their machine group."""
+        """Add the running tasks to the counts by rank, and their work to their machine groups."""
         for group, jobs in self.agents.placements.loads.get(shard, {}).items():
             machine_group = state.machine_groups.get(group)
             for id, load in jobs.items():
@@ -108,8 +112,8 @@
                 seconds = task_seconds.get(id)
                 if machine_group is None or seconds is None:
                     continue
-                # This includes tasks on unschedulable machines: those are few, and their tasks
-                # will need capacity of the group again.
+                # This includes tasks on unschedulable machines. Those machines are few, and
+                # their tasks will need capacity of the group again.
                 share = dominant_share(load.resources, machine_group.machine_type)
                 if state.allocations[id].service:
                     machine_group.service_machines += load.count * share
@@ -118,12 +122,15 @@
                 machine_group.ranks[id] = load.rank
 
     def _refresh_least_stretches(self, state: ShardState, now: float) -> None:
-        """The least stretch of each group (the paper's algorithm 2), once an agent heartbeat."""
+        """Update the least stretch of each group (the paper's algorithm 2).
+
+        A value is recomputed at most once per agent heartbeat interval.
+        """
         for group, machine_group in state.machine_groups.items():
             cached = state.least_stretch_cache.get(group, NO_LEAST_STRETCH)
             machine_group.least_stretch = cached.least_stretch
             if now - cached.computed_at < self.agent_heartbeat_s:
-                continue  # it changes with the queue as a whole, not with each task
+                continue  # a single task hardly changes the least stretch of a queue
             queue = machine_queue(state, machine_group, len(user_api.RANKS))
             machine_group.least_stretch = max(
                 stretch.least_stretch(queue, now, LEAST_STRETCH_TOLERANCE_RATIO),
