--- a/pitchtally/scheduling/quotas/quota_transfer.py
+++ b/pitchtally/scheduling/quotas/quota_transfer.py
@@ -22,14 +22,14 @@
 
 
 class _Shortage(NamedTuple):
-    """What a shard's pending tasks of a team lack of its share."""
+    """Quota that a shard's pending tasks of a team need beyond the unused part of its share."""
 
-    total: ShardQuotaShare  # for all that machines there have capacity for
-    smallest: ShardQuotaShare  # for the one task, or gang, that lacks the least
+    total: ShardQuotaShare  # for all pending tasks that the shard has capacity for
+    smallest: ShardQuotaShare  # for the single task, or gang, with the smallest need
 
 
 class QuotaTransfer:
-    """Transfers what a shard doesn't use of a team's limit to a shard that is short of it."""
+    """Transfers unused quota of a team from one shard to another that is short of it."""
 
     def __init__(
         self,
@@ -50,10 +50,11 @@
         self.range_writer = range_writer
 
     async def transfer(self) -> None:
-        """Transfer what our shards neither use nor have pending tasks for.
+        """Transfer the quota that led shards neither use nor have pending tasks for.
 
-        One commit lowers our share and raises the other's. Our share counts as lowered from
-        before the commit is sent until its outcome is known.
+        One commit lowers the share of a led shard and raises the share of the target. The
+        source's share counts as lowered from before the commit is sent until its outcome is
+        known.
         """
         for shard, state in list(self.shards.items()):
             token = self.membership.token(shard)
@@ -64,11 +65,11 @@
                 if not self.quotas.has_limit(team.name) or in_flight:
                     continue
                 if self.shards.get(shard) is not state:
-                    break  # lost while a share of it was being transferred
+                    break  # the shard was lost during a transfer
                 await self._transfer_spare(shard, state, token, team)
 
     async def _transfer_spare(self, shard: int, state: ShardState, token: int, team: Team) -> None:
-        """Transfer what a shard has to spare to the first shard that it is of use to."""
+        """Transfer a shard's spare quota to the first shard that can use it."""
         spare = self._spare(shard, state, team.name)
         for target in self.statuses.newest.values():
             if target.shard == shard:
@@ -80,7 +81,7 @@
             gang = self.quotas.short_of_quota.get(team.name)
             if gang is not None:
                 if gang.shard != target.shard:
-                    continue  # the gang that is short of quota comes first
+                    continue  # the gang that is short of quota takes precedence
             elif not fits(Resources(*shortage.smallest, 0.0), Resources(*amount, 0.0)):
                 continue  # not enough to start even one task there
             if amount.cpus > TOLERANCE or amount.gpus > TOLERANCE:
@@ -88,7 +89,7 @@
                 return
 
     def _spare(self, shard: int, state: ShardState, team: str) -> ShardQuotaShare:
-        """What is left of a shard's share once its pending tasks that can start have theirs."""
+        """Return the part of a shard's share that neither running nor startable tasks need."""
         share, used = self.quotas.share(shard, team), self.quotas.use(shard, team)
         cpus, gpus = share.cpus - used.cpus, share.gpus - used.gpus
         for allocation in state.allocations.values():
@@ -99,7 +100,7 @@
                 and not self.quotas.yields_to_gang(spec)
             ):
                 count = self._startable(self.statuses.newest[shard], spec, allocation.pending.count)
-                # What is too little for one more task here may complete one elsewhere.
+                # A remainder too small for another task here may be enough for one elsewhere.
                 count = min(count, count_fitting(limited_request(spec), Resources(cpus, gpus, 0.0)))
                 cpus -= spec.cpus * count
                 gpus -= spec.gpus * count
@@ -109,17 +110,17 @@
         )
 
     def _startable(self, status: ShardStatus, spec: user_api.JobSpec, pending: int) -> int:
-        """How many pending tasks machines of a shard have capacity for, by preemption too.
+        """Return how many pending tasks fit on a shard's machines, including by preemption.
 
-        Quota transferred for tasks without capacity would lie idle while other shards have
-        capacity and no quota. What the lowest rank holds counts as capacity: preemption waits
-        for the quota, so the quota must not wait for preemption.
+        Quota transferred for tasks without capacity would stay unused while other shards have
+        capacity and no quota. Resources used by the lowest rank count as capacity: preemption
+        waits for quota, so a transfer that waited for preemption would be a deadlock.
         """
         by_preemption = spec.rank != user_api.RANKS[-1]
         return min(pending, self.statuses.free_capacity(status, spec, by_preemption=by_preemption))
 
     def _shortage(self, status: ShardStatus, team: str) -> _Shortage:
-        """What a shard's pending tasks of a team lack; nothing if none of them can start."""
+        """Return the quota that a shard lacks for a team; zero if no pending task can start."""
         share, used = self.quotas.share(status.shard, team), self.quotas.reported_use(status, team)
         unused = ShardQuotaShare(share.cpus - used.cpus, share.gpus - used.gpus)
         cpus = gpus = 0.0
@@ -175,5 +176,5 @@
 
 
 def _lacking(cpus: float, gpus: float, unused: ShardQuotaShare) -> ShardQuotaShare:
-    """What is missing of an amount beyond what is left of a share."""
+    """Return by how much an amount exceeds the unused part of a share."""
     return ShardQuotaShare(max(0.0, cpus - unused.cpus), max(0.0, gpus - unused.gpus))
--- a/pitchtally/scheduling/quotas/quotas.py
+++ b/pitchtally/scheduling/quotas/quotas.py
@@ -1,4 +1,4 @@
-"""Teams: guarantees, limits, and the durable shares of a limit that shards hold."""
+"""Quotas of teams: guarantees, limits, and the durable shares of a limit that shards hold."""
 
 from __future__ import annotations
 
@@ -21,20 +21,21 @@
 from ..shards.shard_statuses import ShardStatuses
 
 NO_SHARE = ShardQuotaShare(0.0, 0.0)
-# Tasks that a team without a limit may start at a time: more than any shard's machines hold.
+# Number of tasks that a team without a limit may start at once: more than fit into any shard.
 _UNLIMITED_TASKS = 1_000_000
-# In place of a shard, for a gang that no shard has yet.
+# Stands for the shard of a gang that isn't assigned to any shard yet.
 _NO_SHARD = -1
-# Agent heartbeats after which a gang short of quota comes before all of its team's arrays.
+# Agent heartbeat intervals after which a pending gang that is short of quota takes precedence
+# over all arrays of its team.
 _GANG_FIRST_INTERVALS = 4
-# The stretch at which deadlines of gangs and arrays are compared.
+# Stretch at which the deadlines of gangs and arrays are compared.
 _COMPARISON_STRETCH = 1.0
 
 
 class GangShortOfQuota(NamedTuple):
-    """A gang that machines have capacity for, but its team's limit, or a share of it, has not.
+    """A gang that fits on the machines, but not within its team's limit or a share of it.
 
-    In the order in which such gangs are served.
+    Such gangs are served in ascending order of these fields.
     """
 
     deadline: float
@@ -43,7 +44,7 @@
 
 
 class Quotas:
-    """What each team may use: its guarantee, its limit, and each shard's share of the limit."""
+    """Resources that each team may use: guarantee, limit, and each shard's share of the limit."""
 
     def __init__(
         self,
@@ -64,17 +65,20 @@
         self.teams: dict[str, Team] = {
             team.name: team for team in context.settings.deployment.teams
         }
-        # By shard and team: what `QuotaTransfer` is taking from the shard's share.
+        # By shard and team: the amount that `QuotaTransfer` is taking from the shard's share.
         self.transfers_in_flight: dict[tuple[int, str], ShardQuotaShare] = {}
-        # The first gang of each limited team that is short of quota.
+        # By limited team: the first of its gangs that are short of quota.
         self.short_of_quota: dict[str, GangShortOfQuota] = {}
 
     def share(self, shard: int, team: str) -> ShardQuotaShare:
-        """This shard's durable share of a team's limits; infinite without a limit."""
+        """Return a shard's durable share of a team's limit, less any transfer in flight.
+
+        The share of a resource without a limit is infinite.
+        """
         return ShardQuotaShare(*self._share(shard, team))
 
     def _share(self, shard: int, team: str) -> tuple[float, float]:
-        """`share` as a plain pair, for `tasks_within_limit`."""
+        """Return `share` as a plain tuple, which is faster for `tasks_within_limit`."""
         settings = self.teams.get(team)
         if settings is None:
             return NO_SHARE
@@ -90,39 +94,39 @@
         )
 
     def has_limit(self, team: str) -> bool:
-        """Whether a team has a limit; an unknown one counts as limited."""
+        """Return whether a team has a limit; an unknown team counts as limited."""
         settings = self.teams.get(team)
         return settings is None or settings.cpus_max > 0 or settings.gpus_max > 0
 
     def has_guarantee(self, team: str) -> bool:
-        """Whether a team has a guarantee."""
+        """Return whether a team has a guarantee."""
         settings = self.teams.get(team)
         return settings is not None and (settings.cpus > 0 or settings.gpus > 0)
 
     def use(self, shard: int, team: str) -> ResourceUse:
-        """CPUs and GPUs that a team's tasks take in a shard."""
+        """Return the CPUs and GPUs that a team's tasks use in a shard."""
         return self.agents.placements.team_use(shard, team)
 
     def reported_use(self, status: ShardStatus, team: str) -> ResourceUse:
-        """CPUs and GPUs that a team's tasks take in a shard according to its status."""
+        """Return the CPUs and GPUs that a team's tasks use in a shard according to its status."""
         return ResourceUse(*status.usage.get(team, NO_USE))
 
     def tasks_within_limit(self, shard: int, spec: user_api.JobSpec) -> int:
-        """How many more tasks of this job the team's share allows in the shard."""
+        """Return how many more tasks of a job the shard's share of the team's limit allows."""
         if not self.has_limit(spec.team):
             return _UNLIMITED_TASKS
         unreconciled = self._unreconciled_use(shard)
         if unreconciled is None:
             return 0
-        # Unpacked, since this runs on each agent heartbeat: fields by name are slower.
+        # Tuples are unpacked since this runs on each agent heartbeat and named fields are slower.
         share_cpus, share_gpus = self._share(shard, spec.team)
         used_cpus, used_gpus = self.use(shard, spec.team)
         cpus = share_cpus - used_cpus - unreconciled[0]
         gpus = share_gpus - used_gpus - unreconciled[1]
         if self.yields_to_gang(spec):
-            # The gang's shard leaves all that the gang requests, any other as much of it as
-            # it holds of the limit. Tasks within what remains start all the same, since shares
-            # may take long to reach the gang during an outage.
+            # The gang's shard reserves the gang's full request; any other shard reserves a part
+            # of the request in proportion to its share of the limit. Tasks within the remainder
+            # still start, since transfers to the gang's shard may take long during an outage.
             _, gang_shard, id = self.short_of_quota[spec.team]
             gang, team = self.job_index.open[id].spec, self.teams[spec.team]
             if team.cpus_max:
@@ -134,11 +138,12 @@
         return count_fitting(limited_request(spec), Resources(cpus, gpus, 0.0))
 
     def _unreconciled_use(self, shard: int) -> ResourceUse | None:
-        """The most that a team may use on machines not reconciled since the failover.
+        """Return the maximum that a team may use on machines not reconciled since the failover.
 
-        Any of them may run nothing but this team's tasks. None if that is unknown. A zone that
-        is cut off during a failover must not stop every limited team on the machines that
-        answer, so only the silent machines count.
+        Each of them may run only tasks of this team, so its full capacity counts. Return None
+        if the machines or their capacity are unknown. Only machines that haven't responded
+        count, so that a zone that is cut off during a failover doesn't stop every limited team
+        on the responding machines.
         """
         machines_with_orphans = self.agents.machines_with_orphans.get(shard)
         if self.shards[shard].reconciled and not machines_with_orphans:
@@ -147,7 +152,7 @@
         if agents_shard is None or not agents_shard.loaded:
             return None
         cpus = gpus = 0.0
-        # Orphans, tasks of jobs that are over, take an unknown amount until they end.
+        # Orphans (tasks of closed jobs) use an unknown amount until they end.
         for name in agents_shard.suspects | (machines_with_orphans or set()):
             machine = self.agents.machines.get(name)
             if machine is None or machine.machine_type is None:
@@ -156,10 +161,10 @@
         return ResourceUse(cpus, gpus)
 
     def yields_to_gang(self, spec: user_api.JobSpec) -> bool:
-        """Whether a gang of the team comes gang_job and is short of quota.
+        """Return whether the job must yield to a gang of its team that is short of quota.
 
-        Arrays take what frees up task by task, so a gang would never start under a limit
-        that its own team's arrays reach.
+        Arrays use freed quota task by task, so a gang would never start under a limit that its
+        own team's arrays reach.
         """
         gang = self.short_of_quota.get(spec.team)
         if gang is None or spec.kind == user_api.GANG:
@@ -167,8 +172,8 @@
         job, gang_job = self.job_index.open.get(spec.id), self.job_index.open.get(gang.job_id)
         if job is None or gang_job is None or RANK[spec.rank] < RANK[gang_job.spec.rank]:
             return False
-        # A gang's stretch deadline is far off for its size, while it needs little of the
-        # limit, and only once: after a few heartbeats it comes first.
+        # A gang's size puts its stretch deadline far in the future, although it needs little of
+        # the limit, and only once. After a few heartbeats it therefore takes precedence.
         pending_s = trio.current_time() - self.deadlines.release_time(gang_job)
         return (
             pending_s > self.agent_heartbeat_s * _GANG_FIRST_INTERVALS
@@ -176,7 +181,7 @@
         )
 
     def find_short_of_quota(self) -> None:
-        """For each limited team, find the first gang that has capacity on machines but no quota."""
+        """Find, for each limited team, the first gang that fits on machines but lacks quota."""
         self.short_of_quota.clear()
         self._find_unassigned_gangs()
         for status in self.statuses.newest.values():
@@ -191,7 +196,7 @@
                     self._record_short_of_quota(job, status.shard)
 
     def _find_unassigned_gangs(self) -> None:
-        """Gangs that no shard has, since the limit has no place for all of their tasks."""
+        """Record gangs that no shard has because the limit doesn't allow all of their tasks."""
         limited = {team for team in self.teams if self.has_limit(team)}
         for gang in self.job_index.open.values() if limited else ():
             if (
@@ -203,7 +208,7 @@
                 self._record_short_of_quota(gang, _NO_SHARD)
 
     def _is_short_of_share(self, status: ShardStatus, job: Job, count: int) -> bool:
-        """Whether a shard has capacity for these pending tasks, but too small a share."""
+        """Return whether a shard has capacity for `count` pending tasks, but too small a share."""
         spec = job.spec
         share, used = self.share(status.shard, spec.team), self.reported_use(status, spec.team)
         available = Resources(share.cpus - used.cpus, share.gpus - used.gpus, 0.0)
@@ -221,10 +226,10 @@
             self.short_of_quota[gang.spec.team] = entry
 
     def total_use(self, team: str) -> ResourceUse:
-        """A team's use in all shards: ours exactly, others' as last reported."""
+        """Return a team's use in all shards: exact for led shards, as last reported for others."""
         cpus = gpus = 0.0
         for shard, status in self.statuses.newest.items():
-            # Not `reported_use`, whose record would be made for each job on each heartbeat.
+            # `reported_use` would create an object for each job on each heartbeat.
             is_led = shard in self.shards
             use = self.use(shard, team) if is_led else status.usage.get(team, NO_USE)
             cpus += use[0]
@@ -232,10 +237,10 @@
         return ResourceUse(cpus, gpus)
 
     def within_guarantee(self, spec: user_api.JobSpec) -> bool:
-        """Whether the team, with one more such task, runs no more than its guarantee.
+        """Return whether the team stays within its guarantee with one more task of the job.
 
-        Guarantees decide order and preemption only, so peers' statuses are exact enough;
-        limits must never be exceeded and rest on durable shares instead.
+        Guarantees affect only priority order and preemption, so peers' statuses are exact
+        enough. Limits must never be exceeded and are enforced by durable shares instead.
         """
         team = self.teams.get(spec.team)
         if team is None or not (team.cpus or team.gpus):
@@ -246,7 +251,7 @@
         )
 
     def limit_left(self, spec: user_api.JobSpec) -> int:
-        """How many more tasks of a job its team's limit allows, over all shards."""
+        """Return how many more tasks of a job its team's limit allows over all shards."""
         team = self.teams.get(spec.team)
         if team is None:
             return 0
@@ -259,11 +264,11 @@
         return count_fitting(limited_request(spec), available)
 
     def other_team_over_guarantee(self, spec: user_api.JobSpec, preempting_team: str) -> bool:
-        """Whether the job's team isn't `preempting_team`, and runs more than its guarantee."""
+        """Return whether the job's team is over its guarantee and isn't `preempting_team`."""
         return spec.team != preempting_team and self.over_guarantee(spec.team)
 
     def over_guarantee(self, team_name: str) -> bool:
-        """Whether a team runs more than its guarantee."""
+        """Return whether a team uses more than its guarantee."""
         team = self.teams.get(team_name)
         if team is None:
             return False
