--- a/tests/scheduling/test_failure_attribution.py
+++ b/tests/scheduling/test_failure_attribution.py
@@ -1,4 +1,4 @@
-"""Failures are attributed to jobs or machines, and neither causes a storm of retries."""
+"""Failures are attributed to jobs or machines, and neither causes a flood of retries."""
 
 from __future__ import annotations
 
@@ -12,12 +12,13 @@
 GOOD, UNKNOWN, FAULTY = JobHealth.GOOD, JobHealth.UNKNOWN, JobHealth.FAULTY
 
 JOB_HEALTH: list[tuple[bool, int, list[float], JobHealth]] = [
-    # a task is done, machines that it failed on, how long its tasks run; failures took 3 s
+    # (whether a task has finished, machines on which the job failed, seconds that its tasks have
+    # run, health); the failed runs took 3 s
     (False, 0, [], UNKNOWN),
     (False, 1, [], UNKNOWN),
     (False, 2, [], FAULTY),
     (False, 9, [2.0, 8.0], FAULTY),
-    (False, 2, [8.1], GOOD),  # longer than its failures took
+    (False, 2, [8.1], GOOD),  # longer than its failed runs took
     (True, 9, [], GOOD),
 ]
 
@@ -47,7 +48,10 @@
 def test_broken_jobs_cause_no_storm_and_blame_no_machine(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Arrays that fail everywhere had healthy machines terminated, and hundreds of retries."""
+    """Arrays that fail everywhere must not cause quarantines or a flood of retries.
+
+    Such arrays once caused healthy machines to be terminated, and hundreds of retries.
+    """
 
     async def day(sim: Simulation) -> None:
         for number in (1, 2, 3):
@@ -62,12 +66,12 @@
             for c in sim.controllers.values()
             for m in c.agents.machines.values()
         )
-        # Failures on two machines of a shard classify a job as faulty, each with as many tasks
-        # as it holds at once.
+        # Failures on two machines of a shard classify a job as faulty; each machine fails as many
+        # tasks as fit on it at once.
         assert sim.world.rules.failures <= 3 * (6 * 8 + 3 * 8)
         before = sim.world.rules.failures
         await trio.sleep(60)
-        assert 0 < sim.world.rules.failures - before <= 3 * 3 * 8  # still retried, rarely
+        assert 0 < sim.world.rules.failures - before <= 3 * 3 * 8  # still retried, but rarely
         for number in (1, 2, 3):
             await sim.cancel(f"wk-{number:06d}")
         sim.check()
@@ -76,7 +80,7 @@
 
 
 def test_memory_of_failures_ends(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A job that failed on every machine runs once its mistake is corrected."""
+    """A job that failed on every machine runs after its fault has been corrected."""
 
     async def day(sim: Simulation) -> None:
         sim.world.capacity = len(sim.world.agents)  # the cloud has no other machine
--- a/tests/scheduling/test_pending_tasks.py
+++ b/tests/scheduling/test_pending_tasks.py
@@ -1,4 +1,4 @@
-"""Pending tasks, kept as ranges."""
+"""Pending tasks, stored as ranges."""
 
 from __future__ import annotations
 
--- a/tests/scheduling/test_preemption.py
+++ b/tests/scheduling/test_preemption.py
@@ -1,4 +1,4 @@
-"""The preemption steps that are chosen for a job, as a table."""
+"""Choice of the preemption steps for a job."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def _steps(*rows: tuple[str, int]) -> list[Step]:
-    """One step for each row of a zone and the number of its victims."""
+    """Return one step for each pair of a zone and a number of victims."""
     found: list[Step] = []
     for number, (zone, victims) in enumerate(rows):
         machine: Any = SimpleNamespace(zone=zone)
@@ -23,7 +23,7 @@
 
 
 def _allocation(pending: int, *, gang: bool = False, zones: dict[str, int] | None = None) -> Any:
-    """A job with pending tasks; `zones`: how many more of a spread one may be in each."""
+    """Return a job with pending tasks; `zones`: how many more a spread job may have in each."""
     return SimpleNamespace(
         pending=SimpleNamespace(count=pending),
         gang=gang,
@@ -41,13 +41,14 @@
 @pytest.mark.parametrize(
     ("allocation", "steps", "chosen"),
     [
-        (_allocation(2), _steps(A_FREE, A_FREE, A_TAKEN), []),  # the next heartbeat starts both
-        # Available capacity in a zone once counted against the limit of what preemption adds.
+        # The next heartbeat starts both tasks on free capacity.
+        (_allocation(2), _steps(A_FREE, A_FREE, A_TAKEN), []),
+        # Free capacity in a zone was once counted against the limit of tasks added by preemption.
         (_allocation(5), _steps(A_FREE, A_FREE, A_FREE, A_FREE, A_TAKEN, A_TAKEN), ["i-4"]),
         (_allocation(3), _steps(A_FREE, A_TAKEN, B_TAKEN, B_TAKEN), ["i-1", "i-2"]),
         (_allocation(2, gang=True), _steps(A_FREE, A_TAKEN), ["i-0", "i-1"]),
-        (_allocation(3, gang=True), _steps(A_FREE, A_TAKEN), []),  # still too small
-        # Of a spread job two more may be in a, one in b.
+        (_allocation(3, gang=True), _steps(A_FREE, A_TAKEN), []),  # too few steps to start the gang
+        # A spread job that may have two more tasks in zone a and one in zone b.
         (_allocation(3, zones={"a": 2, "b": 1}), _steps(A_TAKEN, A_TAKEN, A_TAKEN), ["i-0", "i-1"]),
         (_allocation(3, zones={"a": 2, "b": 1}), _steps(A_FREE, A_FREE, A_FREE, B_TAKEN), ["i-3"]),
         (_allocation(3, zones={"a": 0, "b": 1}), _steps(A_TAKEN, A_FREE, B_TAKEN), ["i-2"]),
--- a/tests/scheduling/test_quotas.py
+++ b/tests/scheduling/test_quotas.py
@@ -1,4 +1,4 @@
-"""How many tasks of a team one shard may start."""
+"""Number of tasks of a team that one shard may start."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 )
 
 SUSPECTS = [
-    # suspect machines of 64 CPUs, tasks of 2 CPUs that may start
+    # (suspect machines of 64 CPUs, tasks of 2 CPUs that may start)
     (0, 100),
     (1, 68),
     (3, 4),
@@ -26,12 +26,12 @@
 def test_limited_team_may_start_what_suspect_machines_can_not_hold(
     suspects: int, startable: int
 ) -> None:
-    """Suspect machines may run the team's tasks up to their capacity; the rest may start."""
+    """Suspect machines count as full of the team's tasks; the rest of its share may start."""
 
     async def main() -> None:
         leader = leader_of_shard(0, 50)
         shard = leader.agents.shards[0]
-        leader.scheduler.quotas.teams = {"free": Team("free", cpus_max=600.0)}  # 200 for each shard
+        leader.scheduler.quotas.teams = {"free": Team("free", cpus_max=600.0)}  # 200 per shard
         leader.scheduler.shards.states[0].reconciled = not suspects
         for number in range(suspects):
             name = f"i-{number * 3:06d}"
