--- a/tests/scheduling/test_failure_attribution.py
+++ b/tests/scheduling/test_failure_attribution.py
@@ -45,7 +45,7 @@
     assert is_unhealthy(counts, {id: s for id, (_, s) in failures.items()}) is found
 
 
-def test_broken_jobs_cause_no_storm_and_blame_no_machine(
+def test_faulty_jobs_cause_no_retry_flood_and_no_quarantine(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Arrays that fail everywhere must not cause quarantines or a flood of retries.
