--- a/tests/scheduling/test_failure_attribution.py
+++ b/tests/scheduling/test_failure_attribution.py
@@ -79,7 +79,7 @@
     run(monkeypatch, day)
 
 
-def test_memory_of_failures_ends(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_recorded_failures_expire(monkeypatch: pytest.MonkeyPatch) -> None:
     """A job that failed on every machine runs after its fault has been corrected."""
 
     async def day(sim: Simulation) -> None:
