--- a/tests/scheduling/test_preemption.py
+++ b/tests/scheduling/test_preemption.py
@@ -55,6 +55,6 @@
         (_allocation(1, zones={"a": 0, "b": 0}), _steps(A_TAKEN, B_FREE), []),
     ],
 )
-def test_steps_that_serve_a_job(allocation: Any, steps: list[Step], chosen: list[str]) -> None:
+def test_choice_of_preemption_steps(allocation: Any, steps: list[Step], chosen: list[str]) -> None:
     found = Preemption._choose(allocation, steps)
     assert [step.machine_name for step in found] == chosen
