--- a/tests/scheduling/test_failure_attribution.py
+++ b/tests/scheduling/test_failure_attribution.py
@@ -23,9 +23,11 @@
 ]
 
 
-@pytest.mark.parametrize(("done", "machines", "running", "found"), JOB_HEALTH)
-def test_health_of_a_job(done: bool, machines: int, running: list[float], found: JobHealth) -> None:
-    assert classify_job(done, machines, 3.0, running, 2.0) is found
+@pytest.mark.parametrize(("done", "machines", "running", "expected"), JOB_HEALTH)
+def test_health_of_a_job(
+    done: bool, machines: int, running: list[float], expected: JobHealth
+) -> None:
+    assert classify_job(done, machines, 3.0, running, 2.0) is expected
 
 
 MACHINE_HEALTH: list[tuple[dict[str, tuple[int, JobHealth]], bool]] = [
@@ -39,10 +41,10 @@
 ]
 
 
-@pytest.mark.parametrize(("failures", "found"), MACHINE_HEALTH)
-def test_health_of_a_machine(failures: dict[str, tuple[int, JobHealth]], found: bool) -> None:
+@pytest.mark.parametrize(("failures", "expected"), MACHINE_HEALTH)
+def test_health_of_a_machine(failures: dict[str, tuple[int, JobHealth]], expected: bool) -> None:
     counts = {id: n for id, (n, _) in failures.items()}
-    assert is_unhealthy(counts, {id: s for id, (_, s) in failures.items()}) is found
+    assert is_unhealthy(counts, {id: s for id, (_, s) in failures.items()}) is expected
 
 
 def test_faulty_jobs_cause_no_retry_flood_and_no_quarantine(
--- a/tests/scheduling/test_pending_tasks.py
+++ b/tests/scheduling/test_pending_tasks.py
@@ -9,7 +9,7 @@
     pending = PendingTasks()
     pending.put(50, 60)
     pending.put(0, 20)
-    moved = [t for a, b in pending.split_off(13) for t in range(a, b)]
+    moved = [task for first, end in pending.split_off(13) for task in range(first, end)]
     popped = [pending.pop() for _ in range(pending.count)]
     assert len(moved) == 13
     assert sorted(moved + popped) == [*range(20), *range(50, 60)]
--- a/tests/scheduling/test_preemption.py
+++ b/tests/scheduling/test_preemption.py
@@ -14,12 +14,12 @@
 
 def _steps(*rows: tuple[str, int]) -> list[Step]:
     """Return one step for each pair of a zone and a number of victims."""
-    found: list[Step] = []
+    steps: list[Step] = []
     for number, (zone, victims) in enumerate(rows):
         machine: Any = SimpleNamespace(zone=zone)
         victim: Any = SimpleNamespace(key=f"wk-9/{number}")
-        found.append(Step(float(victims), f"i-{number}", machine, [victim] * victims))
-    return found
+        steps.append(Step(float(victims), f"i-{number}", machine, [victim] * victims))
+    return steps
 
 
 def _allocation(pending: int, *, gang: bool = False, zones: dict[str, int] | None = None) -> Any:
@@ -56,5 +56,5 @@
     ],
 )
 def test_choice_of_preemption_steps(allocation: Any, steps: list[Step], chosen: list[str]) -> None:
-    found = Preemption._choose(allocation, steps)
-    assert [step.machine_name for step in found] == chosen
+    chosen_steps = Preemption._choose(allocation, steps)
+    assert [step.machine_name for step in chosen_steps] == chosen
