--- a/pitchtally/scheduling/placement/allotment.py
+++ b/pitchtally/scheduling/placement/allotment.py
@@ -43,7 +43,7 @@
             if unqueued <= 0:
                 continue
             if queued and now - allocation.allotted_at < self.agent_heartbeat_s:
-                continue  # the few tasks that became pending since start without a queue entry
+                continue  # the new pending tasks are few, and can start without a queue entry
             allocation.allotted_at = now
             groups = self._allowed_groups(state, allocation)
             if groups:
--- a/pitchtally/scheduling/placement/preemption.py
+++ b/pitchtally/scheduling/placement/preemption.py
@@ -182,7 +182,7 @@
     def _may_start_on(
         self, allocation: ShardAllocation, machine: Machine, within_guarantee: bool, now: float
     ) -> bool:
-        """Return whether a task of the job could start on a machine with enough free capacity."""
+        """Return whether a task of the job could start on a machine if enough were free."""
         if not machine.schedulable or machine.quarantined_until >= now:
             return False
         reservation = machine.reservation
--- a/pitchtally/scheduling/quotas/quotas.py
+++ b/pitchtally/scheduling/quotas/quotas.py
@@ -140,10 +140,9 @@
     def _unreconciled_use(self, shard: int) -> ResourceUse | None:
         """Return the maximum that a team may use on machines not reconciled since the failover.
 
-        Each of them may run only tasks of this team, so its full capacity counts. Return None
-        if the machines or their capacity are unknown. Only machines that haven't responded
-        count, so that a zone that is cut off during a failover doesn't stop every limited team
-        on the responding machines.
+        Each of them may be full of this team's tasks, so its whole capacity counts. Return None
+        if the machines or their capacity are unknown. Machines that have responded don't count,
+        so that a zone that is cut off during a failover doesn't stop every limited team on them.
         """
         machines_with_orphans = self.agents.machines_with_orphans.get(shard)
         if self.shards[shard].reconciled and not machines_with_orphans:
--- a/pitchtally/scheduling/shards/allocations.py
+++ b/pitchtally/scheduling/shards/allocations.py
@@ -60,7 +60,10 @@
 
 
 def max_tasks_in_zone(spec: user_api.JobSpec) -> int:
-    """Return the maximum tasks of a spread job in one zone over all shards: half, rounded up."""
+    """Return how many tasks of a spread job one zone may have: half of them, rounded up.
+
+    The maximum holds over all shards.
+    """
     return (spec.tasks + 1) // 2
 
 
@@ -100,7 +103,7 @@
         self.last_shared_attempt = 0  # attempt placed last, for a gang over several shards
 
     def max_tasks_in_zone(self, zone: str) -> int:
-        """Return the maximum tasks of a spread job that this shard may have in a zone."""
+        """Return how many tasks of a spread job this shard may have in a zone."""
         if self.service and self.job.record.zone_caps:
             return sum(
                 cap.tasks
@@ -155,9 +158,8 @@
         self.machines: list[Machine] = []
         self.load_seconds: dict[str, float] = {}  # job ID -> machine-seconds running and queued
         self.ranks: dict[str, int] = {}  # job ID -> rank
-        self.least_stretch = (
-            0.0  # S of the paper: the least stretch at which its queue meets all deadlines
-        )
+        # The least stretch at which the queue meets all deadlines (S of the paper).
+        self.least_stretch = 0.0
         self.service_machines = 0.0  # capacity used by services, in machines
 
     @property
--- a/pitchtally/scheduling/shards/machine_queues.py
+++ b/pitchtally/scheduling/shards/machine_queues.py
@@ -15,8 +15,8 @@
 ) -> float:
     """Return the machine-seconds of one task on a machine of this type (a of the paper).
 
-    The estimated run time is multiplied by the task's dominant share of the machine. It
-    includes the time to fetch the image, divided by the number of tasks of the job.
+    The time to fetch the image, divided by the number of tasks, is added to the estimated run
+    time. The sum is multiplied by the task's dominant share of the machine.
     """
     task_s = estimates.task(spec)
     if spec.image:
--- a/pitchtally/scheduling/shards/shard_states.py
+++ b/pitchtally/scheduling/shards/shard_states.py
@@ -244,8 +244,8 @@
             elif cause == agent_api.UNKNOWN:
                 allocation.not_before = trio.current_time() + self.agent_heartbeat_s
         if job.spec.kind == user_api.GANG and not job.is_finished(placement.task):
-            # A gang can't run without one of its tasks; the next attempt starts once all are
-            # stopped.
+            # A gang can't run with a task missing; the next attempt starts once all its tasks
+            # have stopped.
             for remaining in list(allocation.placed.values()):
                 self.agents.stop(remaining, job.spec.save)
         self.planning_trigger.set()
--- a/pitchtally/scheduling/shards/shard_statuses.py
+++ b/pitchtally/scheduling/shards/shard_statuses.py
@@ -62,11 +62,10 @@
         self.received_at: dict[int, float] = {}  # shard -> receipt time; peers' shards only
         # Shard -> tasks that its newest status may not include yet.
         self.unreported: dict[int, list[UnreportedAllocation]] = {}
-        # Caches, by shard.
+        # The following three are caches, by shard.
         self.capacities: dict[int, dict[CapacityKey, int]] = {}  # see `free_capacity`
-        self.capacities_by_zone: dict[
-            int, dict[tuple[object, ...], dict[str, int]]
-        ] = {}  # see `FreeCapacity`
+        # See `FreeCapacity`.
+        self.capacities_by_zone: dict[int, dict[tuple[object, ...], dict[str, int]]] = {}
         self.groups: dict[int, dict[MachineGroupKey, list[MachineStatus]]] = {}  # see `groups_of`
 
     def put(self, status: ShardStatus) -> None:
