--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -99,7 +99,7 @@
         heartbeat.cancellations = [
             Cancellation(*entry) for entry in self._job_index.cancelled_after(revision)
         ]
-        heartbeat.shards = self._scheduler.statuses.own()
+        heartbeat.shards = self._scheduler.statuses.led_statuses()
         heartbeat.terminated = self._autoscaler.terminated_machines()
         heartbeat.draining = self._autoscaler.draining_machines()
 
--- a/pitchtally/scheduling/assignment/proportional_split.py
+++ b/pitchtally/scheduling/assignment/proportional_split.py
@@ -46,7 +46,8 @@
         total = 0
         size_index = stretch.last_index_at_most(self.samples.sizes, self.deadlines.job_size(spec))
         unreported = sum(
-            allocation.work for allocation in self.statuses.unreported.get(status.shard, ())
+            allocation.machine_seconds
+            for allocation in self.statuses.unreported.get(status.shard, ())
         )
         for name, cells in status.matrix:
             type_name, zone, spot = MachineGroupKey.parse(name)
--- a/pitchtally/scheduling/gangs/range_return.py
+++ b/pitchtally/scheduling/gangs/range_return.py
@@ -98,7 +98,7 @@
         elif (
             allocation.gang
             and not has_finished_tasks
-            and not self.deadlines.is_late(job)
+            and not self.deadlines.is_reservation_due(job)
             and job.id not in state.ready_gangs
             and self.quotas.limit_left(job.spec) >= job.spec.tasks
         ):
@@ -151,4 +151,4 @@
             allocation.moving = False
             if job.open:
                 self.shard_states.update_allocation(job, shard)
-                allocation.rebuild()
+                allocation.rebuild_pending()
