--- a/pitchtally/config/timing.py
+++ b/pitchtally/config/timing.py
@@ -29,9 +29,9 @@
     return times.report_s / LEASE_CHECKS_PER_HEARTBEAT
 
 
-def lease_expired_at(answered_at: float, times: AgentTimes) -> float:
-    """Return the latest expiry time of an agent's lease that was last renewed at `answered_at`."""
-    return answered_at + times.lease_s * CLOCK_DRIFT_FACTOR + max_timer_delay(times)
+def lease_expired_at(renewed_at: float, times: AgentTimes) -> float:
+    """Return the latest expiry time of an agent's lease that was last renewed at `renewed_at`."""
+    return renewed_at + times.lease_s * CLOCK_DRIFT_FACTOR + max_timer_delay(times)
 
 
 def max_freshness_bound(times: AgentTimes) -> float:
