--- a/pitchtally/membership/membership.py
+++ b/pitchtally/membership/membership.py
@@ -90,7 +90,7 @@
         self.resumed_at = self.pause_detector.resumed_at
         self.set_agents_unreachable = self.session.set_agents_unreachable
         self.is_isolated = self.peer_group.is_isolated
-        self.peer_with_state_store = self.peer_group.with_state_store
+        self.peer_with_state_store = self.peer_group.find_peer_with_state_store
         self.forward = self.peer_requests.forward
         self.request_schedule = self.peer_requests.request_schedule
         self.broadcast_cancellation = self.peer_requests.broadcast_cancellation
--- a/pitchtally/membership/peers/peer.py
+++ b/pitchtally/membership/peers/peer.py
@@ -88,7 +88,7 @@
         peers = self.by_name.values()
         return bool(peers) and all(peer.last_heartbeat_at < oldest_recent for peer in peers)
 
-    def with_state_store(self) -> Peer | None:
+    def find_peer_with_state_store(self) -> Peer | None:
         """Return a peer that reported contact with the store within a session TTL, if any."""
         now = trio.current_time()
         for peer in self.by_name.values():
--- a/pitchtally/membership/peers/requests.py
+++ b/pitchtally/membership/peers/requests.py
@@ -56,7 +56,7 @@
 
         None if no such peer is available, or if it does not reply.
         """
-        peer = self._peers.with_state_store()
+        peer = self._peers.find_peer_with_state_store()
         if peer is None:
             return None
         if self._forwarding.available_tokens < 1:
