--- a/pitchtally/agents/machine_records.py
+++ b/pitchtally/agents/machine_records.py
@@ -62,7 +62,7 @@
         """`interval` is the time in seconds between two passes, unless a write is requested."""
         self.gate = gate
         self.chunks: dict[keys.MachineChunk, RecordedMachines] = {}
-        self.machines_per_chunk = machine_layout.machines_per_chunk(int(limits.value_kb * 1024))
+        self.chunk_width = machine_layout.machines_per_chunk(int(limits.value_kb * 1024))
         self._index = index
         self._shards = shards
         self._commits = commits
@@ -84,7 +84,7 @@
         number = int(digits) if digits.isdigit() and len(digits) <= MAX_NUMBER_DIGITS else 0
         position = number // self._index.shard_count
         if self.gate.open or self._legacy_layout_refused:
-            return machine_layout.chunk_of(position, self.machines_per_chunk)
+            return machine_layout.chunk_of(position, self.chunk_width)
         return position // format_1.machines_per_chunk(self.gate.value_kb)
 
     def recorded_machines(self, shard: int) -> RecordedMachines:
--- a/tests/agents/test_machine_records.py
+++ b/tests/agents/test_machine_records.py
@@ -61,7 +61,7 @@
         controller.membership.leadership.announce(SHARD)
         self.agents = controller.agents
         self.agents.recovery.load(self.led_shard)
-        span = controller.agents.records.machines_per_chunk * controller.agents.index.shard_count
+        span = controller.agents.records.chunk_width * controller.agents.index.shard_count
         self.first = self._add(0)
         self.second = self._add(span)
 
