--- a/pitchtally/agents/commands/agent_client.py
+++ b/pitchtally/agents/commands/agent_client.py
@@ -8,8 +8,8 @@
 from ...http import Client, HttpError, Response
 from ...protocol import agent_api
 
-# One concurrent call per this many sockets, separately for stops and for probes, and as many
-# idle connections: a shard may have more machines than there are sockets.
+# Concurrent calls for stops, concurrent probes, and idle connections are each limited to one per
+# this many sockets, since a shard may have more machines than there are sockets.
 SOCKETS_PER_CALL = 30
 MIN_CONCURRENT_CALLS = 8
 IDLE_CONNECTION_TIMEOUT_S = 8.0
--- a/pitchtally/agents/commands/builder.py
+++ b/pitchtally/agents/commands/builder.py
@@ -22,7 +22,7 @@
 
 
 class CommandBuilder:
-    """Builds the commands for heartbeat responses and calls, and records what was sent."""
+    """Builds the commands for heartbeat responses and calls, and records that they were sent."""
 
     def __init__(
         self,
@@ -70,7 +70,7 @@
                 placement.stop_grace = 0.0
             if placement.stop_grace is None:
                 continue
-            # The task has had time to save its work, and its capacity is needed.
+            # An overdue task has had time to save its work, and its capacity is needed.
             overdue = (
                 placement.stop_commanded_at
                 and now - placement.stop_commanded_at
--- a/pitchtally/agents/commands/call.py
+++ b/pitchtally/agents/commands/call.py
@@ -84,7 +84,7 @@
     def _process_status(
         self, status: agent_api.AgentHeartbeat, machine: Machine, led_shard: LedShard
     ) -> bool:
-        """Process the status of a response; return False to end the calls."""
+        """Process a response's status; return False if this node may not command the machine."""
         if status.machine != machine.name:
             return False
         if self._shards.get(led_shard.shard) is not led_shard:
--- a/pitchtally/agents/commands/sender.py
+++ b/pitchtally/agents/commands/sender.py
@@ -33,7 +33,7 @@
         interval: float,
         max_calls: int,
     ):
-        """Takes eight parameters: the state to check, the actions on it, and two limits.
+        """Initialise with eight parameters: the state to check, the actions on it, and two limits.
 
         `load_shard` loads a shard once the replica has caught up. `interval` is the time in
         seconds between checks of suspect and unreachable machines. `max_calls` limits the
--- a/pitchtally/agents/heartbeats/endpoint.py
+++ b/pitchtally/agents/heartbeats/endpoint.py
@@ -46,7 +46,7 @@
         command_builder: CommandBuilder,
         lease_s: float,
     ):
-        """Takes eight parameters: handling a heartbeat involves each of these components."""
+        """Initialise with eight parameters, as handling a heartbeat involves each component."""
         self._index = index
         self._shards = shards
         self._leadership = leadership
--- a/pitchtally/agents/heartbeats/status_intake.py
+++ b/pitchtally/agents/heartbeats/status_intake.py
@@ -42,7 +42,7 @@
     def observe(
         self, status: agent_api.AgentHeartbeat, led_shard: LedShard, *, in_command_response: bool
     ) -> Machine | None:
-        """Process a status; return None if it is, or may be, older than the last one.
+        """Process a status and return its machine, or None if the last status may be newer.
 
         Only this node's fencing token proves that a status was made after the node acquired the
         shard: any other may be a duplicate, delayed by more than a lease, from a machine that is
--- a/pitchtally/agents/heartbeats/task_exits.py
+++ b/pitchtally/agents/heartbeats/task_exits.py
@@ -15,7 +15,7 @@
 
 
 def record_success(machine: Machine) -> None:
-    """Clear the machine's failure counts: a success shows that it did not cause them."""
+    """Clear the machine's failure counts: a success shows that the machine works."""
     machine.failures_by_job.clear()
     machine.last_failure_at.clear()
     machine.consecutive_errors = 0
--- a/pitchtally/agents/lease_expiry.py
+++ b/pitchtally/agents/lease_expiry.py
@@ -19,7 +19,7 @@
 
 # Passes over all machines per heartbeat interval.
 CHECKS_PER_HEARTBEAT = 4
-# After the announced preemption, a machine is lost after this many missed heartbeats.
+# Once its announced preemption is due, a machine is lost after this many missed heartbeats.
 PREEMPTED_MISSED_HEARTBEATS = 2
 # An unrecorded machine is removed from the index after this many heartbeat timeouts.
 UNREGISTER_HEARTBEAT_TIMEOUTS = 4
--- a/pitchtally/agents/listener.py
+++ b/pitchtally/agents/listener.py
@@ -24,13 +24,13 @@
 
 
 class AgentListener(Protocol):
-    """Receives changes of led shards and their placements."""
+    """Receives changes of the shards that this node leads, and of their placements."""
 
     def shard_loaded(self, shard: int) -> None:
         """Handle an acquired shard whose recorded machines were read, but have not reported yet."""
 
     def suspects_changed(self, shard: int, groups: Collection[MachineGroupKey]) -> None:
-        """Handle a change of the machine groups whose suspects may still hold unknown tasks."""
+        """Handle a change of the machine groups with suspects, which may hold unknown tasks."""
 
     def shard_reconciled(self, shard: int) -> None:
         """Handle a shard without suspect machines: all its placements are known."""
--- a/pitchtally/agents/machine.py
+++ b/pitchtally/agents/machine.py
@@ -20,7 +20,7 @@
 
 
 class MachineGroupKey(NamedTuple):
-    """The attributes that all machines of a group share; apart from these only state differs."""
+    """The attributes shared by the machines of a group, which differ only in their state."""
 
     type: str
     zone: str
@@ -32,7 +32,7 @@
 
     @classmethod
     def parse(cls, text: str) -> MachineGroupKey:
-        """Return the key that `text` has encoded."""
+        """Decode a key from the form that `text` returns."""
         type_, zone, spot = text.split("|")
         return cls(type_, zone, spot == "1")
 
@@ -45,7 +45,7 @@
 
 
 class HeartbeatNumber(NamedTuple):
-    """The number of an agent heartbeat: the greater of two numbers was sent later."""
+    """Orders the heartbeats of an agent: of two, the one with the greater number is newer."""
 
     epoch: int
     seq: int
@@ -154,12 +154,12 @@
         self.seq = -1
         self.last_heartbeat = HeartbeatNumber(0, -1)  # excludes command responses
         self.last_heartbeat_at = now
-        self.lease_renewed_at = now  # time of the last response that may have renewed it
+        self.lease_renewed_at = now  # time of the last response that may have renewed the lease
         self.confirmed = False  # whether a status has carried this shard's current token
         self.recorded = False  # whether it is in the state store, for a later leader
         self.lost = False  # whether its lease has expired, or its heartbeats have timed out
         self.draining = False
-        self.preemption_at: float | None = None  # as announced by the provider
+        self.preemption_at: float | None = None  # time that the cloud announced, if any
         self.quarantined_until = LONG_AGO
         self.idle_since = now
         self.placements: dict[str, Placement] = {}  # keyed by task key
--- a/pitchtally/agents/machine_records.py
+++ b/pitchtally/agents/machine_records.py
@@ -178,7 +178,7 @@
         return committed
 
     def _recorded_form(self, names: Iterable[str]) -> RecordedMachines:
-        """Return the entries of these machines, without those that have been removed since."""
+        """Return the entries of machines, without those that are no longer in the index."""
         return {
             name: RecordedMachine(machine.type, machine.zone, machine.spot, machine.address)
             for name in names
@@ -186,7 +186,7 @@
         }
 
     def _mark_recorded(self, names: Iterable[str]) -> None:
-        """Mark those of the machines that still exist as recorded, which lets tasks start there."""
+        """Mark the machines that still exist as recorded, so that tasks may start on them."""
         for name in names:
             machine = self._index.machines.get(name)
             if machine is not None:
--- a/pitchtally/agents/manager.py
+++ b/pitchtally/agents/manager.py
@@ -49,7 +49,7 @@
         machine_types: MachineTypeLookup,
         on_decision: DecisionListener,
     ):
-        """Takes eight parameters: the dependencies of all components are passed only here."""
+        """Initialise with eight parameters: only here are all components' dependencies passed."""
         deployment = settings.deployment
         times = deployment.workers
         self._scheduler = SchedulerConnection()
--- a/pitchtally/formats/gate.py
+++ b/pitchtally/formats/gate.py
@@ -2,7 +2,7 @@
 
 Each controller's node record, which is bound to its session lease, holds the newest format that
 the controller reads (`membership.nodes.NodeRecord.reads`). Once the records of all configured
-members say that they read the current format, the cluster leader writes `pt/format`. The versions
+members show that they read the current format, the cluster leader writes `pt/format`. The versions
 of those records are preconditions of the write, so it fails if a member was replaced meanwhile.
 The gate is never closed again: afterwards, versions that read only the old format can no longer
 be run.
@@ -44,7 +44,7 @@
 
     @property
     def incarnation(self) -> str:
-        """Identifies the member's process."""
+        """Identifier of the member's process."""
 
     @property
     def reads(self) -> int:
--- a/pitchtally/formats/machine_layout.py
+++ b/pitchtally/formats/machine_layout.py
@@ -9,7 +9,7 @@
 
 # Larger than any chunk number of 0.5.1, which numbers chunks consecutively from 0.
 _WIDTH_FACTOR = 10**9
-# Size of a machine's name, type, zone, kind and address as JSON, if names are long.
+# Size of a machine's name, type, zone, spot flag and address as JSON, if names are long.
 _BYTES_PER_MACHINE = 100
 _FILLED_VALUE_SHARE = 3 / 4
 
--- a/pitchtally/formats/quota_shares.py
+++ b/pitchtally/formats/quota_shares.py
@@ -2,8 +2,8 @@
 
 In format 1 one value holds all teams. Since format 2 each team has its own key, which takes
 precedence once it exists. A late write in format 1 can change only the old value, so it changes
-nothing for a team that has its own key. Until then the old value's version is a precondition of
-every change.
+nothing for a team that has its own key. For a team without one, the old value still applies, so
+its version is a precondition of every change.
 """
 
 from __future__ import annotations
--- a/pitchtally/membership/failover.py
+++ b/pitchtally/membership/failover.py
@@ -85,7 +85,8 @@
             return False
         if self._leadership.token(shard) is not None:
             return False
-        # When all nodes start at once, each leaves the others' home shards to them at first.
+        # When all nodes start at once, each one first leaves the shards with another home node
+        # to that node.
         return not starting or leader_preference(names, shard)[0] == self._identity.name
 
     async def _try_to_acquire(self, shard: ShardId) -> None:
--- a/pitchtally/membership/freshness.py
+++ b/pitchtally/membership/freshness.py
@@ -37,10 +37,11 @@
 
 
 def all_peers_requested_at(replies: Iterable[PeerReply | None]) -> float | None:
-    """Return the oldest send time among the last request that each peer answered.
+    """Return the oldest send time among the requests that the peers answered last.
 
-    None if a peer has not replied, or has not read the store since it started: such a peer lacks
-    what its previous process confirmed or acquired, so its reply proves nothing.
+    None if there are no peers, or if one has not replied, or has not read the store since it
+    started: such a peer lacks what its previous process confirmed or acquired, so its reply proves
+    nothing.
     """
     collected = list(replies)
     if not collected or not all(reply is not None and reply.has_read for reply in collected):
--- a/pitchtally/membership/leadership.py
+++ b/pitchtally/membership/leadership.py
@@ -27,13 +27,13 @@
     """Receives changes of this node's shard leadership."""
 
     def shard_acquired(self, shard: ShardId, token: FencingToken) -> None:
-        """Handle that this node now leads the shard under the token.
+        """Handle the acquisition of a shard under a fencing token.
 
-        `shard_lost` precedes each further call for the same shard.
+        Between two acquisitions of the same shard `shard_lost` is called.
         """
 
     def shard_lost(self, shard: ShardId) -> None:
-        """Handle that this node no longer leads the shard."""
+        """Handle the loss of a shard."""
 
 
 class NoShardListener:
--- a/pitchtally/membership/membership.py
+++ b/pitchtally/membership/membership.py
@@ -135,5 +135,5 @@
         return self.cluster_leader_token
 
     def replying_incarnations(self) -> dict[str, str]:
-        """Return incarnations: this node's and those of peers that replied within a session TTL."""
+        """Return the incarnations of this node and of peers that replied within a session TTL."""
         return {**self.peer_group.replying_incarnations(), self.node_name: self.incarnation}
--- a/pitchtally/membership/messages.py
+++ b/pitchtally/membership/messages.py
@@ -49,7 +49,7 @@
     tasks: int
     idle_for: float  # seconds
     flag: str  # a `MachineFlag`, or a flag of a later version
-    slow: float = 1.0
+    slow: float = 1.0  # not used by this version; kept since fields are encoded by position
     over_guarantee: Resources = NO_RESOURCES  # used by teams over their guarantee
 
 
@@ -67,7 +67,7 @@
     token: int
     reconciled: bool
     queued_seconds: float  # CPU-seconds of pending tasks
-    stretch: float  # lowest stretch of its machines
+    stretch: float  # lowest stretch of the shard's machines
     machines: list[MachineStatus]
     matrix: list[GroupMatrix] = []
     pending: dict[str, int] = {}  # job -> number of pending tasks
@@ -137,7 +137,7 @@
 
 
 class ScheduleRequest(Struct, array_like=True, tag="split"):
-    """A request to the cluster leader to place a job that the sender placed in no own shard."""
+    """A request to the cluster leader to place a job that the sender's own shards cannot take."""
 
     spec: user_api.JobSpec
     call: int = UNNUMBERED
--- a/pitchtally/membership/peers/peer.py
+++ b/pitchtally/membership/peers/peer.py
@@ -40,9 +40,9 @@
 
         A partition may delay a heartbeat and deliver it after newer ones, even after some of the
         next incarnation. Of two incarnations the newer is the one recorded in the store
-        (`listed_incarnation`), or the one that answers a request sent at `requested_at`, after
-        the other had been seen. An older incarnation accepted by mistake is corrected by the
-        next reply.
+        (`listed_incarnation`), or the one that answers a request which this node sent (at
+        `requested_at`) after it had accepted the other. An older incarnation accepted by mistake
+        is corrected by the next reply.
         """
         if heartbeat.incarnation != self.incarnation:
             requested_since = (
--- a/pitchtally/membership/peers/requests.py
+++ b/pitchtally/membership/peers/requests.py
@@ -44,9 +44,9 @@
         self._peers = peers
         self._leadership = leadership
         self._schedule_timeout = call_timeout * _SCHEDULE_TIMEOUT_SHARE
-        # Forwarded requests must leave connections free for heartbeats: without the limit, a
-        # flood of them made peers refuse each other's connections until they detected that all
-        # of them are partitioned.
+        # Forwarded requests must leave connections free for heartbeats. Without the limit, a
+        # flood of them made peers refuse each other's connections until the peers detected that
+        # all nodes were partitioned from the state store.
         self._forwarding = trio.CapacityLimiter(
             max(_MIN_FORWARDED_REQUESTS, int(max_connections * _FORWARDED_CONNECTION_SHARE))
         )
--- a/pitchtally/membership/peers/server.py
+++ b/pitchtally/membership/peers/server.py
@@ -21,7 +21,7 @@
 from .listener import NoPeerRequestHandler, PeerRequestHandler
 from .peer import PeerGroup
 
-# Replies to a peer include this node's statuses once it has received none for this many intervals.
+# A reply includes this node's statuses if the peer has received none for this many intervals.
 _STATUSES_DUE_INTERVALS = 1.5
 
 
@@ -66,7 +66,7 @@
     def _reply_to_heartbeat(self, message: PeerHeartbeat) -> PeerHeartbeat:
         self._receiver.receive(message, None)
         # The reply depends on the revision in the message, not on the one recorded for the peer:
-        # it holds every cancellation newer than the replica that the peer had when it sent it.
+        # it holds every cancellation that the peer's replica lacked when the peer sent the message.
         reply = self._composer.compose(message.revision)
         peer = self._peers.by_name.get(message.node)
         if peer is not None:
--- a/pitchtally/state_store/client.py
+++ b/pitchtally/state_store/client.py
@@ -77,7 +77,7 @@
     """One node's client of the state store."""
 
     def __init__(self, address: str, limits: StateLimits, nodes: int, timeout: float):
-        """Initialise; `nodes` share the limits at first, `timeout` for a reply is in seconds."""
+        """Initialise; `nodes` share the limits at first; `timeout` is for a reply, in seconds."""
         self.limits = limits
         share = _USED_LIMIT_SHARE / nodes
         self.request_limit = TokenBucket(limits.rps * share, limits.rps * share)
@@ -213,9 +213,8 @@
         """Return changes after a revision; None if the store no longer has all of them.
 
         In the latter case all keys must be read again. Without a change the store replies after
-        `wait` seconds, at once if that is 0. `timeout` for the reply is in seconds, added to
-        `wait`. Raises `StoreUnavailable`, also for a reply with a revision below
-        `after_revision`.
+        `wait` seconds (0: at once); the reply may take `timeout` seconds longer. Raises
+        `StoreUnavailable`, also for a reply with a revision below `after_revision`.
         """
         response = await self._call(
             "GET",
--- a/pitchtally/state_store/replica.py
+++ b/pitchtally/state_store/replica.py
@@ -48,7 +48,7 @@
     """
 
     def __init__(self, state_store: StateStoreClient, pause: float, wait: float):
-        """Initialise; `pause` between watches and `wait` of a watch for changes are in seconds."""
+        """Initialise; `pause` (between watches) and `wait` (for a change) are in seconds."""
         self.revision = _NOT_LOADED
         self.verified_at = LONG_AGO
         self._state_store = state_store
--- a/tests/agents/test_machine_records.py
+++ b/tests/agents/test_machine_records.py
@@ -109,7 +109,7 @@
 
 
 def test_entry_of_a_released_machine_is_not_written(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A changed chunk must not be written with the machines from before the wait."""
+    """A changed chunk must not be written with machines removed while an earlier one was written."""
 
     async def scenario(leader: LeaderWithTwoChunks, state_store: StoreStub) -> None:
         state_store.during_commit = lambda: leader.agents.machine_terminated(leader.second.name)
@@ -154,7 +154,7 @@
 
 
 def test_record_of_a_shard_takes_few_writes() -> None:
-    """Recording 310 machines takes few writes, ahead of progress writes: tasks wait for them."""
+    """Recording 310 machines takes few writes, with priority over progress: tasks wait for them."""
 
     async def main() -> None:
         leader, written = leader_of_shard(0, 50), []
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -195,7 +195,7 @@
 def test_version_in_production_writes_its_own_chunks_before_it_empties_others(
     production: EarlierVersion,
 ) -> None:
-    """It reads chunks of any width, and writes chunks in the order of their numbers."""
+    """That version reads chunks of any width, and writes chunks in the order of their numbers."""
 
     def body() -> None:
         old = production.controller(settings("n2", state=STATE), "")
@@ -309,7 +309,7 @@
 @pytest.mark.parametrize("tasks", CONVERTED)
 @pytest.mark.parametrize("steps", [0, 1, 3, 1000], ids=lambda n: f"{n} writes")
 def test_conversion_may_be_interrupted_after_any_write(tasks: int, steps: int) -> None:
-    """After any of the writes another controller reads the same tasks and resumes."""
+    """After any write another controller reads the same tasks and resumes the conversion."""
 
     def body() -> None:
         first = _controller(gate_open=True)
--- a/tests/membership/test_freshness.py
+++ b/tests/membership/test_freshness.py
@@ -25,12 +25,10 @@
     (90.0, [(50.0, 2.0), (60.0, 2.0)], 90.0),
     (20.0, [(95.0, 3.0), (10.0, 1.0)], 92.0),  # a peer with access to the store
     (20.0, [(95.0, 70.0), (94.0, 80.0)], 94.0),  # all peers replied: no other node can confirm
-    (
-        20.0,
-        [(95.0, 70.0), (40.0, 30.0)],
-        40.0,
-    ),  # a peer without replies may be confirming cancellations
-    (20.0, [(95.0, 1e6), (94.0, 80.0)], 20.0),  # a restarted peer lacks what it had confirmed
+    # a peer that no longer replies may be confirming cancellations
+    (20.0, [(95.0, 70.0), (40.0, 30.0)], 40.0),
+    # a restarted peer lacks the cancellations that its previous process confirmed
+    (20.0, [(95.0, 1e6), (94.0, 80.0)], 20.0),
     (20.0, [(95.0, 70.0), None], 25.0),  # a peer that never replied
 ]
 
@@ -57,18 +55,16 @@
 VERIFIED_UP_TO: list[tuple[float, list[PeerReply | None], float, float]] = [
     # replica verified at, replies of the peers, cancellations verified up to, leadership up to
     (90.0, [None, None], 90.0, 90.0),
-    (10.0, [A(99.0, 1.0, 1.0), None], 98.0, 10.0),  # a peer with access to the store reports them
-    (
-        10.0,
-        [A(99.0, 60.0, 2.0), None],
-        97.0,
-        10.0,
-    ),  # or a peer that gets replies from all of its peers
+    # a peer with access to the store reports cancellations
+    (10.0, [A(99.0, 1.0, 1.0), None], 98.0, 10.0),
+    # a peer without it does so too while all of its own peers reply
+    (10.0, [A(99.0, 60.0, 2.0), None], 97.0, 10.0),
     # all peers replied during a store outage
     (10.0, [A(99.0, 60.0, 60.0), A(98.0, 50.0, 50.0)], 98.0, 98.0),
     # one peer has not read the store since it started
     (10.0, [A(99.0, NEVER_READ_AGE_S, NEVER_READ_AGE_S), A(98.0, 50.0, 50.0)], 48.0, 10.0),
-    (10.0, [A(99.0, 60.0, 60.0), A(20.0, 1.0, 1.0)], 39.0, 20.0),  # one peer has not replied since
+    # one peer has not replied for some time
+    (10.0, [A(99.0, 60.0, 60.0), A(20.0, 1.0, 1.0)], 39.0, 20.0),
     (95.0, [A(99.0, 60.0, 60.0), A(98.0, 50.0, 50.0)], 98.0, 98.0),
     (99.5, [A(99.0, 60.0, 60.0), A(98.0, 50.0, 50.0)], 99.5, 99.5),
     (10.0, [], 10.0, 10.0),  # the only controller
