--- a/tests/agents/test_machine_records.py
+++ b/tests/agents/test_machine_records.py
@@ -109,7 +109,7 @@
 
 
 def test_entry_of_a_released_machine_is_not_written(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A changed chunk must not be written with machines removed while an earlier one was written."""
+    """A changed chunk must not be written with machines removed during an earlier write."""
 
     async def scenario(leader: LeaderWithTwoChunks, state_store: StoreStub) -> None:
         state_store.during_commit = lambda: leader.agents.machine_terminated(leader.second.name)
