--- a/pitchtally/agents/heartbeats/task_exits.py
+++ b/pitchtally/agents/heartbeats/task_exits.py
@@ -53,7 +53,7 @@
         self._task_control.remove(placement, cause)
 
     def _notify_completed(self, placement: Placement, now: float) -> None:
-        running_since = placement.running_since
-        run_seconds = now - running_since if running_since is not None else -1.0
+        started_at = placement.running_since
+        run_seconds = now - started_at if started_at is not None else -1.0
         if placement.job.open:
             self._scheduler.listener.task_completed(placement, run_seconds)
--- a/pitchtally/agents/lease_expiry.py
+++ b/pitchtally/agents/lease_expiry.py
@@ -50,17 +50,17 @@
         while True:
             await trio.sleep(self._times.report_s / CHECKS_PER_HEARTBEAT)
             now = trio.current_time()
-            leadership_verified_at = self._freshness.leadership_verified_at()
+            leadership_verified_until = self._freshness.leadership_verified_at()
             resumed_at = self._freshness.resumed_at()
             for machine in list(self._index.machines.values()):
                 if machine.shard in self._shards:
-                    self._check(machine, now, leadership_verified_at, resumed_at)
+                    self._check(machine, now, leadership_verified_until, resumed_at)
 
     def _check(
-        self, machine: Machine, now: float, leadership_verified_at: float, resumed_at: float
+        self, machine: Machine, now: float, leadership_verified_until: float, resumed_at: float
     ) -> None:
         since_last_heartbeat = now - max(machine.last_heartbeat_at, resumed_at)
-        if self._lease_has_expired(machine, leadership_verified_at):
+        if self._lease_has_expired(machine, leadership_verified_until):
             log.info("lease expired machine=%s tasks=%d", machine.name, len(machine.placements))
             machine.lost = True
             self._task_control.remove_all(machine, LossCause.LEASE_EXPIRED)
@@ -72,7 +72,7 @@
         if machine.lost and not machine.recorded and since_last_heartbeat > unregister_after:
             self._index.remove(machine.name)
 
-    def _lease_has_expired(self, machine: Machine, leadership_verified_at: float) -> bool:
+    def _lease_has_expired(self, machine: Machine, leadership_verified_until: float) -> bool:
         """Return whether a machine's lease has expired for every possible renewer.
 
         Only the shard leader's responses renew it, and this node has sent none for the length
@@ -82,7 +82,7 @@
         has_state_to_expire = not machine.lost or machine.placements
         if not machine.confirmed or not has_state_to_expire:
             return False
-        return leadership_verified_at > lease_expired_at(machine.lease_renewed_at, self._times)
+        return leadership_verified_until > lease_expired_at(machine.lease_renewed_at, self._times)
 
     def _is_preempted(self, machine: Machine, now: float, since_last_heartbeat: float) -> bool:
         """Return whether a machine is past its announced preemption and sends no heartbeats.
--- a/pitchtally/agents/machine_records.py
+++ b/pitchtally/agents/machine_records.py
@@ -146,20 +146,20 @@
 
     async def _write_chunk(self, led_shard: LedShard, number: int, names: list[str]) -> bool:
         """Write a chunk unless it is current; return False if the write was rejected."""
-        machines = self._recorded_form(names)
-        if machines == self.chunks.get(keys.MachineChunk(led_shard.shard, number), {}):
-            self._mark_recorded(machines)
+        entries = self._recorded_form(names)
+        if entries == self.chunks.get(keys.MachineChunk(led_shard.shard, number), {}):
+            self._mark_recorded(entries)
             return True
         key = keys.machines(led_shard.shard, number)
-        conditions = {
+        preconditions = {
             keys.shard(led_shard.shard): led_shard.token,
             key: self._commits.replica.version(key),
         }
         # The old format keeps empty chunks, so they are deleted only once the format gate is open.
-        value = msgspec.json.encode(machines) if machines or not self.gate.open else None
+        value = msgspec.json.encode(entries) if entries or not self.gate.open else None
         try:
             committed = await self._commits.commit(
-                conditions, [Write(key, value)], priority=Priority.COMPLETIONS
+                preconditions, [Write(key, value)], priority=Priority.COMPLETIONS
             )
         except InvalidTransaction as error:
             # The store's limits were lowered before the format gate opened, so from now on
@@ -174,7 +174,7 @@
             self._legacy_layout_refused = True
             return False
         if committed and self._is_led(led_shard):
-            self._mark_recorded(machines)
+            self._mark_recorded(entries)
         return committed
 
     def _recorded_form(self, names: Iterable[str]) -> RecordedMachines:
