--- a/tests/formats/test_golden.py
+++ b/tests/formats/test_golden.py
@@ -453,9 +453,12 @@
 
     def body() -> None:
         controller = controller_of(gate_open)
-        catalog = controller.autoscaler.catalog
+        machine_catalog = controller.autoscaler.catalog
         controller.replica.apply_committed("pt/types", page(names), 10)
-        assert stored(catalog.lay_out(list(catalog.types_by_name.values()))) == expected
+        assert (
+            stored(machine_catalog.lay_out(list(machine_catalog.types_by_name.values())))
+            == expected
+        )
 
     run_on_mock_clock(body)
 
@@ -630,7 +633,7 @@
 
 def test_all_that_is_stored(monkeypatch: pytest.MonkeyPatch) -> None:
     """Run three controllers with a finished job, a cancelled job and a running service."""
-    items: dict[str, tuple[Any, int, int | None]] = {}
+    stored_items: dict[str, tuple[Any, int, int | None]] = {}
 
     async def body(sim: Simulation) -> None:
         await sim.submit(job(1))
@@ -640,18 +643,18 @@
         await sim.cancel("wk-000002")
         await sim.finish(["wk-000001", "wk-000002"])
         await trio.sleep(3)
-        items.update(sim.state_store.items)
+        stored_items.update(sim.state_store.items)
 
     simulation.run(monkeypatch, body)
     values = {
         key: re.sub('"[0-9a-f]{16}"', '"<incarnation>"', json.dumps(item[0], separators=(",", ":")))
-        for key, item in sorted(items.items())
+        for key, item in sorted(stored_items.items())
     }
     assert values == STORED
-    assert sorted(key for key, item in items.items() if item[2] is not None) == LEASED
+    assert sorted(key for key, item in stored_items.items() if item[2] is not None) == LEASED
     for node, shard in (("n0", "0"), ("n1", "1"), ("n2", "2")):
-        leader = items[f"pt/parts/{shard}"][0]["incarnation"]
-        assert items[f"pt/nodes/{node}"][0]["incarnation"] == leader
+        leader = stored_items[f"pt/parts/{shard}"][0]["incarnation"]
+        assert stored_items[f"pt/nodes/{node}"][0]["incarnation"] == leader
 
 
 # --- what operators write and read --------------------------------------------------------------
--- a/tests/membership/test_freshness.py
+++ b/tests/membership/test_freshness.py
@@ -51,22 +51,22 @@
     trio.run(main, clock=trio.testing.MockClock())
 
 
-A = PeerReply
+Reply = PeerReply
 VERIFIED_UP_TO: list[tuple[float, list[PeerReply | None], float, float]] = [
     # replica verified at, replies of the peers, cancellations verified up to, leadership up to
     (90.0, [None, None], 90.0, 90.0),
     # a peer with access to the store reports cancellations
-    (10.0, [A(99.0, 1.0, 1.0), None], 98.0, 10.0),
+    (10.0, [Reply(99.0, 1.0, 1.0), None], 98.0, 10.0),
     # a peer without it does so too while all of its own peers reply
-    (10.0, [A(99.0, 60.0, 2.0), None], 97.0, 10.0),
+    (10.0, [Reply(99.0, 60.0, 2.0), None], 97.0, 10.0),
     # all peers replied during a store outage
-    (10.0, [A(99.0, 60.0, 60.0), A(98.0, 50.0, 50.0)], 98.0, 98.0),
+    (10.0, [Reply(99.0, 60.0, 60.0), Reply(98.0, 50.0, 50.0)], 98.0, 98.0),
     # one peer has not read the store since it started
-    (10.0, [A(99.0, NEVER_READ_AGE_S, NEVER_READ_AGE_S), A(98.0, 50.0, 50.0)], 48.0, 10.0),
+    (10.0, [Reply(99.0, NEVER_READ_AGE_S, NEVER_READ_AGE_S), Reply(98.0, 50.0, 50.0)], 48.0, 10.0),
     # one peer has not replied for some time
-    (10.0, [A(99.0, 60.0, 60.0), A(20.0, 1.0, 1.0)], 39.0, 20.0),
-    (95.0, [A(99.0, 60.0, 60.0), A(98.0, 50.0, 50.0)], 98.0, 98.0),
-    (99.5, [A(99.0, 60.0, 60.0), A(98.0, 50.0, 50.0)], 99.5, 99.5),
+    (10.0, [Reply(99.0, 60.0, 60.0), Reply(20.0, 1.0, 1.0)], 39.0, 20.0),
+    (95.0, [Reply(99.0, 60.0, 60.0), Reply(98.0, 50.0, 50.0)], 98.0, 98.0),
+    (99.5, [Reply(99.0, 60.0, 60.0), Reply(98.0, 50.0, 50.0)], 99.5, 99.5),
     (10.0, [], 10.0, 10.0),  # the only controller
 ]
 
--- a/tests/state_store/test_rate_limits.py
+++ b/tests/state_store/test_rate_limits.py
@@ -15,18 +15,18 @@
     async def main() -> None:
         bucket = TokenBucket(10, 2)
 
-        async def acquire(priority: Priority) -> None:
+        async def acquire_one(priority: Priority) -> None:
             await bucket.acquire(priority)
             served.append((trio.current_time() - start, priority))
 
         start = trio.current_time()
         async with trio.open_nursery() as nursery:
             for _ in range(6):
-                nursery.start_soon(acquire, Priority.PROGRESS)
+                nursery.start_soon(acquire_one, Priority.PROGRESS)
             await trio.sleep(0.05)
             assert bucket.wait_time(Priority.LEASES) < bucket.wait_time(Priority.PROGRESS)
             for _ in range(3):
-                nursery.start_soon(acquire, Priority.LEASES)
+                nursery.start_soon(acquire_one, Priority.LEASES)
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
     assert [priority for _, priority in served[1:4]] == [Priority.LEASES] * 3
--- a/tests/state_store/test_size_limits.py
+++ b/tests/state_store/test_size_limits.py
@@ -51,8 +51,8 @@
     chunks: dict[int, dict[str, list[object]]] = {}
     for number in range(0, 1400 * 3, 3):
         name = f"i-{number:09d}"
-        row = ["vineeye-large", "chaophraya-north", False, "10.100.200.250:65000"]
-        chunks.setdefault(agents.records.chunk_of(name), {})[name] = row
+        entry = ["vineeye-large", "chaophraya-north", False, "10.100.200.250:65000"]
+        chunks.setdefault(agents.records.chunk_of(name), {})[name] = entry
     return max(len(encode(chunk)) for chunk in chunks.values())
 
 
@@ -116,10 +116,12 @@
 
 def catalog(controller: Controller) -> int:
     zones = [f"{LONG[:20]}{i}" for i in range(8)]
-    types = [cloud_api.MachineType(f"{LONG[:20]}{i}", 1.5, 2.5, zones=zones) for i in range(15)]
-    changes = controller.autoscaler.catalog.lay_out(types)
+    machine_types = [
+        cloud_api.MachineType(f"{LONG[:20]}{i}", 1.5, 2.5, zones=zones) for i in range(15)
+    ]
+    changes = controller.autoscaler.catalog.lay_out(machine_types)
     controller.replica.apply_own_commit(changes, 10**6)
-    assert controller.autoscaler.types == {kind.name: kind for kind in types}
+    assert controller.autoscaler.types == {kind.name: kind for kind in machine_types}
     return max(len(change.value or b"") for change in changes)
 
 
