--- a/standins/agent.py
+++ b/standins/agent.py
@@ -10,7 +10,7 @@
 from pitchtally.http import HttpError, Request, Response
 
 from .machine_tasks import MachineTasks
-from .network import AGENT_HEARTBEAT_PATH, COMMANDS_PATH, HERE
+from .network import AGENT_HEARTBEAT_PATH, COMMANDS_PATH, CURRENT_HOST
 
 if TYPE_CHECKING:
     from .cloud import World
@@ -78,7 +78,7 @@
 
     async def run(self) -> None:
         """Send heartbeats and run tasks until the machine is terminated."""
-        HERE.set(self.name)
+        CURRENT_HOST.set(self.name)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._run_tasks)
             while not self.terminated:
--- a/standins/network.py
+++ b/standins/network.py
@@ -30,7 +30,7 @@
 Link = tuple[str, str]
 
 # The host on whose behalf the present task runs, and the host that called it.
-HERE: contextvars.ContextVar[str] = contextvars.ContextVar("here", default="user")
+CURRENT_HOST: contextvars.ContextVar[str] = contextvars.ContextVar("here", default="user")
 CALLER: contextvars.ContextVar[str] = contextvars.ContextVar("caller", default="user")
 
 AGENT_HEARTBEAT_PATH = "/v1/report"
@@ -141,7 +141,7 @@
         timeout: float,
     ) -> Response:
         """Send a request from the present host; raises HttpError if no reply comes in time."""
-        here = HERE.get()
+        here = CURRENT_HOST.get()
         host = self.hosts.get(address)
         with trio.move_on_after(timeout):
             await trio.sleep(0.001 + self.random.random() * 0.002)
@@ -231,11 +231,11 @@
 
     async def _serve(self, here: str, name: str, handler: Handler, request: Request) -> Response:
         """Run the handler as its host, so that its own calls meet the faults of that host."""
-        host, caller = HERE.set(name), CALLER.set(here)
+        host, caller = CURRENT_HOST.set(name), CALLER.set(here)
         try:
             return await handler(request)
         finally:
-            HERE.reset(host)
+            CURRENT_HOST.reset(host)
             CALLER.reset(caller)
 
     @staticmethod
@@ -259,7 +259,7 @@
             return await network.call(address, method, target, body, timeout=timeout)
 
         async def serve(self: Server, host: str, port: int) -> None:
-            network.hosts[(host, port)] = (HERE.get(), self.handle)
+            network.hosts[(host, port)] = (CURRENT_HOST.get(), self.handle)
             await trio.sleep_forever()
 
         monkeypatch.setattr(Client, "call", call)
--- a/tests/cluster/test_autoscaling.py
+++ b/tests/cluster/test_autoscaling.py
@@ -7,7 +7,7 @@
 import trio.testing
 
 from pitchtally.http import Request, Response
-from standins.network import HERE
+from standins.network import CURRENT_HOST
 
 from ..harness.simulation import TIMES, Simulation, job, run
 
@@ -23,7 +23,7 @@
 
         async def recorded(request: Request) -> Response:
             if request.method == "POST":
-                requests.append((trio.current_time(), HERE.get()))
+                requests.append((trio.current_time(), CURRENT_HOST.get()))
             return await handle(request)
 
         sim.network.hosts[("10.2.0.2", 8443)] = ("cloud", recorded)
--- a/tests/cluster/test_request_forwarding.py
+++ b/tests/cluster/test_request_forwarding.py
@@ -9,7 +9,7 @@
 import trio.testing
 
 from pitchtally.http import Response
-from standins.network import HERE
+from standins.network import CURRENT_HOST
 
 from ..harness.simulation import Simulation, job, run
 
@@ -30,7 +30,7 @@
             address: Any, method: str, target: str, *rest: Any, **more: Any
         ) -> Any:
             nonlocal in_flight, peak
-            forwarded = target == "/peer" and HERE.get() == "n0"
+            forwarded = target == "/peer" and CURRENT_HOST.get() == "n0"
             in_flight += forwarded
             peak = max(peak, in_flight)
             try:
--- a/tests/harness/earlier_version.py
+++ b/tests/harness/earlier_version.py
@@ -18,7 +18,7 @@
 
 from pitchtally.config.settings import Settings
 from pitchtally.http import HttpError, Request
-from standins.network import HERE, Network
+from standins.network import CURRENT_HOST, Network
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 VERSION_0_6_0 = "4dbc4a62bb9624fbab8370e0e8fe46c94eccac3e"
@@ -126,7 +126,7 @@
             async def handle(request: Request) -> Any:
                 return await server._handle(request)
 
-            network.hosts[(host, port)] = (HERE.get(), handle)
+            network.hosts[(host, port)] = (CURRENT_HOST.get(), handle)
             await network.wait_for_ever()
 
         monkeypatch.setattr(http.Client, "call", call)
--- a/tests/harness/simulation.py
+++ b/tests/harness/simulation.py
@@ -27,7 +27,7 @@
 from pitchtally.http import HttpError, Response
 from pitchtally.scheduling.shards import deadlines
 from standins.cloud import ControllerAddress, World
-from standins.network import HERE, Network
+from standins.network import CURRENT_HOST, Network
 from standins.state_store import StateStore
 
 from .deterministic_trio import schedule_deterministically
@@ -166,7 +166,7 @@
         self._probed: set[tuple[str, str]] = set()
 
     async def _node(self, name: str) -> None:
-        HERE.set(name)
+        CURRENT_HOST.set(name)
         with trio.CancelScope() as scope:
             self.scopes[name] = scope
             config = settings(name, self.times, self.teams, self.state_limits)
