--- a/standins/machine_tasks.py
+++ b/standins/machine_tasks.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from .rules import TOLERANCE, job_of
+from .rules import CPU_TOLERANCE, job_of
 
 if TYPE_CHECKING:
     from .agent import Agent
@@ -105,7 +105,7 @@
         """Return why a task of such a job ends at once; empty if it may start."""
         if spec is None:
             return "unknown"
-        if spec["vcpus"] > self.free_cpus() + TOLERANCE:
+        if spec["vcpus"] > self.free_cpus() + CPU_TOLERANCE:
             return "full"
         if self.agent.fails_tasks:
             self.world.rules.failures += 1
--- a/standins/rules.py
+++ b/standins/rules.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from .agent import Agent
 
-TOLERANCE = 1e-6  # of sums of amounts
+CPU_TOLERANCE = 1e-6  # of sums of amounts
 
 
 def job_of(task: str) -> str:
@@ -97,5 +97,5 @@
         used = self.used_by(team)
         self.peak_cpus[team] = max(self.peak_cpus.get(team, 0.0), used)
         limit = self.limits.get(team, 0.0)
-        if limit and used > limit + TOLERANCE:
+        if limit and used > limit + CPU_TOLERANCE:
             self.violations.append(f"quota {team} {used}")
--- a/tests/harness/invariants.py
+++ b/tests/harness/invariants.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from standins.cloud import World
-from standins.rules import TOLERANCE, Rules, job_of
+from standins.rules import CPU_TOLERANCE, Rules, job_of
 
 FINAL_STAGES = ("done", "withdrawn")
 
@@ -110,7 +110,7 @@
             return False
         limit = self.rules.limits.get(spec["crew"], 0.0)
         at_once = spec["rows"] if gang else 1
-        if limit and used.get(spec["crew"], 0.0) + at_once * spec["vcpus"] > limit + TOLERANCE:
+        if limit and used.get(spec["crew"], 0.0) + at_once * spec["vcpus"] > limit + CPU_TOLERANCE:
             return False
         free_slots = self._free_slots(spec, world, placed)
         if spec["oneZone"]:
@@ -132,7 +132,7 @@
                 continue
             if spec["oneZone"] and zones and agent.zone not in zones:
                 continue
-            slots = int((agent.free_cpus() + TOLERANCE) / spec["vcpus"])
+            slots = int((agent.free_cpus() + CPU_TOLERANCE) / spec["vcpus"])
             free_slots[agent.zone] = free_slots.get(agent.zone, 0) + slots
         if spec["spread"]:
             most = (spec["rows"] + 1) // 2
