--- a/standins/rules.py
+++ b/standins/rules.py
@@ -33,7 +33,7 @@
         self.limits: dict[str, float] = {}  # CPUs by team; 0: none
         self.placements: dict[str, TaskPlacement] = {}  # by task
         self.done: set[str] = set()  # tasks
-        self.cancelled: dict[str, float] = {}  # when the user was answered, by job
+        self.cancelled_at: dict[str, float] = {}  # when the user was answered, by job
         self.violations: list[str] = []
         self.started = 0  # how many times any task was started
         self.first_start: dict[str, float] = {}  # of any task, by job
@@ -51,8 +51,8 @@
         self.first_start.setdefault(job, trio.current_time())
         if task in self.placements:
             self.violations.append(f"ran_twice {task}")
-        if job in self.cancelled:
-            self.starts_after_cancel.append(trio.current_time() - self.cancelled[job])
+        if job in self.cancelled_at:
+            self.starts_after_cancel.append(trio.current_time() - self.cancelled_at[job])
         self._check_placement(agent, task)
         self.placements[task] = TaskPlacement(agent.name, agent.zone)
         self._check_limit(self.specs[job]["crew"])
@@ -75,7 +75,7 @@
         """Check that no task of a cancelled job is left once `cancel_s` has passed."""
         now = trio.current_time()
         for task in self.placements:
-            cancelled_at = self.cancelled.get(job_of(task))
+            cancelled_at = self.cancelled_at.get(job_of(task))
             if cancelled_at is not None and now - cancelled_at > self.cancel_s:
                 self.violations.append(f"ran_cancelled {task}")
 
--- a/tests/harness/invariants.py
+++ b/tests/harness/invariants.py
@@ -57,7 +57,7 @@
             self.final_stages.setdefault(id, stage)
             self.final_at.setdefault(id, now)
         if stage == "withdrawn":
-            self.rules.cancelled.setdefault(id, now)
+            self.rules.cancelled_at.setdefault(id, now)
         if stage == "done" and self.rules.specs[id]["cut"] == "standing":
             self.violations.append(f"not_done {id}: a service")
         if stage == "done" and self._done(id) < self.rules.specs[id]["rows"]:
