--- a/standins/rules.py
+++ b/standins/rules.py
@@ -35,7 +35,7 @@
         self.done: set[str] = set()  # tasks
         self.cancelled_at: dict[str, float] = {}  # when the user was answered, by job
         self.violations: list[str] = []
-        self.started = 0  # how many times any task was started
+        self.start_count = 0  # how many times any task was started
         self.first_start: dict[str, float] = {}  # of any task, by job
         self.starts_after_cancel: list[float] = []  # seconds from the cancellation to the start
         self.peak_cpus: dict[str, float] = {}  # most in use at once, by team
@@ -46,7 +46,7 @@
     def start(self, agent: Agent, task: str) -> None:
         """Record that a task starts on a machine, and check whether it may."""
         job = job_of(task)
-        self.started += 1
+        self.start_count += 1
         self._starts[job] = self._starts.get(job, 0) + 1
         self.first_start.setdefault(job, trio.current_time())
         if task in self.placements:
--- a/tests/cluster/test_invariants_under_faults.py
+++ b/tests/cluster/test_invariants_under_faults.py
@@ -359,6 +359,6 @@
         assert sim.final_stages["wk-000007"] == "withdrawn"
         await trio.sleep(26)  # nothing of the cancelled job may be left
         sim.check()
-        assert sim.world.rules.started >= sum(s["rows"] for s in jobs[:6])
+        assert sim.world.rules.start_count >= sum(s["rows"] for s in jobs[:6])
 
     run(monkeypatch, day)
--- a/tests/cluster/test_services.py
+++ b/tests/cluster/test_services.py
@@ -29,7 +29,7 @@
         await sim.cancel(spec["ref"])
         await trio.sleep(TIMES.cancel_s + 1)
         assert not replicas_up(sim, spec["ref"])
-        assert sim.world.rules.started == 3
+        assert sim.world.rules.start_count == 3
         sim.check()
 
     run(monkeypatch, day)
@@ -112,7 +112,7 @@
         await wait_until_up(sim, spec, within=5.0)
         await trio.sleep(120)
         assert sim.world.terminated  # those without replicas
-        assert sim.world.rules.started == 4
+        assert sim.world.rules.start_count == 4
 
     run(monkeypatch, day)
 
