--- a/standins/machine_tasks.py
+++ b/standins/machine_tasks.py
@@ -120,7 +120,7 @@
     def _wait_for_gang(self, name: str, task: HeldTask) -> None:
         job = job_of(name)
         present = len(self.world.gang(job, task.attempt))
-        done = sum(1 for other in self.world.rules.done if job_of(other) == job)
+        done = sum(1 for other in self.world.rules.completed_tasks if job_of(other) == job)
         now = trio.current_time()
         if present + done >= self.world.rules.specs[job]["rows"]:
             task.state, task.since = RUNNING, now
@@ -140,7 +140,7 @@
             if ends is not None and ran >= ends:
                 self._end(name, "done")
         elif ran >= self._duration(name):
-            self.world.rules.done.add(name)
+            self.world.rules.completed_tasks.add(name)
             self._end(name, "done")
 
     def _duration(self, name: str) -> float:
--- a/standins/rules.py
+++ b/standins/rules.py
@@ -32,7 +32,7 @@
         self.specs: dict[str, dict[str, Any]] = {}  # by job
         self.limits: dict[str, float] = {}  # CPUs by team; 0: none
         self.placements: dict[str, TaskPlacement] = {}  # by task
-        self.done: set[str] = set()  # tasks
+        self.completed_tasks: set[str] = set()  # tasks
         self.cancelled_at: dict[str, float] = {}  # when the user was answered, by job
         self.violations: list[str] = []
         self.start_count = 0  # how many times any task was started
--- a/tests/cluster/test_reassignment.py
+++ b/tests/cluster/test_reassignment.py
@@ -29,7 +29,7 @@
     async def day(sim: Simulation) -> None:
         await sim.submit(spec)
         with trio.fail_after(30):
-            while not sim.world.rules.done:
+            while not sim.world.rules.completed_tasks:
                 await trio.sleep(0.2)
         await trio.sleep(1.5)
         zones = [z for t, (_, z) in sim.world.rules.placements.items()]
--- a/tests/harness/invariants.py
+++ b/tests/harness/invariants.py
@@ -64,7 +64,7 @@
             self.violations.append(f"not_done {id}")
 
     def _done(self, id: str) -> int:
-        return sum(1 for t in self.rules.done if job_of(t) == id)
+        return sum(1 for t in self.rules.completed_tasks if job_of(t) == id)
 
     def check_jobs_answer(self, now: float, calm_since: float, limit: float = 75.0) -> None:
         """Check that every job was answered for within the limit, without faults since then."""
--- a/tests/harness/test_invariants.py
+++ b/tests/harness/test_invariants.py
@@ -123,7 +123,7 @@
 
 async def stage_went_back(invariants: InvariantChecker) -> None:
     id = accepted(invariants, rows=1)
-    invariants.rules.done.add(f"{id}/0")
+    invariants.rules.completed_tasks.add(f"{id}/0")
     invariants.observe(5.0, 5.1, id, 200, "done")
     invariants.observe(6.0, 6.1, id, 200, "running")
 
@@ -192,7 +192,7 @@
         world: Any = SimpleNamespace(types=TYPES, agents={"i-1": agent("i-1")})
         invariants.check_startable_jobs_start(0.0, world)
         invariants.check_startable_jobs_start(91.0, world)
-        rules.done |= {f"{id}/0", f"{id}/1"}
+        rules.completed_tasks |= {f"{id}/0", f"{id}/1"}
         invariants.observe(5.0, 6.0, id, 200, "done")
         invariants.observe(5.5, 6.5, id, 200, "running")
         invariants.check_jobs_answer(60.0, calm_since=20.0)
