--- a/standins/agent.py
+++ b/standins/agent.py
@@ -32,7 +32,7 @@
         self.name, self.type, self.zone, self.spot = name, type_, zone, spot
         self.address = f"{world.host}:{port}"
         self.epoch, self.sequence, self.fencing_token = 1, 0, 0
-        self.changed = trio.Event()  # something has to be reported before the next interval
+        self.status_changed = trio.Event()  # something has to be reported before the next interval
         self.executor = MachineTasks(self)
         self.tasks = self.executor.tasks
         self.launched_at = self.lease_renewed_at = trio.current_time()
@@ -56,14 +56,14 @@
         inbox, self.inbox = self.inbox, []
         for request in inbox:
             await self.handle(request)
-        self.changed.set()
+        self.status_changed.set()
 
     def restart(self) -> None:
         """Go down and up again before anybody noticed: all tasks are lost, the epoch is new."""
         self.executor.lose_all()
         self.epoch += 1
         self.lease_renewed_at = trio.current_time()
-        self.changed.set()
+        self.status_changed.set()
 
     def terminate(self) -> None:
         """End the machine, and all that is on it."""
@@ -88,8 +88,8 @@
                 with trio.move_on_after(
                     max(0.0, self.world.times.report_s - MIN_HEARTBEAT_INTERVAL_S)
                 ):
-                    await self.changed.wait()
-                self.changed = trio.Event()
+                    await self.status_changed.wait()
+                self.status_changed = trio.Event()
             nursery.cancel_scope.cancel()
 
     async def _while_hung(self) -> None:
@@ -127,7 +127,7 @@
         elif not self._was_redirected(response):
             await trio.sleep(RETRY_PAUSE_S)
             self.controller = (self.controller + 1) % len(self.world.controllers)
-            self.changed.set()
+            self.status_changed.set()
 
     async def _send_heartbeat(self) -> Response:
         body = json.dumps(self.heartbeat()).encode()
@@ -155,13 +155,13 @@
         if target not in names or names.index(target) == self.controller:
             return False
         self.controller = names.index(target)
-        self.changed.set()
+        self.status_changed.set()
         return True
 
     def _raise_token(self, token: int) -> None:
         if token > self.fencing_token:
             self.fencing_token = token
-            self.changed.set()
+            self.status_changed.set()
 
     # --- direct commands --------------------------------------------------------------
 
@@ -203,4 +203,4 @@
         self.executor.lose_all()
         self.epoch += 1
         self.lease_renewed_at = now
-        self.changed.set()
+        self.status_changed.set()
--- a/standins/machine_tasks.py
+++ b/standins/machine_tasks.py
@@ -62,7 +62,7 @@
                 self._end(name, "stopped")
             elif command["order"] == "forget" and not held.active:
                 del self.tasks[name]
-                self.agent.changed.set()
+                self.agent.status_changed.set()
 
     def advance(self) -> None:
         """Let waiting tasks start and running ones end, as the time has come."""
@@ -88,7 +88,7 @@
     def _start(self, name: str, attempt: int, held: HeldTask | None) -> None:
         if held is not None and held.attempt == attempt:
             return
-        self.agent.changed.set()
+        self.agent.status_changed.set()
         spec = self.world.rules.specs.get(job_of(name))
         if spec is not None and held is not None and held.active:
             return
@@ -115,7 +115,7 @@
     def _end(self, name: str, cause: str) -> None:
         self.tasks[name] = HeldTask(self.tasks[name].attempt, ENDED, cause)
         self.world.rules.end(name)
-        self.agent.changed.set()
+        self.agent.status_changed.set()
 
     def _wait_for_gang(self, name: str, task: HeldTask) -> None:
         job = job_of(name)
@@ -124,7 +124,7 @@
         now = trio.current_time()
         if present + done >= self.world.rules.specs[job]["rows"]:
             task.state, task.since = RUNNING, now
-            self.agent.changed.set()
+            self.agent.status_changed.set()
         elif now - task.since > self.world.times.gang_wait_s:
             self._end(name, "incomplete")
 
--- a/tests/cluster/test_services.py
+++ b/tests/cluster/test_services.py
@@ -128,7 +128,7 @@
 
 async def preempted(sim: Simulation, agent: Any) -> None:
     agent.preemption_at = trio.current_time() + 6.0
-    agent.changed.set()
+    agent.status_changed.set()
     await trio.sleep(6.0)
     if agent.name in sim.world.agents:  # not terminated before that
         sim.world.agents.pop(agent.name).terminate()
