--- a/standins/network.py
+++ b/standins/network.py
@@ -239,7 +239,7 @@
             CALLER.reset(caller)
 
     @staticmethod
-    async def wait_for_ever() -> None:
+    async def sleep_until_cancelled() -> None:
         """Wait until cancelled, as a server does once it is installed."""
         await trio.sleep_forever()
 
--- a/tests/harness/earlier_version.py
+++ b/tests/harness/earlier_version.py
@@ -127,7 +127,7 @@
                 return await server._handle(request)
 
             network.hosts[(host, port)] = (CURRENT_HOST.get(), handle)
-            await network.wait_for_ever()
+            await network.sleep_until_cancelled()
 
         monkeypatch.setattr(http.Client, "call", call)
         monkeypatch.setattr(http.Server, "serve", serve)
