--- a/standins/state_store.py
+++ b/standins/state_store.py
@@ -15,7 +15,7 @@
 UNLIMITED = 1 << 20
 CONDITIONS_PER_CHANGE = 4
 EXPIRY_INTERVAL_S = 0.1
-FIRST_LEASE = 1000
+FIRST_LEASE_ID = 1000
 # A watch looks for changes again after at least, and at most, so many seconds.
 WATCH_PAUSE_S = (0.05, 1.0)
 
@@ -203,7 +203,7 @@
     # --- leases -----------------------------------------------------------------------
 
     def _grant_lease(self, ttl: float) -> Response:
-        number = len(self.leases) + FIRST_LEASE + len(self.log) * 7
+        number = len(self.leases) + FIRST_LEASE_ID + len(self.log) * 7
         while number in self.leases:
             number += 1
         self.leases[number] = Lease(trio.current_time() + ttl, ttl)
