--- a/standins/state_store.py
+++ b/standins/state_store.py
@@ -13,7 +13,7 @@
 from .network import CALLER
 
 UNLIMITED = 1 << 20
-CONDITIONS_PER_CHANGE = 4
+MAX_PRECONDITIONS_PER_CHANGE = 4
 EXPIRY_INTERVAL_S = 0.1
 FIRST_LEASE_ID = 1000
 # A watch looks for changes again after at least, and at most, so many seconds.
@@ -57,7 +57,7 @@
         """Return why a transaction is refused; empty if it isn't."""
         if len(body["writes"]) > self.changes:
             return f"{len(body['writes'])} changes"
-        if len(body["if"]) > CONDITIONS_PER_CHANGE * self.changes:
+        if len(body["if"]) > MAX_PRECONDITIONS_PER_CHANGE * self.changes:
             return f"{len(body['if'])} conditions"
         for write in body["writes"]:
             size = len(json.dumps(write.get("v"), separators=(",", ":")))
