--- a/standins/state_store.py
+++ b/standins/state_store.py
@@ -79,7 +79,7 @@
         self.down = False
         self.refused_callers: set[str] = set()  # hosts that get 503 while others are served
         self.oversized: list[str] = []  # transactions refused for their size, and by whom sent
-        self._changed = trio.Event()
+        self._log_changed = trio.Event()
 
     def stop(self) -> None:
         """Begin an outage."""
@@ -152,7 +152,7 @@
                 return _answer(200, {"ledger": self.revision, "log": found})
             shortest, longest = WATCH_PAUSE_S
             with trio.move_on_after(max(shortest, min(longest, end - trio.current_time()))):
-                await self._changed.wait()
+                await self._log_changed.wait()
 
     # --- keys -------------------------------------------------------------------------
 
@@ -194,8 +194,8 @@
         del self.log[: -self.log_capacity]
 
     def _wake_watches(self) -> None:
-        self._changed.set()
-        self._changed = trio.Event()
+        self._log_changed.set()
+        self._log_changed = trio.Event()
 
     def _refuses_caller(self) -> bool:
         return self.down or CALLER.get() in self.refused_callers
