--- a/standins/state_store.py
+++ b/standins/state_store.py
@@ -134,9 +134,9 @@
             self.revision += 1
             for write in body["writes"]:
                 if "remove" in write:
-                    self._record(write["remove"], None, None)
+                    self._apply_change(write["remove"], None, None)
                 else:
-                    self._record(write["write"], write["v"], write.get("permit"))
+                    self._apply_change(write["write"], write["v"], write.get("permit"))
             self._wake_watches()
         return _answer(200, {"ledger": self.revision})
 
@@ -185,7 +185,7 @@
     def _version(self, key: str) -> int:
         return self.items[key].version if key in self.items else 0
 
-    def _record(self, key: str, value: Value, lease: int | None) -> None:
+    def _apply_change(self, key: str, value: Value, lease: int | None) -> None:
         if value is None:
             self.items.pop(key, None)
         else:
@@ -227,7 +227,7 @@
         if keys:
             self.revision += 1
             for key in keys:
-                self._record(key, None, None)
+                self._apply_change(key, None, None)
             self._wake_watches()
 
 
