--- a/standins/state_store.py
+++ b/standins/state_store.py
@@ -219,9 +219,9 @@
     def _expire_leases(self) -> None:
         now = trio.current_time()
         for number in [n for n, lease in self.leases.items() if lease.expires_at < now]:
-            self._end_lease(number)
+            self._revoke_lease(number)
 
-    def _end_lease(self, number: int) -> None:
+    def _revoke_lease(self, number: int) -> None:
         self.leases.pop(number, None)
         keys = [key for key, item in self.items.items() if item.lease == number]
         if keys:
