--- a/standins/cloud.py
+++ b/standins/cloud.py
@@ -90,7 +90,7 @@
             return Response(503, b'{"error":"trouble"}')
         if request.path == "/flavors":
             found = [{"sku": name, **row} for name, row in self.types.items()]
-            return _answer({"presses": found})
+            return _json_response({"presses": found})
         if request.path == "/machines/release":
             return self._terminate(json.loads(request.body)["vats"])
         if request.method == "POST":
@@ -103,12 +103,12 @@
             if agent is not None:
                 self.terminated.append(name)
                 agent.terminate()
-        return _answer({})
+        return _json_response({})
 
     def _launch(self, body: dict[str, Any]) -> Response:
         earlier = self._launches.get(body["hire"])
         if earlier is not None:
-            return _answer({"vats": earlier})
+            return _json_response({"vats": earlier})
         available = self.capacity - len(self.agents)
         if available <= 0:
             return Response(503, b'{"error":"no capacity"}')
@@ -117,7 +117,7 @@
             for _ in range(min(available, body["howMany"]))
         ]
         self._launches[body["hire"]] = names
-        return _answer({"vats": names})
+        return _json_response({"vats": names})
 
     def _list(self) -> Response:
         newest = trio.current_time() - self.list_lag_s
@@ -134,8 +134,8 @@
             for agent in self.agents.values()
             if agent.launched_at <= newest or not self.list_lag_s
         ]
-        return _answer({"vats": rows, "truncated": False})
+        return _json_response({"vats": rows, "truncated": False})
 
 
-def _answer(body: dict[str, Any]) -> Response:
+def _json_response(body: dict[str, Any]) -> Response:
     return Response(200, json.dumps(body).encode())
--- a/standins/state_store.py
+++ b/standins/state_store.py
@@ -103,7 +103,7 @@
     async def handle(self, request: Request) -> Response:
         """Answer a request."""
         if self._refuses_caller():
-            return _answer(503, {"error": "trouble"})
+            return _json_response(503, {"error": "trouble"})
         self._expire_leases()
         path = request.path
         if path == "/commit":
@@ -123,13 +123,13 @@
         violation = self.limits.violation(body)
         if violation:
             self.oversized.append(f"{CALLER.get()}: {violation}")
-            return _answer(400, {"error": violation})
+            return _json_response(400, {"error": violation})
         for write in body["writes"]:
             if write.get("permit") is not None and write["permit"] not in self.leases:
-                return _answer(400, {"error": "no such lease"})
+                return _json_response(400, {"error": "no such lease"})
         failed = [c["path"] for c in body["if"] if self._version(c["path"]) != c["stamp"]]
         if failed:
-            return _answer(409, {"failed": failed, "ledger": self.revision})
+            return _json_response(409, {"failed": failed, "ledger": self.revision})
         if body["writes"]:
             self.revision += 1
             for write in body["writes"]:
@@ -138,18 +138,18 @@
                 else:
                     self._apply_change(write["write"], write["v"], write.get("permit"))
             self._wake_watches()
-        return _answer(200, {"ledger": self.revision})
+        return _json_response(200, {"ledger": self.revision})
 
     async def watch(self, query: dict[str, str]) -> Response:
         """Wait for changes after a revision."""
         prefix, since = query["starts"], int(query["since"])
         end = trio.current_time() + int(query.get("waitMs", "0")) / 1000
         if self.log and self.log[0].revision > since + 1 and len(self.log) >= self.log_capacity:
-            return _answer(410, {})
+            return _json_response(410, {})
         while True:
             found = self._changes(prefix, since)
             if (found or trio.current_time() >= end) and not self._refuses_caller():
-                return _answer(200, {"ledger": self.revision, "log": found})
+                return _json_response(200, {"ledger": self.revision, "log": found})
             shortest, longest = WATCH_PAUSE_S
             with trio.move_on_after(max(shortest, min(longest, end - trio.current_time()))):
                 await self._log_changed.wait()
@@ -158,9 +158,9 @@
 
     def _read(self, key: str) -> Response:
         if key not in self.items:
-            return _answer(404, {"ledger": self.revision})
+            return _json_response(404, {"ledger": self.revision})
         item = self.items[key]
-        return _answer(200, {"path": key, "v": item.value, "stamp": item.version})
+        return _json_response(200, {"path": key, "v": item.value, "stamp": item.version})
 
     def _list(self, query: dict[str, str]) -> Response:
         prefix, after = query.get("starts", ""), query.get("since", "")
@@ -171,7 +171,7 @@
             for k in keys[:limit]
         ]
         body = {"items": items, "truncated": len(keys) > limit, "ledger": self.revision}
-        return _answer(200, body)
+        return _json_response(200, body)
 
     def _changes(self, prefix: str, since: int) -> list[dict[str, Any]]:
         return [
@@ -207,14 +207,14 @@
         while number in self.leases:
             number += 1
         self.leases[number] = Lease(trio.current_time() + ttl, ttl)
-        return _answer(200, {"permit": number})
+        return _json_response(200, {"permit": number})
 
     def _renew_lease(self, number: int) -> Response:
         if number not in self.leases:
-            return _answer(404, {})
+            return _json_response(404, {})
         ttl = self.leases[number].ttl
         self.leases[number] = Lease(trio.current_time() + ttl, ttl)
-        return _answer(200, {"permit": number})
+        return _json_response(200, {"permit": number})
 
     def _expire_leases(self) -> None:
         now = trio.current_time()
@@ -231,5 +231,5 @@
             self._wake_watches()
 
 
-def _answer(status: int, body: dict[str, Any]) -> Response:
+def _json_response(status: int, body: dict[str, Any]) -> Response:
     return Response(status, json.dumps(body).encode())
