--- a/standins/network.py
+++ b/standins/network.py
@@ -159,7 +159,7 @@
             if (here, name) in self.held_back_links:
                 self.held_back.append(packet)
                 await trio.sleep_forever()
-            if self._put_off(path, packet):
+            if self._postpone(path, packet):
                 await trio.sleep_forever()
             self._duplicate(path, name, packet)
             response = await self._serve(here, name, handler, packet.request)
@@ -183,7 +183,7 @@
     def _occurs(self, share: float) -> bool:
         return share > 0 and self.random.random() < share
 
-    def _put_off(self, path: str, packet: Packet) -> bool:
+    def _postpone(self, path: str, packet: Packet) -> bool:
         """Whether the request was put off, to be carried out later and not answered."""
         if path == COMMIT_PATH and self._occurs(self.delayed_commits):
             self._send_later(packet, self.random.uniform(*COMMIT_DELAY_S))
