--- a/standins/network.py
+++ b/standins/network.py
@@ -186,10 +186,10 @@
     def _postpone(self, path: str, packet: Packet) -> bool:
         """Whether the request was put off, to be carried out later and not answered."""
         if path == COMMIT_PATH and self._occurs(self.delayed_commits):
-            self._send_later(packet, self.random.uniform(*COMMIT_DELAY_S))
+            self._deliver_later(packet, self.random.uniform(*COMMIT_DELAY_S))
             return True
         if path == COMMANDS_PATH and self._occurs(self.delayed_commands):
-            self._send_later(packet, self.random.uniform(*COMMAND_DELAY_S))
+            self._deliver_later(packet, self.random.uniform(*COMMAND_DELAY_S))
             return True
         return False
 
@@ -202,11 +202,11 @@
             if self._occurs(self.recorded_heartbeats):
                 self.recorded.append(packet)
         if delay is not None:
-            self._send_later(packet, delay)
+            self._deliver_later(packet, delay)
 
     # --- delivery -----------------------------------------------------------
 
-    def _send_later(self, packet: Packet, after: float) -> None:
+    def _deliver_later(self, packet: Packet, after: float) -> None:
         if self.nursery is not None:
             self.nursery.start_soon(self._arrive_after, after, packet)
 
