--- a/standins/network.py
+++ b/standins/network.py
@@ -208,22 +208,22 @@
 
     def _deliver_later(self, packet: Packet, after: float) -> None:
         if self.nursery is not None:
-            self.nursery.start_soon(self._arrive_after, after, packet)
+            self.nursery.start_soon(self._deliver_after, after, packet)
 
     def _deliver_in_order(self, packets: list[Packet]) -> None:
         if packets and self.nursery is not None:
-            self.nursery.start_soon(self._arrive_in_order, packets)
+            self.nursery.start_soon(self._deliver_each, packets)
 
-    async def _arrive_in_order(self, packets: list[Packet]) -> None:
+    async def _deliver_each(self, packets: list[Packet]) -> None:
         for packet in packets:
             with trio.move_on_after(DELIVERY_TIMEOUT_S):
-                await self._arrive(packet)
+                await self._deliver(packet)
 
-    async def _arrive_after(self, after: float, packet: Packet) -> None:
+    async def _deliver_after(self, after: float, packet: Packet) -> None:
         await trio.sleep(after)
-        await self._arrive(packet)
+        await self._deliver(packet)
 
-    async def _arrive(self, packet: Packet) -> None:
+    async def _deliver(self, packet: Packet) -> None:
         """Deliver a delayed request to whoever listens at its address by now."""
         host = self.hosts.get(packet.address)
         if host is not None and host[0] not in self.crashed:
