--- a/standins/agent.py
+++ b/standins/agent.py
@@ -16,7 +16,7 @@
     from .cloud import World
 
 HEARTBEAT_TIMEOUT_S = 4.0  # a reply that comes later is dropped
-RETRY_PAUSE_S = 1.0  # before the next controller is tried
+RETRY_DELAY_S = 1.0  # before the next controller is tried
 MIN_HEARTBEAT_INTERVAL_S = 0.5  # also when something has changed
 TICK_S = 0.1  # how often tasks and the lease are looked at
 HUNG_TICK_S = 0.05
@@ -125,7 +125,7 @@
         if response.status == 200:
             self._handle_reply(json.loads(response.body), dispatched_at)
         elif not self._was_redirected(response):
-            await trio.sleep(RETRY_PAUSE_S)
+            await trio.sleep(RETRY_DELAY_S)
             self.controller = (self.controller + 1) % len(self.world.controllers)
             self.status_changed.set()
 
