--- a/standins/agent.py
+++ b/standins/agent.py
@@ -19,7 +19,7 @@
 RETRY_DELAY_S = 1.0  # before the next controller is tried
 MIN_HEARTBEAT_INTERVAL_S = 0.5  # also when something has changed
 TICK_S = 0.1  # how often tasks and the lease are looked at
-HUNG_TICK_S = 0.05
+HUNG_POLL_INTERVAL_S = 0.05
 
 
 class Agent:
@@ -94,7 +94,7 @@
 
     async def _while_hung(self) -> None:
         while self.hung:
-            await trio.sleep(HUNG_TICK_S)
+            await trio.sleep(HUNG_POLL_INTERVAL_S)
 
     def heartbeat(self) -> dict[str, Any]:
         """Return the machine's status, under the next sequence number."""
