--- a/standins/agent.py
+++ b/standins/agent.py
@@ -82,7 +82,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._run_tasks)
             while not self.terminated:
-                await self._while_hung()
+                await self._wait_while_hung()
                 await self._exchange_heartbeat()
                 await trio.sleep(MIN_HEARTBEAT_INTERVAL_S)
                 with trio.move_on_after(
@@ -92,7 +92,7 @@
                 self.status_changed = trio.Event()
             nursery.cancel_scope.cancel()
 
-    async def _while_hung(self) -> None:
+    async def _wait_while_hung(self) -> None:
         while self.hung:
             await trio.sleep(HUNG_POLL_INTERVAL_S)
 
@@ -118,7 +118,7 @@
     async def _exchange_heartbeat(self) -> None:
         dispatched_at, epoch = trio.current_time(), self.epoch
         response = await self._send_heartbeat()
-        await self._while_hung()
+        await self._wait_while_hung()
         timed_out = trio.current_time() - dispatched_at > HEARTBEAT_TIMEOUT_S
         if self.terminated or epoch != self.epoch or timed_out:
             return
