--- a/standins/agent.py
+++ b/standins/agent.py
@@ -124,7 +124,7 @@
             return
         if response.status == 200:
             self._handle_reply(json.loads(response.body), dispatched_at)
-        elif not self._was_redirected(response):
+        elif not self._follow_redirect(response):
             await trio.sleep(RETRY_DELAY_S)
             self.controller = (self.controller + 1) % len(self.world.controllers)
             self.status_changed.set()
@@ -146,7 +146,7 @@
         self.lease_renewed_at = dispatched_at
         self.executor.execute(reply["orders"])
 
-    def _was_redirected(self, response: Response) -> bool:
+    def _follow_redirect(self, response: Response) -> bool:
         """Whether the controller named another one, which gets the heartbeats from now on."""
         if response.status != 421:
             return False
