--- a/standins/agent.py
+++ b/standins/agent.py
@@ -36,7 +36,9 @@
         self.executor = MachineTasks(self)
         self.tasks = self.executor.tasks
         self.launched_at = self.lease_renewed_at = trio.current_time()
-        self.controller = world.random.randrange(len(world.controllers))  # that gets the heartbeats
+        self.controller_index = world.random.randrange(
+            len(world.controllers)
+        )  # that gets the heartbeats
         self.terminated = False
         self.fails_tasks = False  # every task that starts ends with an error
         self.preemption_at: float | None = None  # when the cloud takes the machine back
@@ -126,12 +128,12 @@
             self._handle_reply(json.loads(response.body), dispatched_at)
         elif not self._follow_redirect(response):
             await trio.sleep(RETRY_DELAY_S)
-            self.controller = (self.controller + 1) % len(self.world.controllers)
+            self.controller_index = (self.controller_index + 1) % len(self.world.controllers)
             self.status_changed.set()
 
     async def _send_heartbeat(self) -> Response:
         body = json.dumps(self.heartbeat()).encode()
-        address = self.world.controllers[self.controller].address
+        address = self.world.controllers[self.controller_index].address
         try:
             return await self.world.network.call(
                 address, "POST", AGENT_HEARTBEAT_PATH, body, timeout=HEARTBEAT_TIMEOUT_S
@@ -152,9 +154,9 @@
             return False
         target = json.loads(response.body).get("steward")
         names = [controller.name for controller in self.world.controllers]
-        if target not in names or names.index(target) == self.controller:
+        if target not in names or names.index(target) == self.controller_index:
             return False
-        self.controller = names.index(target)
+        self.controller_index = names.index(target)
         self.status_changed.set()
         return True
 
