--- a/standins/agent.py
+++ b/standins/agent.py
@@ -62,7 +62,7 @@
 
     def restart(self) -> None:
         """Go down and up again before anybody noticed: all tasks are lost, the epoch is new."""
-        self.executor.lose_all()
+        self.executor.drop_all()
         self.epoch += 1
         self.lease_renewed_at = trio.current_time()
         self.status_changed.set()
@@ -70,7 +70,7 @@
     def terminate(self) -> None:
         """End the machine, and all that is on it."""
         self.terminated = True
-        self.executor.lose_all()
+        self.executor.drop_all()
 
     def free_cpus(self) -> float:
         """Return the CPUs that no active task uses."""
@@ -202,7 +202,7 @@
             return
         lost = sum(1 for task in self.tasks.values() if task.active)
         self.world.rules.tasks_lost_to_lease_expiry += lost
-        self.executor.lose_all()
+        self.executor.drop_all()
         self.epoch += 1
         self.lease_renewed_at = now
         self.status_changed.set()
--- a/standins/machine_tasks.py
+++ b/standins/machine_tasks.py
@@ -72,7 +72,7 @@
             elif task.state == RUNNING:
                 self._run(name, task)
 
-    def lose_all(self) -> None:
+    def drop_all(self) -> None:
         """Drop all tasks, as a machine does that goes down."""
         for name, task in self.tasks.items():
             if task.active:
