--- a/standins/machine_tasks.py
+++ b/standins/machine_tasks.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True)
-class HeldTask:
+class TaskAttempt:
     """An attempt at a task, as its machine knows it until its end is acknowledged."""
 
     attempt: int
@@ -47,7 +47,7 @@
     def __init__(self, agent: Agent) -> None:
         self.agent = agent
         self.world = agent.world
-        self.tasks: dict[str, HeldTask] = {}
+        self.tasks: dict[str, TaskAttempt] = {}
 
     def execute(self, commands: list[dict[str, Any]]) -> None:
         """Execute commands in order: start, stop, acknowledge the end."""
@@ -85,7 +85,7 @@
         used = sum(specs[job_of(n)]["vcpus"] for n, t in self.tasks.items() if t.active)
         return float(self.world.types[self.agent.type]["vcpus"] - used)
 
-    def _start(self, name: str, attempt: int, held: HeldTask | None) -> None:
+    def _start(self, name: str, attempt: int, held: TaskAttempt | None) -> None:
         if held is not None and held.attempt == attempt:
             return
         self.agent.status_changed.set()
@@ -94,11 +94,11 @@
             return
         refusal = self._refusal(spec)
         if refusal or spec is None:
-            self.tasks[name] = HeldTask(attempt, ENDED, refusal)
+            self.tasks[name] = TaskAttempt(attempt, ENDED, refusal)
             return
         gang = spec["cut"] == "gang" and spec["rows"] > 1
         state = WAITING if gang else RUNNING
-        self.tasks[name] = HeldTask(attempt, state, since=trio.current_time())
+        self.tasks[name] = TaskAttempt(attempt, state, since=trio.current_time())
         self.world.rules.start(self.agent, name)
 
     def _refusal(self, spec: dict[str, Any] | None) -> str:
@@ -113,11 +113,11 @@
         return ""
 
     def _end(self, name: str, cause: str) -> None:
-        self.tasks[name] = HeldTask(self.tasks[name].attempt, ENDED, cause)
+        self.tasks[name] = TaskAttempt(self.tasks[name].attempt, ENDED, cause)
         self.world.rules.end(name)
         self.agent.status_changed.set()
 
-    def _wait_for_gang(self, name: str, task: HeldTask) -> None:
+    def _wait_for_gang(self, name: str, task: TaskAttempt) -> None:
         job = job_of(name)
         present = len(self.world.gang(job, task.attempt))
         done = sum(1 for other in self.world.rules.completed_tasks if job_of(other) == job)
@@ -128,7 +128,7 @@
         elif now - task.since > self.world.times.gang_wait_s:
             self._end(name, "incomplete")
 
-    def _run(self, name: str, task: HeldTask) -> None:
+    def _run(self, name: str, task: TaskAttempt) -> None:
         spec = self.world.rules.specs[job_of(name)]
         ran = trio.current_time() - task.since
         if spec.get("broken"):
