--- a/standins/agent.py
+++ b/standins/agent.py
@@ -114,7 +114,7 @@
             "shift": self.epoch,
             "tally": self.sequence,
             "seal": self.fencing_token,
-            "rows": [task.as_row(name) for name, task in self.tasks.items()],
+            "rows": [task.heartbeat_entry(name) for name, task in self.tasks.items()],
         }
 
     async def _exchange_heartbeat(self) -> None:
--- a/standins/machine_tasks.py
+++ b/standins/machine_tasks.py
@@ -33,7 +33,7 @@
         """Whether the task has not ended yet."""
         return self.state != ENDED
 
-    def as_row(self, name: str) -> dict[str, Any]:
+    def heartbeat_entry(self, name: str) -> dict[str, Any]:
         """Return the task as a heartbeat lists it."""
         row = {"row": name, "pressing": self.attempt, "stage": self.state}
         if not self.active:
