--- a/standins/agent.py
+++ b/standins/agent.py
@@ -53,7 +53,7 @@
         await trio.sleep(seconds)
         self.hung = False
         for task in self.tasks.values():
-            task.since += seconds  # it didn't run meanwhile
+            task.state_since += seconds  # it didn't run meanwhile
         self._check_lease()
         inbox, self.inbox = self.inbox, []
         for request in inbox:
--- a/standins/machine_tasks.py
+++ b/standins/machine_tasks.py
@@ -26,7 +26,7 @@
     attempt: int
     state: str
     cause: str = ""
-    since: float = 0.0  # when it began to wait or to run
+    state_since: float = 0.0  # when it began to wait or to run
 
     @property
     def active(self) -> bool:
@@ -98,7 +98,7 @@
             return
         gang = spec["cut"] == "gang" and spec["rows"] > 1
         state = WAITING if gang else RUNNING
-        self.tasks[name] = TaskAttempt(attempt, state, since=trio.current_time())
+        self.tasks[name] = TaskAttempt(attempt, state, state_since=trio.current_time())
         self.world.rules.start(self.agent, name)
 
     def _refusal(self, spec: dict[str, Any] | None) -> str:
@@ -123,14 +123,14 @@
         done = sum(1 for other in self.world.rules.completed_tasks if job_of(other) == job)
         now = trio.current_time()
         if present + done >= self.world.rules.specs[job]["rows"]:
-            task.state, task.since = RUNNING, now
+            task.state, task.state_since = RUNNING, now
             self.agent.status_changed.set()
-        elif now - task.since > self.world.times.gang_wait_s:
+        elif now - task.state_since > self.world.times.gang_wait_s:
             self._end(name, "incomplete")
 
     def _run(self, name: str, task: TaskAttempt) -> None:
         spec = self.world.rules.specs[job_of(name)]
-        ran = trio.current_time() - task.since
+        ran = trio.current_time() - task.state_since
         if spec.get("broken"):
             if ran >= BROKEN_TASK_S:
                 self.world.rules.failures += 1
