--- a/standins/machine_tasks.py
+++ b/standins/machine_tasks.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from .agent import Agent
 
-BROKEN_TASK_S = 0.5  # after which a task of a broken job fails
+BROKEN_TASK_DURATION_S = 0.5  # after which a task of a broken job fails
 
 WAITING = "waiting"  # for the rest of its gang
 RUNNING = "running"
@@ -132,7 +132,7 @@
         spec = self.world.rules.specs[job_of(name)]
         ran = trio.current_time() - task.state_since
         if spec.get("broken"):
-            if ran >= BROKEN_TASK_S:
+            if ran >= BROKEN_TASK_DURATION_S:
                 self.world.rules.failures += 1
                 self._end(name, "error")
         elif spec["cut"] == "standing":
