--- a/standins/cloud.py
+++ b/standins/cloud.py
@@ -17,7 +17,7 @@
 from .network import Network
 from .rules import Rules, job_of
 
-FIRST_PORT = 9000
+AGENT_PORT_BASE = 9000
 LISTED_AGE_S = 60.0  # the age that the list gives for every machine
 
 
@@ -74,7 +74,7 @@
     def add(self, type_: str, zone: str, spot: bool = False) -> Agent:
         """Launch a machine, which is up at once."""
         self._launched += 1
-        name, port = f"i-{self._launched:06d}", FIRST_PORT + self._launched
+        name, port = f"i-{self._launched:06d}", AGENT_PORT_BASE + self._launched
         agent = Agent(self, name, type_, zone, spot, port)
         self.agents[name] = agent
         self.network.hosts[(self.host, port)] = (name, agent.handle)
