--- a/standins/cloud.py
+++ b/standins/cloud.py
@@ -62,7 +62,7 @@
         self.host = "10.1.0.1"
         self.listen: Callable[[Agent, int], object] | None = None  # over real sockets
 
-    def gang(self, job: str, attempt: int) -> list[str]:
+    def active_gang_tasks(self, job: str, attempt: int) -> list[str]:
         """Return a job's tasks of one attempt that wait or run."""
         return [
             name
--- a/standins/machine_tasks.py
+++ b/standins/machine_tasks.py
@@ -119,7 +119,7 @@
 
     def _wait_for_gang(self, name: str, task: TaskAttempt) -> None:
         job = job_of(name)
-        present = len(self.world.gang(job, task.attempt))
+        present = len(self.world.active_gang_tasks(job, task.attempt))
         done = sum(1 for other in self.world.rules.completed_tasks if job_of(other) == job)
         now = trio.current_time()
         if present + done >= self.world.rules.specs[job]["rows"]:
