--- a/standins/cloud.py
+++ b/standins/cloud.py
@@ -52,7 +52,9 @@
         self.rules = Rules(times.cancel_s)
         self.random = random.Random(seed)
         self.agents: dict[str, Agent] = {}
-        self._launches: dict[str, list[str]] = {}  # machines by request id, for repeated requests
+        self._machines_by_request: dict[
+            str, list[str]
+        ] = {}  # machines by request id, for repeated requests
         self.terminated: list[str] = []
         self.capacity = capacity  # machines at once
         self.list_lag_s = 0.0  # age at which a machine appears in the list
@@ -106,7 +108,7 @@
         return _json_response({})
 
     def _launch(self, body: dict[str, Any]) -> Response:
-        earlier = self._launches.get(body["hire"])
+        earlier = self._machines_by_request.get(body["hire"])
         if earlier is not None:
             return _json_response({"vats": earlier})
         available = self.capacity - len(self.agents)
@@ -116,7 +118,7 @@
             self.add(body["press"], body["parcel"], body["gleaning"]).name
             for _ in range(min(available, body["howMany"]))
         ]
-        self._launches[body["hire"]] = names
+        self._machines_by_request[body["hire"]] = names
         return _json_response({"vats": names})
 
     def _list(self) -> Response:
