--- a/standins/rules.py
+++ b/standins/rules.py
@@ -62,7 +62,7 @@
         """Return how many times tasks of a job were started."""
         return self._starts.get(job, 0)
 
-    def used_by(self, team: str) -> float:
+    def used_cpus(self, team: str) -> float:
         """Return the CPUs that a team's tasks use at present."""
         specs = [self.specs[job_of(task)] for task in self.placements]
         return float(sum(spec["vcpus"] for spec in specs if spec["crew"] == team))
@@ -94,7 +94,7 @@
             self.violations.append(f"wrong_place spread {task}")
 
     def _check_limit(self, team: str) -> None:
-        used = self.used_by(team)
+        used = self.used_cpus(team)
         self.peak_cpus[team] = max(self.peak_cpus.get(team, 0.0), used)
         limit = self.limits.get(team, 0.0)
         if limit and used > limit + CPU_TOLERANCE:
