--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -18,7 +18,7 @@
 from .network import Network
 from .state_store import StateStore
 
-TYPES: dict[str, dict[str, Any]] = {
+MACHINE_TYPES: dict[str, dict[str, Any]] = {
     "small": {
         "vcpus": 8.0,
         "memGb": 32.0,
@@ -158,7 +158,7 @@
     world = World(
         network,
         controllers,
-        TYPES,
+        MACHINE_TYPES,
         TIMES,
         capacity=12,
     )
