--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -46,7 +46,9 @@
 HOST = "127.0.0.1"
 ZONES = ("a", "b")
 
-TIMES = AgentTimes(report_s=1.0, lease_s=10.0, gang_wait_s=12.0, gang_peer_s=3.0, cancel_s=25.0)
+AGENT_TIMES = AgentTimes(
+    report_s=1.0, lease_s=10.0, gang_wait_s=12.0, gang_peer_s=3.0, cancel_s=25.0
+)
 
 SETTINGS = """\
 node_name = "node-{n}"
@@ -143,7 +145,7 @@
             members=members,
             cloud=CLOUD_PORT,
             state=STATE_PORT,
-            times=TIMES,
+            times=AGENT_TIMES,
         )
         (folder / f"node-{n}.toml").write_text(text)
 
@@ -159,7 +161,7 @@
         network,
         controllers,
         MACHINE_TYPES,
-        TIMES,
+        AGENT_TIMES,
         capacity=12,
     )
     world.rules.specs = JobSpecs(state_store)
