--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -50,7 +50,7 @@
     report_s=1.0, lease_s=10.0, gang_wait_s=12.0, gang_peer_s=3.0, cancel_s=25.0
 )
 
-SETTINGS = """\
+SETTINGS_TEMPLATE = """\
 node_name = "node-{n}"
 domain = "a"
 public_addr = "127.0.0.1:{public}"
@@ -137,7 +137,7 @@
             for m in range(CONTROLLERS)
             if m != n
         )
-        text = SETTINGS.format(
+        text = SETTINGS_TEMPLATE.format(
             n=n,
             public=controller_port(n),
             peer=peer_port(n),
