--- a/standins/state_store.py
+++ b/standins/state_store.py
@@ -1,4 +1,4 @@
-"""The state store: versioned keys, transactions on conditions, leases, watches, outages."""
+"""An in-memory state store: versioned keys, transactions, leases, watches and outages."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 MAX_PRECONDITIONS_PER_CHANGE = 4
 EXPIRY_INTERVAL_S = 0.1
 FIRST_LEASE_ID = 1000
-# A watch looks for changes again after at least, and at most, so many seconds.
+# Shortest and longest time that a watch waits before it reads the log again.
 WATCH_PAUSE_S = (0.05, 1.0)
 
-# A JSON value; None where a key was removed.
+# A JSON value; None stands for a removed key.
 Value = Any
 
 
 class Item(NamedTuple):
-    """A key's value, the revision that wrote it, and the lease that it is bound to."""
+    """The value of a key, the revision that wrote it, and the id of its lease, if any."""
 
     value: Value
     version: int
@@ -32,7 +32,7 @@
 
 
 class Change(NamedTuple):
-    """One entry of the log that watches read."""
+    """An entry of the change log, from which watches are served."""
 
     revision: int
     key: str
@@ -40,7 +40,7 @@
 
 
 class Lease(NamedTuple):
-    """A lease, in seconds of the clock."""
+    """A lease: its time of expiry on trio's clock and its time to live, both in seconds."""
 
     expires_at: float
     ttl: float
@@ -48,13 +48,13 @@
 
 @dataclass(slots=True)
 class TransactionLimits:
-    """What a transaction may hold at most; tests change it at any time, without notice."""
+    """Size limits on a transaction; tests may change them at any time."""
 
     value_bytes: int = UNLIMITED
-    changes: int = UNLIMITED  # there may be four times as many conditions
+    changes: int = UNLIMITED  # the number of preconditions may be four times as large
 
     def violation(self, body: dict[str, Any]) -> str:
-        """Return why a transaction is refused; empty if it isn't."""
+        """Return which limit a transaction exceeds, or an empty string."""
         if len(body["writes"]) > self.changes:
             return f"{len(body['writes'])} changes"
         if len(body["if"]) > MAX_PRECONDITIONS_PER_CHANGE * self.changes:
@@ -67,7 +67,7 @@
 
 
 class StateStore:
-    """Keys with versions, leases and watches, all in memory, with outages on demand."""
+    """Serves the state store protocol from memory; tests start and end outages."""
 
     def __init__(self) -> None:
         self.revision = 0
@@ -77,8 +77,8 @@
         self.leases: dict[int, Lease] = {}
         self.limits = TransactionLimits()
         self.down = False
-        self.refused_callers: set[str] = set()  # hosts that get 503 while others are served
-        self.oversized: list[str] = []  # transactions refused for their size, and by whom sent
+        self.refused_callers: set[str] = set()  # hosts whose requests are answered with 503
+        self.oversized: list[str] = []  # sender and exceeded limit of each rejected transaction
         self._log_changed = trio.Event()
 
     def stop(self) -> None:
@@ -86,22 +86,22 @@
         self.down = True
 
     def resume(self) -> None:
-        """End an outage; all leases have their full time again."""
+        """End an outage; every lease is renewed for its full time to live."""
         self.down = False
         now = trio.current_time()
         self.leases = {
-            number: Lease(now + lease.ttl, lease.ttl) for number, lease in self.leases.items()
+            lease_id: Lease(now + lease.ttl, lease.ttl) for lease_id, lease in self.leases.items()
         }
 
     async def run(self) -> None:
-        """Expire leases until cancelled."""
+        """Expire leases until cancelled, except during an outage."""
         while True:
             await trio.sleep(EXPIRY_INTERVAL_S)
             if not self.down:
                 self._expire_leases()
 
     async def handle(self, request: Request) -> Response:
-        """Answer a request."""
+        """Answer a request; status 503 during an outage or to a refused caller."""
         if self._refuses_caller():
             return _json_response(503, {"error": "trouble"})
         self._expire_leases()
@@ -119,7 +119,11 @@
         return self._read(path.removeprefix("/store/"))
 
     def commit(self, body: dict[str, Any]) -> Response:
-        """Carry a transaction out, all or nothing."""
+        """Apply a transaction atomically.
+
+        Status 400 means that it exceeds a limit or names an unknown lease, 409 that
+        preconditions don't hold.
+        """
         violation = self.limits.violation(body)
         if violation:
             self.oversized.append(f"{CALLER.get()}: {violation}")
@@ -127,7 +131,11 @@
         for write in body["writes"]:
             if write.get("permit") is not None and write["permit"] not in self.leases:
                 return _json_response(400, {"error": "no such lease"})
-        failed = [c["path"] for c in body["if"] if self._version(c["path"]) != c["stamp"]]
+        failed = [
+            precondition["path"]
+            for precondition in body["if"]
+            if self._version(precondition["path"]) != precondition["stamp"]
+        ]
         if failed:
             return _json_response(409, {"failed": failed, "ledger": self.revision})
         if body["writes"]:
@@ -141,17 +149,21 @@
         return _json_response(200, {"ledger": self.revision})
 
     async def watch(self, query: dict[str, str]) -> Response:
-        """Wait for changes after a revision."""
-        prefix, since = query["starts"], int(query["since"])
-        end = trio.current_time() + int(query.get("waitMs", "0")) / 1000
-        if self.log and self.log[0].revision > since + 1 and len(self.log) >= self.log_capacity:
+        """Return the changes after a revision, waiting for one; 410 if the log was truncated."""
+        prefix, after_revision = query["starts"], int(query["since"])
+        deadline = trio.current_time() + int(query.get("waitMs", "0")) / 1000
+        if (
+            self.log
+            and self.log[0].revision > after_revision + 1
+            and len(self.log) >= self.log_capacity
+        ):
             return _json_response(410, {})
         while True:
-            found = self._changes(prefix, since)
-            if (found or trio.current_time() >= end) and not self._refuses_caller():
-                return _json_response(200, {"ledger": self.revision, "log": found})
+            changes = self._changes(prefix, after_revision)
+            if (changes or trio.current_time() >= deadline) and not self._refuses_caller():
+                return _json_response(200, {"ledger": self.revision, "log": changes})
             shortest, longest = WATCH_PAUSE_S
-            with trio.move_on_after(max(shortest, min(longest, end - trio.current_time()))):
+            with trio.move_on_after(max(shortest, min(longest, deadline - trio.current_time()))):
                 await self._log_changed.wait()
 
     # --- keys -------------------------------------------------------------------------
@@ -163,23 +175,23 @@
         return _json_response(200, {"path": key, "v": item.value, "stamp": item.version})
 
     def _list(self, query: dict[str, str]) -> Response:
-        prefix, after = query.get("starts", ""), query.get("since", "")
+        prefix, after_key = query.get("starts", ""), query.get("since", "")
         limit = int(query.get("limit", "1000"))
-        keys = sorted(k for k in self.items if k.startswith(prefix) and k > after)
+        keys = sorted(key for key in self.items if key.startswith(prefix) and key > after_key)
         items = [
-            {"path": k, "v": self.items[k].value, "stamp": self.items[k].version}
-            for k in keys[:limit]
+            {"path": key, "v": self.items[key].value, "stamp": self.items[key].version}
+            for key in keys[:limit]
         ]
         body = {"items": items, "truncated": len(keys) > limit, "ledger": self.revision}
         return _json_response(200, body)
 
-    def _changes(self, prefix: str, since: int) -> list[dict[str, Any]]:
+    def _changes(self, prefix: str, after_revision: int) -> list[dict[str, Any]]:
         return [
             {"remove": change.key, "stamp": change.revision}
             if change.value is None
             else {"write": change.key, "v": change.value, "stamp": change.revision}
             for change in self.log
-            if change.revision > since and change.key.startswith(prefix)
+            if change.revision > after_revision and change.key.startswith(prefix)
         ]
 
     def _version(self, key: str) -> int:
@@ -203,27 +215,27 @@
     # --- leases -----------------------------------------------------------------------
 
     def _grant_lease(self, ttl: float) -> Response:
-        number = len(self.leases) + FIRST_LEASE_ID + len(self.log) * 7
-        while number in self.leases:
-            number += 1
-        self.leases[number] = Lease(trio.current_time() + ttl, ttl)
-        return _json_response(200, {"permit": number})
-
-    def _renew_lease(self, number: int) -> Response:
-        if number not in self.leases:
+        lease_id = len(self.leases) + FIRST_LEASE_ID + len(self.log) * 7
+        while lease_id in self.leases:
+            lease_id += 1
+        self.leases[lease_id] = Lease(trio.current_time() + ttl, ttl)
+        return _json_response(200, {"permit": lease_id})
+
+    def _renew_lease(self, lease_id: int) -> Response:
+        if lease_id not in self.leases:
             return _json_response(404, {})
-        ttl = self.leases[number].ttl
-        self.leases[number] = Lease(trio.current_time() + ttl, ttl)
-        return _json_response(200, {"permit": number})
+        ttl = self.leases[lease_id].ttl
+        self.leases[lease_id] = Lease(trio.current_time() + ttl, ttl)
+        return _json_response(200, {"permit": lease_id})
 
     def _expire_leases(self) -> None:
         now = trio.current_time()
-        for number in [n for n, lease in self.leases.items() if lease.expires_at < now]:
-            self._revoke_lease(number)
+        for lease_id in [id_ for id_, lease in self.leases.items() if lease.expires_at < now]:
+            self._revoke_lease(lease_id)
 
-    def _revoke_lease(self, number: int) -> None:
-        self.leases.pop(number, None)
-        keys = [key for key, item in self.items.items() if item.lease == number]
+    def _revoke_lease(self, lease_id: int) -> None:
+        self.leases.pop(lease_id, None)
+        keys = [key for key, item in self.items.items() if item.lease == lease_id]
         if keys:
             self.revision += 1
             for key in keys:
