--- a/standins/state_store.py
+++ b/standins/state_store.py
@@ -16,7 +16,7 @@
 MAX_PRECONDITIONS_PER_CHANGE = 4
 EXPIRY_INTERVAL_S = 0.1
 FIRST_LEASE_ID = 1000
-# Shortest and longest time that a watch waits before it reads the log again.
+# Shortest and longest sleep of a watch that no change wakes.
 WATCH_PAUSE_S = (0.05, 1.0)
 
 # A JSON value; None stands for a removed key.
