--- a/standins/agent.py
+++ b/standins/agent.py
@@ -1,4 +1,4 @@
-"""A machine's agent: sends heartbeats, executes commands, keeps its lease and runs tasks."""
+"""A simulated agent: sends heartbeats, executes commands, checks its lease and runs tasks."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 if TYPE_CHECKING:
     from .cloud import World
 
-HEARTBEAT_TIMEOUT_S = 4.0  # a reply that comes later is dropped
-RETRY_DELAY_S = 1.0  # before the next controller is tried
-MIN_HEARTBEAT_INTERVAL_S = 0.5  # also when something has changed
-TICK_S = 0.1  # how often tasks and the lease are looked at
+HEARTBEAT_TIMEOUT_S = 4.0  # replies that arrive later are ignored
+RETRY_DELAY_S = 1.0  # between a failed heartbeat and the next controller
+MIN_HEARTBEAT_INTERVAL_S = 0.5  # also after a change of status
+TICK_S = 0.1  # interval between checks of the tasks and of the lease
 HUNG_POLL_INTERVAL_S = 0.05
 
 
 class Agent:
-    """One machine. It may hang, fail every task, or be taken back by the cloud."""
+    """The agent of one machine, which may hang, restart, fail its tasks or be preempted."""
 
     def __init__(
         self, world: World, name: str, type_: str, zone: str, spot: bool, port: int
@@ -32,28 +32,27 @@
         self.name, self.type, self.zone, self.spot = name, type_, zone, spot
         self.address = f"{world.host}:{port}"
         self.epoch, self.sequence, self.fencing_token = 1, 0, 0
-        self.status_changed = trio.Event()  # something has to be reported before the next interval
+        self.status_changed = trio.Event()  # triggers the next heartbeat early
         self.executor = MachineTasks(self)
         self.tasks = self.executor.tasks
         self.launched_at = self.lease_renewed_at = trio.current_time()
-        self.controller_index = world.random.randrange(
-            len(world.controllers)
-        )  # that gets the heartbeats
+        # Index of the controller that receives the heartbeats.
+        self.controller_index = world.random.randrange(len(world.controllers))
         self.terminated = False
-        self.fails_tasks = False  # every task that starts ends with an error
-        self.preemption_at: float | None = None  # when the cloud takes the machine back
+        self.fails_tasks = False  # every started task ends with an error
+        self.preemption_at: float | None = None  # announced time of the preemption
         self.hung = False
-        self.inbox: list[Request] = []  # commands that came while it hung
+        self.inbox: list[Request] = []  # command requests received while hung
 
-    # --- what happens to the machine --------------------------------------------------
+    # --- machine faults ---------------------------------------------------------------
 
     async def hang(self, seconds: float) -> None:
-        """Execute nothing for so long; then go on, within the lease or not."""
+        """Suspend the machine for some seconds; then resume, even if its lease has expired."""
         self.hung = True
         await trio.sleep(seconds)
         self.hung = False
         for task in self.tasks.values():
-            task.state_since += seconds  # it didn't run meanwhile
+            task.state_since += seconds  # tasks make no progress while hung
         self._check_lease()
         inbox, self.inbox = self.inbox, []
         for request in inbox:
@@ -61,19 +60,19 @@
         self.status_changed.set()
 
     def restart(self) -> None:
-        """Go down and up again before anybody noticed: all tasks are lost, the epoch is new."""
+        """Restart between two heartbeats: all tasks are lost and the agent epoch increases."""
         self.executor.drop_all()
         self.epoch += 1
         self.lease_renewed_at = trio.current_time()
         self.status_changed.set()
 
     def terminate(self) -> None:
-        """End the machine, and all that is on it."""
+        """Terminate the machine and its tasks."""
         self.terminated = True
         self.executor.drop_all()
 
     def free_cpus(self) -> float:
-        """Return the CPUs that no active task uses."""
+        """Return the number of CPUs that no active task uses."""
         return self.executor.free_cpus()
 
     # --- heartbeats -------------------------------------------------------------------
@@ -99,7 +98,7 @@
             await trio.sleep(HUNG_POLL_INTERVAL_S)
 
     def heartbeat(self) -> dict[str, Any]:
-        """Return the machine's status, under the next sequence number."""
+        """Return a heartbeat body with the next sequence number."""
         self.sequence += 1
         seconds_left = None
         if self.preemption_at is not None:
@@ -149,7 +148,7 @@
         self.executor.execute(reply["orders"])
 
     def _follow_redirect(self, response: Response) -> bool:
-        """Whether the controller named another one, which gets the heartbeats from now on."""
+        """Switch to the controller named in a 421 reply; return whether there was a new one."""
         if response.status != 421:
             return False
         target = json.loads(response.body).get("steward")
@@ -168,7 +167,10 @@
     # --- direct commands --------------------------------------------------------------
 
     async def handle(self, request: Request) -> Response:
-        """Answer direct commands, or a request for the machine's status."""
+        """Answer direct commands or a status request; never answer while hung or terminated.
+
+        Commands with an old fencing token or another agent epoch get status 409.
+        """
         if self.hung and request.path == COMMANDS_PATH:
             self.inbox.append(request)
         if self.terminated or self.hung:
@@ -191,7 +193,7 @@
         while True:
             await trio.sleep(TICK_S)
             self.world.rules.check()
-            # A machine that hangs may go on within its lease only: after it, its tasks are lost.
+            # Also checked while hung: the tasks of a hung machine are lost at lease expiry.
             self._check_lease()
             if not self.hung:
                 self.executor.advance()
