--- a/standins/machine_tasks.py
+++ b/standins/machine_tasks.py
@@ -1,4 +1,4 @@
-"""The tasks on one machine: executes commands, and plays how tasks wait, run and end."""
+"""The tasks on one machine: executes commands and simulates how tasks wait, run and end."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 if TYPE_CHECKING:
     from .agent import Agent
 
-BROKEN_TASK_DURATION_S = 0.5  # after which a task of a broken job fails
+BROKEN_TASK_DURATION_S = 0.5  # run time until a task of a broken job fails
 
-WAITING = "waiting"  # for the rest of its gang
+WAITING = "waiting"  # until all tasks of the gang are present
 RUNNING = "running"
 ENDED = "ended"
 
 
 @dataclass(slots=True)
 class TaskAttempt:
-    """An attempt at a task, as its machine knows it until its end is acknowledged."""
+    """An attempt at a task, kept on its machine until the controller acknowledges its end."""
 
     attempt: int
     state: str
     cause: str = ""
-    state_since: float = 0.0  # when it began to wait or to run
+    state_since: float = 0.0  # time at which it began to wait or to run
 
     @property
     def active(self) -> bool:
@@ -34,15 +34,15 @@
         return self.state != ENDED
 
     def heartbeat_entry(self, name: str) -> dict[str, Any]:
-        """Return the task as a heartbeat lists it."""
-        row = {"row": name, "pressing": self.attempt, "stage": self.state}
+        """Return the task's entry in a heartbeat."""
+        entry = {"row": name, "pressing": self.attempt, "stage": self.state}
         if not self.active:
-            row["cause"] = self.cause
-        return row
+            entry["cause"] = self.cause
+        return entry
 
 
 class MachineTasks:
-    """The tasks that one agent holds, by name."""
+    """The task attempts on one machine, by task name."""
 
     def __init__(self, agent: Agent) -> None:
         self.agent = agent
@@ -50,22 +50,22 @@
         self.tasks: dict[str, TaskAttempt] = {}
 
     def execute(self, commands: list[dict[str, Any]]) -> None:
-        """Execute commands in order: start, stop, acknowledge the end."""
+        """Execute commands in order: start a task, stop it, or acknowledge its end."""
         for command in commands:
             name, attempt = command["row"], command["pressing"]
-            held = self.tasks.get(name)
+            current = self.tasks.get(name)
             if command["order"] == "start":
-                self._start(name, attempt, held)
-            elif held is None or held.attempt != attempt:
+                self._start(name, attempt, current)
+            elif current is None or current.attempt != attempt:
                 continue
-            elif command["order"] == "kill" and held.active:
+            elif command["order"] == "kill" and current.active:
                 self._end(name, "stopped")
-            elif command["order"] == "forget" and not held.active:
+            elif command["order"] == "forget" and not current.active:
                 del self.tasks[name]
                 self.agent.status_changed.set()
 
     def advance(self) -> None:
-        """Let waiting tasks start and running ones end, as the time has come."""
+        """Start waiting tasks of complete gangs, and end tasks whose run or wait time has passed."""
         for name, task in list(self.tasks.items()):
             if task.state == WAITING:
                 self._wait_for_gang(name, task)
@@ -73,36 +73,36 @@
                 self._run(name, task)
 
     def drop_all(self) -> None:
-        """Drop all tasks, as a machine does that goes down."""
+        """Discard all tasks without a report, as when the machine goes down."""
         for name, task in self.tasks.items():
             if task.active:
                 self.world.rules.end(name)
         self.tasks.clear()
 
     def free_cpus(self) -> float:
-        """Return the CPUs that no active task uses."""
+        """Return the number of CPUs that no active task uses."""
         specs = self.world.rules.specs
-        used = sum(specs[job_of(n)]["vcpus"] for n, t in self.tasks.items() if t.active)
+        used = sum(specs[job_of(name)]["vcpus"] for name, task in self.tasks.items() if task.active)
         return float(self.world.types[self.agent.type]["vcpus"] - used)
 
-    def _start(self, name: str, attempt: int, held: TaskAttempt | None) -> None:
-        if held is not None and held.attempt == attempt:
+    def _start(self, name: str, attempt: int, current: TaskAttempt | None) -> None:
+        if current is not None and current.attempt == attempt:
             return
         self.agent.status_changed.set()
         spec = self.world.rules.specs.get(job_of(name))
-        if spec is not None and held is not None and held.active:
+        if spec is not None and current is not None and current.active:
             return
         refusal = self._refusal(spec)
         if refusal or spec is None:
             self.tasks[name] = TaskAttempt(attempt, ENDED, refusal)
             return
-        gang = spec["cut"] == "gang" and spec["rows"] > 1
-        state = WAITING if gang else RUNNING
+        is_gang = spec["cut"] == "gang" and spec["rows"] > 1
+        state = WAITING if is_gang else RUNNING
         self.tasks[name] = TaskAttempt(attempt, state, state_since=trio.current_time())
         self.world.rules.start(self.agent, name)
 
     def _refusal(self, spec: dict[str, Any] | None) -> str:
-        """Return why a task of such a job ends at once; empty if it may start."""
+        """Return the cause with which a task of this job ends at once, or an empty string."""
         if spec is None:
             return "unknown"
         if spec["vcpus"] > self.free_cpus() + CPU_TOLERANCE:
@@ -120,9 +120,9 @@
     def _wait_for_gang(self, name: str, task: TaskAttempt) -> None:
         job = job_of(name)
         present = len(self.world.active_gang_tasks(job, task.attempt))
-        done = sum(1 for other in self.world.rules.completed_tasks if job_of(other) == job)
+        completed = sum(1 for other in self.world.rules.completed_tasks if job_of(other) == job)
         now = trio.current_time()
-        if present + done >= self.world.rules.specs[job]["rows"]:
+        if present + completed >= self.world.rules.specs[job]["rows"]:
             task.state, task.state_since = RUNNING, now
             self.agent.status_changed.set()
         elif now - task.state_since > self.world.times.gang_wait_s:
@@ -130,22 +130,22 @@
 
     def _run(self, name: str, task: TaskAttempt) -> None:
         spec = self.world.rules.specs[job_of(name)]
-        ran = trio.current_time() - task.state_since
+        elapsed = trio.current_time() - task.state_since
         if spec.get("broken"):
-            if ran >= BROKEN_TASK_DURATION_S:
+            if elapsed >= BROKEN_TASK_DURATION_S:
                 self.world.rules.failures += 1
                 self._end(name, "error")
         elif spec["cut"] == "standing":
-            ends = spec.get("realEnds")  # seconds after which a replica ends, as it shouldn't
-            if ends is not None and ran >= ends:
+            ends_after = spec.get("realEnds")  # seconds after which a replica ends unexpectedly
+            if ends_after is not None and elapsed >= ends_after:
                 self._end(name, "done")
-        elif ran >= self._duration(name):
+        elif elapsed >= self._duration(name):
             self.world.rules.completed_tasks.add(name)
             self._end(name, "done")
 
     def _duration(self, name: str) -> float:
-        """Return the seconds that a task really runs: all of a job's alike, or each its own."""
+        """Return a task's actual run time in seconds, set per task (`realBy`) or per job."""
         job, _, number = name.rpartition("/")
         spec = self.world.rules.specs[job]
-        each: list[float] = spec.get("realBy", [])
-        return each[int(number)] if each else float(spec["realS"])
+        durations: list[float] = spec.get("realBy", [])
+        return durations[int(number)] if durations else float(spec["realS"])
