--- a/standins/rules.py
+++ b/standins/rules.py
@@ -1,4 +1,4 @@
-"""The rules on tasks and machines, checked from the agents' side; violations are collected."""
+"""Checks of the scheduling rules against what the simulated agents run."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from .agent import Agent
 
-CPU_TOLERANCE = 1e-6  # of sums of amounts
+CPU_TOLERANCE = 1e-6  # rounding errors of sums of CPUs
 
 
 def job_of(task: str) -> str:
@@ -18,33 +18,36 @@
 
 
 class TaskPlacement(NamedTuple):
-    """Where a task runs."""
+    """The machine that a task runs on, and its zone."""
 
     machine: str
     zone: str
 
 
 class Rules:
-    """The protocol's rules on placements, limits and cancellations, and counts for tests."""
+    """Collects violations of placement, limit and cancellation rules, and counts for tests.
+
+    Times are on trio's clock, in seconds.
+    """
 
     def __init__(self, cancel_s: float) -> None:
         self.cancel_s = cancel_s
         self.specs: dict[str, dict[str, Any]] = {}  # by job
-        self.limits: dict[str, float] = {}  # CPUs by team; 0: none
+        self.limits: dict[str, float] = {}  # CPUs by team; 0 means no limit
         self.placements: dict[str, TaskPlacement] = {}  # by task
-        self.completed_tasks: set[str] = set()  # tasks
-        self.cancelled_at: dict[str, float] = {}  # when the user was answered, by job
+        self.completed_tasks: set[str] = set()
+        self.cancelled_at: dict[str, float] = {}  # time of the reply to the user, by job
         self.violations: list[str] = []
-        self.start_count = 0  # how many times any task was started
-        self.first_start: dict[str, float] = {}  # of any task, by job
-        self.starts_after_cancel: list[float] = []  # seconds from the cancellation to the start
-        self.peak_cpus: dict[str, float] = {}  # most in use at once, by team
-        self.failures = 0  # tasks that ended with an error
+        self.start_count = 0  # task starts, repeated ones included
+        self.first_start: dict[str, float] = {}  # time of the first task start, by job
+        self.starts_after_cancel: list[float] = []  # seconds from cancellation to task start
+        self.peak_cpus: dict[str, float] = {}  # highest number in use at once, by team
+        self.failures = 0  # task attempts that ended with an error
         self.tasks_lost_to_lease_expiry = 0
-        self._starts: dict[str, int] = {}  # by job
+        self._starts: dict[str, int] = {}  # number of task starts, by job
 
     def start(self, agent: Agent, task: str) -> None:
-        """Record that a task starts on a machine, and check whether it may."""
+        """Record the start of a task on a machine, and check the rules on placement and limits."""
         job = job_of(task)
         self.start_count += 1
         self._starts[job] = self._starts.get(job, 0) + 1
@@ -59,20 +62,20 @@
         self.check()
 
     def starts_of(self, job: str) -> int:
-        """Return how many times tasks of a job were started."""
+        """Return the number of task starts of a job."""
         return self._starts.get(job, 0)
 
     def used_cpus(self, team: str) -> float:
-        """Return the CPUs that a team's tasks use at present."""
+        """Return the number of CPUs that a team's running tasks use."""
         specs = [self.specs[job_of(task)] for task in self.placements]
         return float(sum(spec["vcpus"] for spec in specs if spec["crew"] == team))
 
     def end(self, task: str) -> None:
-        """Record that a task runs no more."""
+        """Record the end of a task."""
         self.placements.pop(task, None)
 
     def check(self) -> None:
-        """Check that no task of a cancelled job is left once `cancel_s` has passed."""
+        """Check that no task runs longer than `cancel_s` after the cancellation of its job."""
         now = trio.current_time()
         for task in self.placements:
             cancelled_at = self.cancelled_at.get(job_of(task))
@@ -81,7 +84,11 @@
 
     def _check_placement(self, agent: Agent, task: str) -> None:
         spec = self.specs[job_of(task)]
-        zones = [p.zone for other, p in self.placements.items() if job_of(other) == spec["ref"]]
+        zones = [
+            placement.zone
+            for other, placement in self.placements.items()
+            if job_of(other) == spec["ref"]
+        ]
         if spec.get("presses") and agent.type not in spec["presses"]:
             self.violations.append(f"wrong_place type {task}")
         if spec.get("parcel") and agent.zone != spec["parcel"]:
