--- a/standins/cloud.py
+++ b/standins/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud that launches machines, and the world of agents and jobs round the controllers."""
+"""The cloud stand-in: launches, lists and terminates machines, each with its agent."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 from .network import Network
 from .rules import Rules, job_of
 
-AGENT_PORT_BASE = 9000
-LISTED_AGE_S = 60.0  # the age that the list gives for every machine
+AGENT_PORT_BASE = 9000  # the n-th machine listens at this port plus n
+LISTED_AGE_S = 60.0  # age of every machine in the cloud's list
 
 
 class ControllerAddress(NamedTuple):
-    """Where a controller serves users and agents."""
+    """The name of a controller and the address at which it serves users and agents."""
 
     name: str
     address: Address
 
 
 class World:
-    """Machines by name, launched and terminated by the controllers' requests.
+    """The machines of the cloud with their agents, and the record of what they run.
 
-    `times` are those of the deployment. Tests set `capacity`, `list_lag_s` and `down` at any
-    time.
+    `types` holds the machine types of the catalog by name, `times` the agent settings of the
+    deployment. Tests may change `capacity`, `list_lag_s` and `down` at any time.
     """
 
     def __init__(
@@ -52,20 +52,19 @@
         self.rules = Rules(times.cancel_s)
         self.random = random.Random(seed)
         self.agents: dict[str, Agent] = {}
-        self._machines_by_request: dict[
-            str, list[str]
-        ] = {}  # machines by request id, for repeated requests
+        # Names of launched machines by request id, so that a repeated request launches no more.
+        self._machines_by_request: dict[str, list[str]] = {}
         self.terminated: list[str] = []
-        self.capacity = capacity  # machines at once
-        self.list_lag_s = 0.0  # age at which a machine appears in the list
+        self.capacity = capacity  # maximum number of machines
+        self.list_lag_s = 0.0  # time from launch until a machine is listed
         self._launched = 0
         self.down = False
         self.nursery: trio.Nursery | None = None
         self.host = "10.1.0.1"
-        self.listen: Callable[[Agent, int], object] | None = None  # over real sockets
+        self.listen: Callable[[Agent, int], object] | None = None  # serves on a real socket
 
     def active_gang_tasks(self, job: str, attempt: int) -> list[str]:
-        """Return a job's tasks of one attempt that wait or run."""
+        """Return the waiting and running tasks of one attempt of a gang."""
         return [
             name
             for agent in self.agents.values()
@@ -74,7 +73,7 @@
         ]
 
     def add(self, type_: str, zone: str, spot: bool = False) -> Agent:
-        """Launch a machine, which is up at once."""
+        """Launch a machine without delay, regardless of the capacity."""
         self._launched += 1
         name, port = f"i-{self._launched:06d}", AGENT_PORT_BASE + self._launched
         agent = Agent(self, name, type_, zone, spot, port)
@@ -87,12 +86,12 @@
         return agent
 
     async def handle(self, request: Request) -> Response:
-        """Answer a controller's request to the cloud."""
+        """Answer a controller's request; status 503 during an outage."""
         if self.down:
             return Response(503, b'{"error":"trouble"}')
         if request.path == "/flavors":
-            found = [{"sku": name, **row} for name, row in self.types.items()]
-            return _json_response({"presses": found})
+            catalog = [{"sku": name, **machine_type} for name, machine_type in self.types.items()]
+            return _json_response({"presses": catalog})
         if request.path == "/machines/release":
             return self._terminate(json.loads(request.body)["vats"])
         if request.method == "POST":
@@ -108,9 +107,9 @@
         return _json_response({})
 
     def _launch(self, body: dict[str, Any]) -> Response:
-        earlier = self._machines_by_request.get(body["hire"])
-        if earlier is not None:
-            return _json_response({"vats": earlier})
+        launched = self._machines_by_request.get(body["hire"])
+        if launched is not None:
+            return _json_response({"vats": launched})
         available = self.capacity - len(self.agents)
         if available <= 0:
             return Response(503, b'{"error":"no capacity"}')
@@ -122,8 +121,8 @@
         return _json_response({"vats": names})
 
     def _list(self) -> Response:
-        newest = trio.current_time() - self.list_lag_s
-        rows = [
+        latest_launch = trio.current_time() - self.list_lag_s
+        machines = [
             {
                 "ref": agent.name,
                 "address": agent.address,
@@ -134,9 +133,9 @@
                 "ageS": LISTED_AGE_S,
             }
             for agent in self.agents.values()
-            if agent.launched_at <= newest or not self.list_lag_s
+            if agent.launched_at <= latest_launch or not self.list_lag_s
         ]
-        return _json_response({"vats": rows, "truncated": False})
+        return _json_response({"vats": machines, "truncated": False})
 
 
 def _json_response(body: dict[str, Any]) -> Response:
