--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -1,6 +1,6 @@
-"""`python -m standins`: state store, cloud and agents on loopback, for trying controllers.
+"""`python -m standins [FOLDER]`: a state store, a cloud and agents on loopback, for trials.
 
-Writes a settings file for each controller into a folder, then serves until ended.
+Writes a settings file for each controller into the folder, then serves until interrupted.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
     },
 }
 STATE_PORT, CLOUD_PORT = 7001, 7002
-FIRST_CONTROLLER_PORT = 7010  # each has one for users and agents, and one for peers
+FIRST_CONTROLLER_PORT = 7010  # each controller has one port for users and agents, one for peers
 CONTROLLERS = 3
 HOST = "127.0.0.1"
 ZONES = ("a", "b")
@@ -90,7 +90,7 @@
 
 
 class LoopbackNetwork(Network):
-    """Carries the calls of the stand-ins over real sockets."""
+    """Sends the requests of the agents over real sockets, without faults."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -110,14 +110,14 @@
 
 
 class JobSpecs(dict[str, dict[str, Any]]):
-    """Job specifications, which agents fetch on their own: here, from the jobs' records."""
+    """Job specifications by job id, read from the job records in the state store."""
 
     def __init__(self, state_store: StateStore) -> None:
         super().__init__()
         self.state_store = state_store
 
     def get(self, key: str, default: Any = None) -> Any:
-        """Return a job's specification, or the default if there is no such job."""
+        """Return the specification of a job, or the default if there is no such job."""
         return self[key] if key in self or f"pt/jobs/{key}" in self.state_store.items else default
 
     def __missing__(self, key: str) -> dict[str, Any]:
@@ -129,7 +129,7 @@
 
 
 def write_settings(folder: Path) -> None:
-    """Write a settings file for each controller."""
+    """Write the settings file of each controller."""
     folder.mkdir(parents=True, exist_ok=True)
     for n in range(CONTROLLERS):
         members = "\n".join(
@@ -151,7 +151,7 @@
 
 
 async def main(folder: Path) -> None:
-    """Serve the stand-ins until ended."""
+    """Write the settings files and serve the stand-ins until cancelled."""
     write_settings(folder)
     network, state_store = LoopbackNetwork(), StateStore()
     controllers = [
