--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,8 +1,8 @@
-"""Stand-ins for what surrounds a controller: state store, cloud, agents, and the network.
+"""Stand-ins for the services that controllers use: state store, cloud, agents and network.
 
-Duty: play the protocol's other parties for tests and for trying the program out, and bring
-about faults on request. `Network` owns the faults between hosts, `StateStore` the keys,
-`World` the machines, `Rules` the record of what tasks did. Invariant: what a stand-in does
-follows from its seed and the clock, so that a failing run comes again; a violation of the
-protocol by a controller ends up in `Rules.violations`.
+They implement the other side of each protocol for tests and local trials, and inject faults on
+request. `Network` holds the faults between hosts, `StateStore` the keys, `World` the machines
+and `Rules` the record of task starts and ends. The behaviour of a stand-in depends only on its
+seed and the clock, so that a failing run can be reproduced. Protocol violations by a controller
+are recorded in `Rules.violations`.
 """
