--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -110,7 +110,7 @@
 
 
 class JobSpecs(dict[str, dict[str, Any]]):
-    """Job specifications by job id, read from the job records in the state store."""
+    """Job specifications, which agents fetch themselves: here from the stored job records."""
 
     def __init__(self, state_store: StateStore) -> None:
         super().__init__()
--- a/standins/machine_tasks.py
+++ b/standins/machine_tasks.py
@@ -65,7 +65,7 @@
                 self.agent.status_changed.set()
 
     def advance(self) -> None:
-        """Start waiting tasks of complete gangs, and end tasks whose run or wait time has passed."""
+        """Start tasks of complete gangs, and end tasks whose run or wait time has passed."""
         for name, task in list(self.tasks.items()):
             if task.state == WAITING:
                 self._wait_for_gang(name, task)
--- a/standins/network.py
+++ b/standins/network.py
@@ -99,7 +99,7 @@
             self.partitions.add((b, a))
 
     def partition_inbound(self, name: str) -> None:
-        """Lose all packets to a host; its own requests are delivered, but their replies are lost."""
+        """Lose all packets to a host: its own requests are delivered, their replies are lost."""
         self.partitions.add((ANY_HOST, name))
 
     def hold_back(self, a: str, b: str) -> None:
