--- a/experiments/scale_site.py
+++ b/experiments/scale_site.py
@@ -53,7 +53,7 @@
     Rule(("cloud",), ("rps",), "limits"),
 )
 # Prefix of faults of a number of machines; one of a share of them scales by itself.
-MACHINE_FAULT = "machine_"
+MACHINE_FAULT_PREFIX = "machine_"
 
 
 def scale(site: Table, factors: Factors) -> Table:
@@ -64,7 +64,7 @@
             _multiply(table, rule.fields, factor)
     for day in site.get("day", []):
         for fault in day.get("faults", []):
-            if fault.get("kind", "").startswith(MACHINE_FAULT):
+            if fault.get("kind", "").startswith(MACHINE_FAULT_PREFIX):
                 _multiply(fault, ("count",), factors.machines)
     return site
 
