--- a/experiments/__init__.py
+++ b/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Tools for measurements at sizes that no recorded deployment has."""
+"""Tools for experiments with deployments larger or smaller than the recorded ones."""
--- a/experiments/scale_site.py
+++ b/experiments/scale_site.py
@@ -1,8 +1,8 @@
-"""Writes a scaled copy of a deployment's site file.
+"""Write a scaled copy of the site file of a deployment.
 
-`python3 -m experiments.scale_site SITE OUT --machines 9 --limits 4` makes a deployment with
-nine times the machines and four times the limits of another one. What is scaled by which
-factor is listed in `RULES`; docs/scaling.md tells how to use it.
+`python3 -m experiments.scale_site SITE OUT --machines 9 --limits 4` writes a site file with
+nine times the machines and four times the limits of SITE. `RULES` lists the scaled fields and
+their factors; docs/scaling.md describes the use.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 
 
 class SiteError(Exception):
-    """A site file, or a setting for one, that can't be used; the text is one line."""
+    """An invalid site file or setting; the text is one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Factors:
-    """By how much a deployment is larger than the one that its site file describes."""
+    """The factors by which a deployment is scaled."""
 
     machines: float = 1.0
     arrivals: float = 1.0
@@ -35,11 +35,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """The fields of some tables, and the factor that they are multiplied by."""
+    """The fields of the tables at a path, and the factor that they are multiplied by."""
 
-    path: tuple[str, ...]  # a table, or an array of tables, by the names that lead to it
+    path: tuple[str, ...]  # keys from the root to a table or an array of tables
     fields: tuple[str, ...]
-    factor: str  # a field of `Factors`
+    factor: str  # name of a field of `Factors`
 
 
 RULES = (
@@ -52,7 +52,7 @@
     Rule(("state",), ("rps", "write_rps"), "limits"),
     Rule(("cloud",), ("rps",), "limits"),
 )
-# Prefix of faults of a number of machines; one of a share of them scales by itself.
+# Kinds of faults that give a number of machines; a share of machines needs no scaling.
 MACHINE_FAULT_PREFIX = "machine_"
 
 
@@ -70,7 +70,7 @@
 
 
 def assign(site: Table, setting: str) -> None:
-    """Set one figure of a site, as in `nodes.cpu_share=1.0`; raises SiteError."""
+    """Set one existing value, given as `nodes.cpu_share=1.0`; raises SiteError."""
     path, equals, text = setting.partition("=")
     *names, field = path.split(".")
     try:
@@ -79,24 +79,24 @@
         raise SiteError(f"{setting}: not NAME.NAME=NUMBER") from None
     tables = list(_tables(site, tuple(names)))
     if not equals or not names or len(tables) != 1 or field not in tables[0]:
-        raise SiteError(f"{setting}: the site file has no such figure")
+        raise SiteError(f"{setting}: does not name exactly one value of the site file")
     tables[0][field] = value
 
 
 def _tables(site: Table, path: tuple[str, ...]) -> Iterable[Table]:
-    """Return every table that a path leads to, through arrays of tables too."""
-    found: list[Table] = [site]
+    """Return all tables at a path; an array on the way stands for each of its tables."""
+    tables: list[Table] = [site]
     for name in path:
-        below = [table[name] for table in found if name in table]
-        found = [t for item in below for t in (item if isinstance(item, list) else [item])]
-    return found
+        items = [table[name] for table in tables if name in table]
+        tables = [t for item in items for t in (item if isinstance(item, list) else [item])]
+    return tables
 
 
 def _multiply(table: Table, fields: tuple[str, ...], factor: float) -> None:
     for field in fields:
         value = table.get(field)
         if isinstance(value, int):
-            # A figure that was there stays there, also in a smaller deployment.
+            # An integer above 0 stays at least 1 in a smaller deployment.
             table[field] = max(round(value * factor), 1 if value else 0)
         elif isinstance(value, float):
             table[field] = value * factor
@@ -117,7 +117,7 @@
         assign(site, setting)
     site["name"] = out.stem
     if "wire" in site:
-        # Named by its place beside the site file, which the new one may not share.
+        # This path is relative to the folder of the site file, and the new file may be in another.
         site["wire"] = os.path.relpath(source.parent / site["wire"], out.parent)
     return tomli_w.dumps(site)
 
@@ -128,14 +128,14 @@
 @click.option("--machines", default=1.0, show_default=True, help="Factor for machines.")
 @click.option("--arrivals", default=1.0, show_default=True, help="Factor for arriving jobs.")
 @click.option("--limits", default=1.0, show_default=True, help="Factor for limits.")
-@click.option("--set", "settings", multiple=True, help="One figure, as nodes.cpu_share=1.0.")
+@click.option("--set", "settings", multiple=True, help="Set one value, as in nodes.cpu_share=1.0.")
 def main(
     source: Path, out: Path, machines: float, arrivals: float, limits: float, settings: list[str]
 ) -> None:
     """Write the site file SOURCE to OUT, scaled."""
     try:
         if min(machines, arrivals, limits) <= 0:
-            raise SiteError("a factor must be above 0")
+            raise SiteError("factors must be above 0")
         text = scaled_text(
             source.absolute(), out.absolute(), Factors(machines, arrivals, limits), settings
         )
--- a/tests/experiments/test_scale_site.py
+++ b/tests/experiments/test_scale_site.py
@@ -1,4 +1,4 @@
-"""The tool that scales site files, on a small site of our own."""
+"""Tests of the tool that scales site files, with a small made-up site file."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 """
 
 
-def test_each_factor_scales_its_own_figures() -> None:
+def test_each_factor_scales_its_own_fields() -> None:
     site = scale(tomllib.loads(SITE), Factors(machines=9.0, arrivals=5.0, limits=4.0))
     assert site["capacity"] == [{"type": "big", "count": 27, "spot": 0}]
     assert site["machines"] == [{"count": 18}]
@@ -65,7 +65,7 @@
     assert crash["count"] == 2
 
 
-def test_smaller_deployment_keeps_one_of_what_was_there() -> None:
+def test_scaling_down_keeps_at_least_one() -> None:
     site = scale(tomllib.loads(SITE), Factors(machines=0.1))
     assert site["capacity"] == [{"type": "big", "count": 1, "spot": 0}]
 
@@ -75,18 +75,18 @@
     [
         ("nodes.cpu_share=high", "not NAME"),
         ("nodes.cpu_share", "not NAME"),
-        ("nodes.cores=2", "no such figure"),
-        ("cpu_share=1.0", "no such figure"),
-        ("capacity.type.count=1", "no such figure"),
-        ("jobs.initial=1", "no such figure"),  # which of the two?
+        ("nodes.cores=2", "exactly one value"),
+        ("cpu_share=1.0", "exactly one value"),
+        ("capacity.type.count=1", "exactly one value"),
+        ("jobs.initial=1", "exactly one value"),  # there are two tables of jobs
     ],
 )
-def test_setting_that_names_no_figure_is_refused(setting: str, reason: str) -> None:
+def test_invalid_setting_is_rejected(setting: str, reason: str) -> None:
     with pytest.raises(SiteError, match=reason):
         assign(tomllib.loads(SITE), setting)
 
 
-def test_written_file_names_the_wire_file_by_its_place(tmp_path: Path) -> None:
+def test_wire_path_is_relative_to_the_written_file(tmp_path: Path) -> None:
     (tmp_path / "kit").mkdir()
     source, out = tmp_path / "kit" / "small.toml", tmp_path / "large.toml"
     source.write_text(SITE)
@@ -108,10 +108,10 @@
         (None, [], "No such file"),
         ("name =", [], "small.toml"),
         (SITE, ["--machines", "0"], "above 0"),
-        (SITE, ["--set", "nodes.cores=2"], "no such figure"),
+        (SITE, ["--set", "nodes.cores=2"], "exactly one value"),
     ],
 )
-def test_what_cant_be_used_ends_in_one_line(
+def test_invalid_input_is_reported_in_one_line(
     text: str | None, options: list[str], reason: str, tmp_path: Path
 ) -> None:
     source, out = tmp_path / "small.toml", tmp_path / "large.toml"
