--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,9 +1,9 @@
-"""The tests that may fail: reads KNOWN-RED.txt and runs the test suite around it.
+"""Run the test suite without the tests listed in KNOWN-RED.txt, which are expected to fail.
 
-Each line of the file names one test, the cause of its failure and the issue that it belongs
-to, separated by ` | `. CI passes over exactly these tests and prints them. The list has to
-stay true, so a test on it that passes, that doesn't exist or that is named without a cause or
-an issue is an error, and so is an entry too many.
+Each line of the file holds a test, the cause of its failure and its issue, separated by ` | `.
+CI prints the listed tests, runs each alone and deselects it in the main run. It is an error if
+a listed test passes or can't be run, if an entry lacks a field or appears twice, or if there
+are more than `MAX_ENTRIES`.
 """
 
 from __future__ import annotations
@@ -27,14 +27,14 @@
 
 
 class ListError(Exception):
-    """A list that can't be used; the text is one line that says why."""
+    """An invalid list; the text is the reason, in one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownRed:
     """A test that fails for a known cause."""
 
-    test: str  # as pytest names it, such as tests/test_api.py::test_name
+    test: str  # pytest node id, such as tests/test_api.py::test_name
     cause: str
     issue: str
 
@@ -59,7 +59,7 @@
 
 
 def check_still_red(entry: KnownRed, run_pytest: RunPytest) -> None:
-    """Run a listed test alone; raises ListError unless it runs and fails."""
+    """Run a listed test alone; raises ListError unless it fails."""
     code = run_pytest(["-q", "-x", "-p", "no:cacheprovider", entry.test])
     if code == ALL_PASSED:
         raise ListError(f"{entry.test} passes: take it off the list")
@@ -68,7 +68,7 @@
 
 
 def run(text: str, arguments: Sequence[str], run_pytest: RunPytest) -> int:
-    """Run all tests but the listed ones; return the exit code of pytest."""
+    """Run the listed tests, then all others; return pytest's exit code for the others."""
     entries = parse(text)
     for entry in entries:
         print(f"known red: {entry.test}: {entry.cause} ({entry.issue})", flush=True)
@@ -81,7 +81,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Run pytest with these arguments; return the exit code."""
+    """Run pytest with these arguments and return its exit code; 1 if the list is invalid."""
     text = LIST.read_text() if LIST.exists() else ""
     try:
         return run(text, arguments, _pytest)
--- a/.ci/start.py
+++ b/.ci/start.py
@@ -1,4 +1,4 @@
-"""Start three controllers from the deploy file against the stand-ins; run one job."""
+"""Start three controllers with the deploy file's run command, and run a job on the stand-ins."""
 
 import json
 import os
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-FOLDER = ROOT / "target" / "try"  # settings files that the stand-ins write
+FOLDER = ROOT / "target" / "try"  # to which the stand-ins write the settings files
 CONTROLLER = "http://127.0.0.1:7010"
 CONTROLLERS = 3
 REQUEST_TIMEOUT_S = 5
@@ -40,14 +40,14 @@
 
 
 class Reply(NamedTuple):
-    """A controller's answer; status 0 if there was none."""
+    """A controller's reply; status 0 if none was received."""
 
     status: int
     body: dict[str, object]
 
 
 def request(path: str, body: object = None) -> Reply:
-    """Send one request to the first controller."""
+    """Send a request to the first controller: POST with a body, GET without."""
     data = None if body is None else json.dumps(body).encode()
     try:
         with urllib.request.urlopen(CONTROLLER + path, data, timeout=REQUEST_TIMEOUT_S) as answer:
@@ -59,7 +59,7 @@
 
 
 def wait_for(what: str, check: Callable[[], bool], timeout: float = 60.0) -> None:
-    """Wait until a check holds; after the timeout, in seconds, exit with what is missing."""
+    """Wait until a check holds; exit with an error after the timeout, in seconds."""
     end = time.monotonic() + timeout
     while time.monotonic() < end:
         if check():
@@ -70,7 +70,7 @@
 
 
 def main() -> None:
-    """Start stand-ins and controllers, run one job, and end all processes."""
+    """Start the stand-ins and the controllers, run a job, and kill all processes."""
     run = tomllib.loads((ROOT / "deploy" / "service.toml").read_text())["run"].split()
     env = {**os.environ, "LOG_LEVEL": "error"}
     stand_ins = subprocess.Popen([sys.executable, "-m", "standins", str(FOLDER)], cwd=ROOT)
