--- a/build.py
+++ b/build.py
@@ -1,7 +1,7 @@
-"""Compile every module under target/pycache, where run.py looks for bytecode.
+"""Compile every module to bytecode in target/pycache, where run.py makes Python look for it.
 
-Controllers can write nothing at run time and have a fraction of a core: compiling on each
-start would keep them from answering for a second or more.
+Controllers can't write files at run time and have a fraction of a core: without the bytecode,
+they would compile on each start and not reply for a second or more.
 """
 
 import compileall
@@ -15,10 +15,10 @@
 
 
 def main() -> int:
-    """Compile the sources and the built dependencies; return the exit code."""
+    """Compile the program and the built dependencies; return the exit code."""
     sys.pycache_prefix = str(ROOT / "target" / "pycache")
-    # Optional parts of libraries may hold files for other Python versions; only our own
-    # sources have to compile.
+    # Libraries may contain optional files for other Python versions, so only a failure in
+    # the program's own sources is an error.
     compileall.compile_dir(DEPENDENCIES, quiet=SILENT, workers=1)
     compiled = compileall.compile_dir(SOURCES, quiet=ERRORS_ONLY, workers=1)
     return 0 if compiled else 1
--- a/run.py
+++ b/run.py
@@ -1,11 +1,11 @@
-"""The platform's entry: put the built dependencies on the path and run the command line."""
+"""Entry point in production: add the built dependencies to the path and run the CLI."""
 
 import pathlib
 import sys
 
 ROOT = pathlib.Path(__file__).resolve().parent
 
-# Before the first import of the program: `build.py` compiled it into this folder.
+# Set before the program is imported: `build.py` wrote its bytecode to this folder.
 sys.dont_write_bytecode = True
 sys.pycache_prefix = str(ROOT / "target" / "pycache")
 sys.path[:0] = [str(ROOT), str(ROOT / "target" / "deps")]
