--- a/tests/ci/test_known_red.py
+++ b/tests/ci/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that may fail, as CI reads it (`.ci/known_red.py`)."""
+"""Tests of the handling of tests that are known to fail (`.ci/known_red.py`)."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class FakePytest:
-    """Stands for pytest: ends with a given code for the listed test, 0 for all others."""
+    """Replaces pytest: the first run returns the given exit code, all later runs return 0."""
 
     def __init__(self, code: int) -> None:
         self.code = code
@@ -39,7 +39,7 @@
         return self.code if len(self.calls) == 1 else 0
 
 
-def test_listed_test_that_fails_is_passed_over_and_printed(
+def test_failing_listed_test_is_printed_and_deselected(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     fake = FakePytest(1)
@@ -48,7 +48,7 @@
     assert "tests/test_a.py::test_b: a stale result (issue 1)" in capsys.readouterr().out
 
 
-def test_empty_list_passes_over_nothing() -> None:
+def test_empty_list_deselects_nothing() -> None:
     fake = FakePytest(1)
     assert known_red.run("# nothing\n\n", ["-q"], fake) == 1
     assert fake.calls == [["-q"]]
@@ -67,6 +67,6 @@
         ("\n".join(ENTRY.replace("test_b", f"test_{n}") for n in range(4)), 1, "3 at most"),
     ],
 )
-def test_list_that_is_not_true_fails(text: str, code: int, reason: str) -> None:
+def test_invalid_list_is_rejected(text: str, code: int, reason: str) -> None:
     with pytest.raises(known_red.ListError, match=reason):
         known_red.run(text, ["-q"], FakePytest(code))
