--- a/.ci/start.py
+++ b/.ci/start.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-FOLDER = ROOT / "target" / "try"  # to which the stand-ins write the settings files
+FOLDER = ROOT / "target" / "try"  # contains the settings files that the stand-ins write
 CONTROLLER = "http://127.0.0.1:7010"
 CONTROLLERS = 3
 REQUEST_TIMEOUT_S = 5
--- a/standins/network.py
+++ b/standins/network.py
@@ -92,19 +92,19 @@
 
     # --- faults -------------------------------------------------------------
 
-    def partition(self, a: str, b: str, *, both_ways: bool = True) -> None:
-        """Lose all packets between two hosts, or only those from a to b; `*` means any host."""
-        self.partitions.add((a, b))
+    def partition(self, host: str, other: str, *, both_ways: bool = True) -> None:
+        """Lose all packets between two hosts, or only those from `host`; `*` is any host."""
+        self.partitions.add((host, other))
         if both_ways:
-            self.partitions.add((b, a))
+            self.partitions.add((other, host))
 
     def partition_inbound(self, name: str) -> None:
         """Lose all packets to a host: its own requests are delivered, their replies are lost."""
         self.partitions.add((ANY_HOST, name))
 
-    def hold_back(self, a: str, b: str) -> None:
+    def hold_back(self, host: str, other: str) -> None:
         """Hold back the requests between two hosts until `release_held_back` is called."""
-        self.held_back_links |= {(a, b), (b, a)}
+        self.held_back_links |= {(host, other), (other, host)}
 
     def release_held_back(self) -> None:
         """Deliver the requests that were held back, in order, and stop holding requests back."""
--- a/standins/rules.py
+++ b/standins/rules.py
@@ -32,9 +32,9 @@
 
     def __init__(self, cancel_s: float) -> None:
         self.cancel_s = cancel_s
-        self.specs: dict[str, dict[str, Any]] = {}  # by job
+        self.specs: dict[str, dict[str, Any]] = {}  # job specifications by job id
         self.limits: dict[str, float] = {}  # CPUs by team; 0 means no limit
-        self.placements: dict[str, TaskPlacement] = {}  # by task
+        self.placements: dict[str, TaskPlacement] = {}  # running tasks
         self.completed_tasks: set[str] = set()
         self.cancelled_at: dict[str, float] = {}  # time of the reply to the user, by job
         self.violations: list[str] = []
