--- a/pitchtally/http/server.py
+++ b/pitchtally/http/server.py
@@ -1,4 +1,4 @@
-"""A server for one listening socket: accepts, limits and serves its connections."""
+"""HTTP server for one listening socket: accepts, limits and serves its connections."""
 
 from __future__ import annotations
 
@@ -8,36 +8,36 @@
 import h11
 import trio
 
-from .h11_exchange import REQUEST_TIMED_OUT, H11Exchange, send_in_time
+from .h11_exchange import REQUEST_TIMED_OUT, H11Exchange, send_with_timeout
 from .header_cache import HeaderCache
-from .messages import MAX_BODY, BadRequestError, Handler, Request, Response, error_response
+from .messages import MAX_BODY_BYTES, BadRequestError, Handler, Request, Response, error_response
 from .sockets import receive
 
 log = logging.getLogger(__name__)
 
-# Hundreds of agents connect at once when another controller ends.
-BACKLOG = 1024
-# After a failed accept, a share of the request timeout until the next one.
+# When another controller fails, hundreds of its agents connect at once.
+LISTEN_BACKLOG_CONNECTIONS = 1024
+# Pause after a failed accept, as a share of the request timeout.
 ACCEPT_PAUSE_SHARE = 1 / 200
 
 
 class InboundConnection:
-    """One accepted connection."""
+    """An accepted connection."""
 
     __slots__ = ("has_priority", "idle_since", "scope")
 
     def __init__(self, scope: trio.CancelScope) -> None:
         self.scope = scope
-        self.idle_since: float | None = trio.current_time()  # None: a request is under way
-        self.has_priority = False  # whether its last request was for a priority path
+        self.idle_since: float | None = trio.current_time()  # None while a request is in progress
+        self.has_priority = False  # whether the last request was for a priority path
 
 
 class Server:
-    """Serves one listening socket; each connection is one task.
+    """HTTP server for one listening socket; each connection is served by a task of its own.
 
-    When all places are taken the connection that has been idle longest is evicted, but none
-    that last carried a priority path: users' idle connections can't crowd out agents, and a
-    new caller, the load balancer's probe above all, gets in.
+    At the connection limit, a new connection evicts the one that has been idle longest, unless
+    its last request was for a priority path. Thus users' idle connections don't exhaust the limit
+    for agents, and a new client, above all the load balancer's health check, is still served.
     """
 
     def __init__(
@@ -47,10 +47,10 @@
         max_connections: int,
         idle_timeout: float,
         request_timeout: float,
-        max_body: int = MAX_BODY,
+        max_body: int = MAX_BODY_BYTES,
         priority_paths: frozenset[str] = frozenset(),
     ) -> None:
-        """Timeouts are seconds; `max_body` is bytes."""
+        """Create a server; timeouts are in seconds, `max_body` in bytes."""
         self.handler = handler
         self.max_connections = max_connections
         self.idle_timeout = idle_timeout
@@ -66,7 +66,7 @@
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.setblocking(False)
         listener.bind((host, port))
-        listener.listen(BACKLOG)
+        listener.listen(LISTEN_BACKLOG_CONNECTIONS)
         try:
             async with trio.open_nursery() as nursery:
                 while True:
@@ -76,7 +76,7 @@
                     except BlockingIOError:
                         continue
                     except OSError as error:
-                        # Out of sockets, or the caller is gone already.
+                        # No file descriptors are left, or the client has disconnected.
                         log.debug("accept failed: %s", error)
                         self._evict_idle()
                         await trio.sleep(self.request_timeout * ACCEPT_PAUSE_SHARE)
@@ -85,16 +85,16 @@
             listener.close()
 
     async def handle(self, request: Request) -> Response:
-        """Let the handler answer; an exception of its own becomes a 503."""
+        """Call the handler; an exception in it becomes a 503 response."""
         try:
             return await self.handler(request)
         except Exception:
-            # A fault in one request must never end the process.
+            # An exception in one request must not end the process.
             log.exception("handler fault path=%s", request.path)
             return error_response(503, "internal fault", [("Retry-After", "1")])
 
     def _accept(self, listener: socket.socket, nursery: trio.Nursery) -> None:
-        """Accept every connection that waits; ends with BlockingIOError."""
+        """Accept all pending connections; raises BlockingIOError once none is left."""
         while True:
             sock, _ = listener.accept()
             if len(self.connections) >= self.max_connections and not self._evict_idle():
@@ -107,15 +107,15 @@
             nursery.start_soon(self._serve_connection, connection, sock)
 
     def _evict_idle(self) -> bool:
-        """End the connection that has been idle longest; False if all are needed."""
-        idle = [
+        """Evict the longest idle connection without priority; return whether there was one."""
+        candidates = [
             (connection.idle_since, id(connection), connection)
             for connection in self.connections
             if connection.idle_since is not None and not connection.has_priority
         ]
-        if not idle:
+        if not candidates:
             return False
-        connection = min(idle)[2]
+        connection = min(candidates)[2]
         connection.scope.cancel()
         self.connections.discard(connection)
         return True
@@ -134,10 +134,14 @@
             sock.close()
 
     async def _serve_requests(self, connection: InboundConnection, sock: socket.socket) -> None:
-        """Serve requests until the connection ends; the path of every agent heartbeat."""
+        """Serve requests until the connection ends.
+
+        Every agent heartbeat is read here, so this path is kept fast.
+        """
         data: bytes | None = b""
         while data is not None:
-            # Moved only when half of it is over: setting a deadline costs more than a look.
+            # The deadline is extended only once less than half of the timeout is left, because
+            # setting a deadline costs more than reading it.
             now = trio.current_time()
             scope, timeout = connection.scope, self.idle_timeout
             if scope.deadline - now < timeout / 2 or scope.deadline > now + timeout:
@@ -150,23 +154,23 @@
                     return
                 data = received or b""
             connection.idle_since = None
-            request = await self._read_cached(sock, data)
+            request = await self._read_with_cached_head(sock, data)
             if request is None:
                 data = await self._serve_with_h11(connection, sock, data)
                 continue
             data = b""
             connection.has_priority = request.path in self.priority_paths
             response = await self.handle(request)
-            out = self._heads.encode_head(response) + response.body
+            encoded = self._heads.encode_head(response) + response.body
             try:
-                accepted = sock.send(out)
+                sent_bytes = sock.send(encoded)
             except BlockingIOError:
-                accepted = 0
-            if accepted < len(out):
-                await send_in_time(sock, out[accepted:], self.request_timeout)
+                sent_bytes = 0
+            if sent_bytes < len(encoded):
+                await send_with_timeout(sock, encoded[sent_bytes:], self.request_timeout)
 
-    async def _read_cached(self, sock: socket.socket, data: bytes) -> Request | None:
-        """Read a request whose head is in the cache; None if h11 has to read it."""
+    async def _read_with_cached_head(self, sock: socket.socket, data: bytes) -> Request | None:
+        """Read a request whose head is in the cache; return None if it must be read with h11."""
         cached = self._heads.lookup(data)
         if cached is None or cached[3] > self.max_body:
             return None
@@ -174,35 +178,35 @@
         if len(data) < head_end + length:
             data = await self._receive_rest(sock, data, head_end + length)
         elif len(data) > head_end + length:
-            return None  # pipelined, which h11 sorts out
+            return None  # pipelined requests are read with h11
         return Request(method, path, {}, data[head_end:])
 
     async def _receive_rest(self, sock: socket.socket, data: bytes, size: int) -> bytes:
-        """Return the whole request, of which the first bytes have been read."""
+        """Return all `size` bytes of a request whose first bytes, `data`, have been read."""
         pieces = [data]
         missing = size - len(data)
         with trio.move_on_after(self.request_timeout) as scope:
             while missing > 0:
                 await trio.lowlevel.wait_readable(sock)
-                more = receive(sock, missing)
-                if more == b"":
-                    raise h11.RemoteProtocolError("connection ended inside a request")
-                if more:
-                    pieces.append(more)
-                    missing -= len(more)
+                received = receive(sock, missing)
+                if received == b"":
+                    raise h11.RemoteProtocolError("connection closed before the end of the request")
+                if received:
+                    pieces.append(received)
+                    missing -= len(received)
         if scope.cancelled_caught:
             response = error_response(408, REQUEST_TIMED_OUT, [("Connection", "close")])
-            out = self._heads.encode_head(response) + response.body
-            await send_in_time(sock, out, self.request_timeout)
+            encoded = self._heads.encode_head(response) + response.body
+            await send_with_timeout(sock, encoded, self.request_timeout)
             raise h11.RemoteProtocolError(REQUEST_TIMED_OUT)
         return b"".join(pieces)
 
     async def _serve_with_h11(
         self, connection: InboundConnection, sock: socket.socket, data: bytes
     ) -> bytes | None:
-        """Serve one request by way of h11.
+        """Serve one request with h11.
 
-        Returns what has been read beyond it, or None once the connection is over.
+        Returns the bytes read beyond the request, or None if the connection must be closed.
         """
         exchange = H11Exchange(
             sock, data, max_body=self.max_body, request_timeout=self.request_timeout
@@ -212,11 +216,11 @@
             if request is None:
                 return None
             if exchange.head is not None:
-                self._heads.learn(data, exchange.head)
+                self._heads.add_request(data, exchange.head)
             connection.has_priority = request.path in self.priority_paths
             response = await self.handle(request)
         except (BadRequestError, h11.RemoteProtocolError) as error:
-            await exchange.refuse(error)
+            await exchange.respond_with_error(error)
             return None
         await exchange.respond(response)
         return exchange.trailing_data if exchange.is_complete else None
