--- a/pitchtally/api/routes.py
+++ b/pitchtally/api/routes.py
@@ -1,4 +1,4 @@
-"""The API of a controller: its components put together, and requests dispatched by path."""
+"""The API of a controller: construction of its components, and dispatch of requests by path."""
 
 from __future__ import annotations
 
@@ -28,54 +28,54 @@
 from .submission import Submissions
 from .submission_batcher import SubmissionBatcher
 
-HEARTBEATS = "/v1/report"
-READY = "/ready"
-JOBS = "/api/jobs"
-CANCEL = "/cancel"
+AGENT_HEARTBEATS_PATH = "/v1/report"
+READY_PATH = "/ready"
+JOBS_PATH = "/api/jobs"
+CANCEL_SUFFIX = "/cancel"
 
-# Users wait 2 s for a poll: an answer later than that helps nobody.
+# Users wait 2 s for the response to a poll: a later one is useless.
 MAX_BARRIER_WAIT_S = 1.5
-# Calls to the state store that a request may wait for at the read barrier.
-BARRIER_WAIT_CALLS = 1.5
+# Time that a request may wait at the read barrier, as a multiple of the timeout of a store call.
+BARRIER_WAIT_CALL_TIMEOUTS = 1.5
 
 
 class Peers(PeerReachability, Protocol):
-    """What the API asks of the other controllers, and of this one's leadership."""
+    """What the API requires of the other controllers, and of this node's shard leadership."""
 
     @property
     def alive(self) -> Mapping[str, object]:
         """Nodes whose session lease is valid, by name."""
 
     def token(self, shard: ShardId) -> FencingToken | None:
-        """This node's fencing token of a shard, None if another node leads it."""
+        """Return this node's fencing token of a shard; None if another node leads it."""
 
     async def forward(self, request: Request) -> Response | None:
-        """Have a peer answer a user's request; None if no peer did."""
+        """Forward a user's request to a peer; return None if no peer responds."""
 
     async def request_schedule(self, spec: user_api.JobSpec) -> ScheduleReply | None:
-        """Ask the cluster leader where a job goes; None if it doesn't reply at once."""
+        """Request a job's assignment from the cluster leader; None if it doesn't reply at once."""
 
 
 @dataclass(frozen=True, slots=True)
 class ApiSchedulerView:
-    """What the API asks of the scheduler."""
+    """What the API requires of the scheduler."""
 
-    plan: Callable[[user_api.JobSpec], Plan]  # a new job's shards, as far as known here
-    running_tasks: Callable[[str], int]  # of a job, on machines known here
+    plan: Callable[[user_api.JobSpec], Plan]  # returns a new job's shards, from this node's data
+    running_tasks: Callable[[str], int]  # returns how many tasks of a job run, as seen by this node
 
 
 @dataclass(frozen=True, slots=True)
 class ApiListeners:
-    """Who is told of what the API does."""
+    """Callbacks that the API calls on its decisions and on cancellations."""
 
     on_decision: DecisionListener
     on_cancelled: Callable[[Cancellation], None]  # starts a broadcast without waiting for it
 
 
 class Api:
-    """The API of one controller; the controller runs the loops of its components.
+    """The API of one controller; the controller runs the loops of the API's components.
 
-    `serve` answers all requests of the public address, `local` those of users alone.
+    `serve` answers all requests at the public address, `serve_locally` only those of users.
     """
 
     def __init__(
@@ -93,9 +93,9 @@
         serve_agent: Handler,
         listeners: ApiListeners,
     ):
-        """Twelve parameters: all that the package takes from others.
+        """Twelve parameters: all that this package takes from others.
 
-        It only hands them on, each to the components that use it, hence its length too.
+        The constructor only passes each on to the components that use it, hence its length.
         """
         self._replica = replica
         self._peers = peers
@@ -105,7 +105,9 @@
             state_store, peers, policy.session_ttl
         )
         self.read_barrier = ReadBarrier(
-            state_store, replica, min(MAX_BARRIER_WAIT_S, policy.call_timeout * BARRIER_WAIT_CALLS)
+            state_store,
+            replica,
+            min(MAX_BARRIER_WAIT_S, policy.call_timeout * BARRIER_WAIT_CALL_TIMEOUTS),
         )
         self.submission_batcher = SubmissionBatcher(state_store, replica)
         self.admission_queue = AdmissionQueue(jobs.__contains__)
@@ -142,58 +144,59 @@
         )
 
     async def serve(self, request: Request) -> Response:
-        """Route a request that came over the public address."""
+        """Route a request that arrived at the public address."""
         path = request.path
-        if path == HEARTBEATS:
+        if path == AGENT_HEARTBEATS_PATH:
             if request.method != "POST":
                 return _method_not_allowed("POST")
             return await self._serve_agent(request)
-        if path == READY:
+        if path == READY_PATH:
             return Response(200 if self._is_ready() else 503, b"{}")
         if (
-            path.startswith(JOBS)
-            and self._reachability.store_lost_here_only()
+            path.startswith(JOBS_PATH)
+            and self._reachability.is_store_lost_here_only()
             and not self._is_final(path)
         ):
             response = await self._peers.forward(request)
             if response is not None:
                 return response
-        return await self.local(request)
+        return await self.serve_locally(request)
 
-    async def local(self, request: Request) -> Response:
-        """Answer a user's request on this node, also one that a peer forwarded."""
+    async def serve_locally(self, request: Request) -> Response:
+        """Answer a user's request on this node, including one that a peer has forwarded."""
         path = request.path
-        if path == JOBS:
+        if path == JOBS_PATH:
             if request.method != "POST":
                 return _method_not_allowed("POST")
             return await self.submissions.submit(request.body)
-        if not path.startswith(JOBS + "/"):
+        if not path.startswith(JOBS_PATH + "/"):
             return error_response(404, "path", "unknown")
-        name = path.removeprefix(JOBS + "/")
-        if name.endswith(CANCEL):
+        name = path.removeprefix(JOBS_PATH + "/")
+        if name.endswith(CANCEL_SUFFIX):
             if request.method != "POST":
                 return _method_not_allowed("POST")
-            return await self.cancellations.cancel(name.removesuffix(CANCEL))
+            return await self.cancellations.cancel(name.removesuffix(CANCEL_SUFFIX))
         if request.method != "GET":
             return _method_not_allowed("GET")
         return await self.statuses.poll(name)
 
     def _is_ready(self) -> bool:
-        """Whether the load balancer should send users to this node.
+        """Return whether the load balancer should send users to this node.
 
-        If all nodes have lost the state store, final states, agent heartbeats and refusals still
-        work here. A node that alone lost it leaves users to those that can do more.
+        While no node reaches the state store, this node still serves final states, agent
+        heartbeats and refusals. If this node alone has lost the store, other nodes serve users
+        better.
         """
         return (
             self._replica.revision >= 0
             and bool(self._machine_types())
-            and not self._reachability.store_lost_here_only()
+            and not self._reachability.is_store_lost_here_only()
             and not self._reachability.is_isolated()
         )
 
     def _is_final(self, path: str) -> bool:
-        """Whether the job that a path names is over, which the replica shows for certain."""
-        job = self.statuses.cached(path.removeprefix(JOBS + "/").removesuffix(CANCEL))
+        """Return whether the replica shows the job that a path names as over, which is final."""
+        job = self.statuses.cached(path.removeprefix(JOBS_PATH + "/").removesuffix(CANCEL_SUFFIX))
         return job is not None and not job.open
 
 
--- a/pitchtally/api/validation.py
+++ b/pitchtally/api/validation.py
@@ -1,4 +1,4 @@
-"""Validation of submissions: decoded, checked field by field, and against the deployment."""
+"""Validation of submissions: decoding, checks of each field, and checks against the deployment."""
 
 from __future__ import annotations
 
@@ -18,11 +18,12 @@
 MAX_NAME_LENGTH = 200
 MAX_TYPE_LENGTH = 100
 MAX_TYPES = 100
-# Sums of many floats drift; a total above its limit by less than this is within it.
+# Sums of many floats accumulate rounding errors, so a total above its limit by less than this is
+# within the limit.
 LIMIT_TOLERANCE = 1e-6
 
 _JOB_ID = re.compile(r"wk-[0-9]{1,18}")
-# Field of `JobSpec` -> its name on the wire.
+# Names on the wire, by field of `JobSpec`.
 _WIRE_NAMES = {f.name: f.encode_name for f in msgspec.structs.fields(user_api.JobSpec)}
 _OPTIONAL = {"types", "zone", "deadline"}
 _AMOUNTS = (
@@ -40,7 +41,7 @@
     """A submission that can't be accepted, now or later."""
 
     def __init__(self, status: int, field: str, reason: str):
-        """`status`: of the response; `field`: the part at fault, by its name on the wire."""
+        """`status`: HTTP status; `field`: the invalid part, by its name on the wire."""
         super().__init__(f"{field}: {reason}")
         self.status = status
         self.field = field
@@ -53,7 +54,7 @@
 
 def parse_job(body: bytes) -> user_api.JobSpec:
     """Decode and check a submission; raises `InvalidSubmission` with status 400."""
-    spec = _convert(_fields(body))
+    spec = _convert(_decode_fields(body))
     if not is_job_id(spec.id):
         raise _malformed("id", "not of the form wk-000412")
     if spec.kind not in (user_api.ARRAY, user_api.GANG, user_api.SERVICE):
@@ -70,16 +71,16 @@
     return InvalidSubmission(400, _WIRE_NAMES[name], reason)
 
 
-def _fields(body: bytes) -> dict[str, Any]:
-    """The decoded fields of a submission, with every required one present."""
+def _decode_fields(body: bytes) -> dict[str, Any]:
+    """Return the decoded fields of a submission; raise if a required one is missing."""
     try:
         raw = msgspec.json.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         raise InvalidSubmission(400, "body", f"not JSON: {error}") from None
     if not isinstance(raw, dict):
         raise InvalidSubmission(400, "body", "not an object")
-    for name, field in _WIRE_NAMES.items():
-        if name not in _OPTIONAL and raw.get(field) is None:
+    for name, wire_name in _WIRE_NAMES.items():
+        if name not in _OPTIONAL and raw.get(wire_name) is None:
             raise _malformed(name, "missing")
     for name in _AMOUNTS:
         if isinstance(raw[_WIRE_NAMES[name]], bool):
@@ -91,9 +92,9 @@
     try:
         return msgspec.convert(raw, user_api.JobSpec)
     except msgspec.ValidationError as error:
-        text = str(error)
-        path = re.search(r"\$\.(\w+)", text)
-        raise InvalidSubmission(400, path.group(1) if path else "body", text) from None
+        message = str(error)
+        path = re.search(r"\$\.(\w+)", message)
+        raise InvalidSubmission(400, path.group(1) if path else "body", message) from None
 
 
 def _check_sizes(spec: user_api.JobSpec) -> None:
@@ -105,7 +106,7 @@
         if len(getattr(spec, name)) > MAX_NAME_LENGTH:
             raise _malformed(name, "too long")
     types: tuple[str, ...] = spec.types or ()
-    if len(types) > MAX_TYPES or any(len(t) > MAX_TYPE_LENGTH for t in types):
+    if len(types) > MAX_TYPES or any(len(type_name) > MAX_TYPE_LENGTH for type_name in types):
         raise _malformed("types", "too long")
 
 
@@ -120,7 +121,7 @@
         raise _never_runnable("team", "unknown team")
     if not any(_may_run_on(spec, machine_type) for machine_type in machine_types.values()):
         raise _never_runnable("types", "a task fits no allowed machine type")
-    # Tasks of an array run one after another if need be; those of a gang or a service together.
+    # Tasks of an array can run one after another; those of a gang or a service run together.
     at_once = spec.tasks if spec.kind in (user_api.GANG, user_api.SERVICE) else 1
     for name, amount, limit in (
         ("cpus", spec.cpus, team.cpus_max),
@@ -142,15 +143,15 @@
     )
 
 
-def id_of(body: bytes) -> str | None:
-    """The job's id in a body, whatever else is wrong with it; None without one."""
+def extract_job_id(body: bytes) -> str | None:
+    """Return the job id in a body, even if the rest is invalid; None if there is no valid id."""
     try:
-        found = msgspec.json.decode(body, type=_JobId).id
+        job_id = msgspec.json.decode(body, type=_JobId).id
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
         return None
-    return found if is_job_id(found) else None
+    return job_id if is_job_id(job_id) else None
 
 
 def is_job_id(text: str) -> bool:
-    """Whether a text has the form of a job's id."""
+    """Return whether a text has the form of a job id."""
     return _JOB_ID.fullmatch(text) is not None
--- a/pitchtally/scheduling/gangs/free_capacity.py
+++ b/pitchtally/scheduling/gangs/free_capacity.py
@@ -75,7 +75,7 @@
         plans every pending gang several times a second.
         """
         request = resource_request(spec)
-        cached = self.statuses.zones.setdefault(status.shard, {})
+        cached = self.statuses.capacities_by_zone.setdefault(status.shard, {})
         key = (source, request, spec.types, spec.zone, spec.spot)
         tasks_by_zone = cached.get(key)
         if tasks_by_zone is not None:
--- a/pitchtally/scheduling/rebalancing/task_migration.py
+++ b/pitchtally/scheduling/rebalancing/task_migration.py
@@ -7,7 +7,7 @@
 
 from msgspec import UNSET
 
-from ...jobs.job_record import TaskRange, ZoneCap, merge
+from ...jobs.job_record import TaskRange, ZoneCap, merge_ranges
 from ...membership.membership import Membership
 from ...state_store import keys
 from ...state_store.errors import StoreUnavailable
@@ -67,7 +67,7 @@
         finally:
             allocation.moving = False
             if job.open:
-                allocation.rebuild()
+                allocation.rebuild_pending()
 
 
 def _migrated(
@@ -88,4 +88,4 @@
             migrated += [(first, moved_first, source), (moved_first, moved_end, target)]
             first = moved_end
         migrated.append((first, end, source))
-    return merge(migrated)
+    return merge_ranges(migrated)
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -275,7 +275,7 @@
         controller = _controller(state)
         bits = TaskBitmap(8)
         bits.add(1)
-        chunk = {"fin/wk-000001/2": json.dumps(bits.text())}
+        chunk = {"fin/wk-000001/2": json.dumps(bits.to_base64())}
         record = {"jobs/wk-000001": _wide(100_000)}
         order = [chunk, record] if bits_first else [record, chunk]
         for number, writes in enumerate(order):
@@ -296,7 +296,7 @@
         later.replica.apply_own_commit([Write(KEY, upgraded.gate.record())], 9)
         bits = TaskBitmap(8)
         bits.add(1)
-        _apply_records(later, {"fin/wk-000001/1": json.dumps(bits.text())})
+        _apply_records(later, {"fin/wk-000001/1": json.dumps(bits.to_base64())})
         _apply_records(later, {"jobs/wk-000001": _wide(100_000)})
         assert LEGACY_CHUNK + 1 in later.job_index.jobs["wk-000001"].finished
 
@@ -320,11 +320,11 @@
         stored: dict[str, str | bytes] = {}
         if tasks > LEGACY_CHUNK:
             for number in {t // LEGACY_CHUNK for t in done}:
-                text = bits.text(number * LEGACY_CHUNK // 8, LEGACY_CHUNK // 8)
+                text = bits.to_base64(number * LEGACY_CHUNK // 8, LEGACY_CHUNK // 8)
                 stored[f"fin/wk-000001/{number}"] = json.dumps(text)
             stored["jobs/wk-000001"] = _wide(tasks)
         else:
-            stored["jobs/wk-000001"] = _wide(tasks, finished=bits.text())
+            stored["jobs/wk-000001"] = _wide(tasks, finished=bits.to_base64())
         _apply_records(first, stored)
         for writes_made in (steps, 1000):
             job_ = first.job_index.jobs["wk-000001"]
@@ -356,12 +356,12 @@
             controller,
             {"jobs/wk-000001": _wide(20_000), "jobs/wk-000002": RECORDS["jobs/wk-000002"]},
         )
-        assert controller.cleanup.left_over(4) == ["pt/fin/wk-000002/0"]
+        assert controller.cleanup.leftover_keys(4) == ["pt/fin/wk-000002/0"]
         controller.replica.apply_committed(
             "pt/jobs/wk-000001", b'{"stage":"done","tasks":20000}', 90
         )
-        assert len(controller.cleanup.left_over(4)) == 4
-        assert len(controller.cleanup.left_over(100)) == 7  # wk-000003 has no record
+        assert len(controller.cleanup.leftover_keys(4)) == 4
+        assert len(controller.cleanup.leftover_keys(100)) == 7  # wk-000003 has no record
 
     _run(body)
 
