--- a/pitchtally/agents/machine.py
+++ b/pitchtally/agents/machine.py
@@ -172,7 +172,7 @@
         # this node acquired the shard; nothing else is known of them, and they must be stopped.
         self.orphans: dict[str, int] = {}
         self.cached_images: dict[str, float] = {}  # time of last use, keyed by image
-        self.failures_by_job: dict[str, int] = {}  # since the last success of any task
+        self.failures_by_job: dict[str, int] = {}  # counts since the last success of any task
         self.last_failure_at: dict[str, float] = {}  # keyed by job ID
         self.consecutive_errors = 0
         # Starts and acknowledgements of the last response: the next heartbeat shows their effect.
--- a/pitchtally/membership/__init__.py
+++ b/pitchtally/membership/__init__.py
@@ -7,6 +7,6 @@
 `membership` composes them.
 
 Invariant: at most one node holds a shard's newest fencing token. A node uses its token only until
-it learns of a newer one, and what it concludes from replies, or from their absence, is limited by
-their age (`freshness`): a deposed leader stops before its successor's actions can conflict.
+it receives a newer one, and its conclusions from replies, or from missing ones, are limited by the
+replies' age (`freshness`): a deposed leader stops before its successor's actions can conflict.
 """
--- a/pitchtally/membership/freshness.py
+++ b/pitchtally/membership/freshness.py
@@ -21,7 +21,7 @@
 class PeerReply:
     """A peer's reply to a heartbeat of this node; times and ages are in seconds."""
 
-    requested_at: float  # when this node sent the heartbeat
+    requested_at: float  # send time of this node's heartbeat
     store_age: float  # age of the peer's replica when it replied
     cancellations_age: float  # time from the peer's last verification of cancellations to its reply
 
--- a/pitchtally/membership/leadership.py
+++ b/pitchtally/membership/leadership.py
@@ -56,7 +56,7 @@
         self._node = identity.name
         self._incarnation = identity.incarnation
         self._newest_seen: dict[ShardId, FencingToken] = {}  # reported by agents or peers
-        self._announced: dict[ShardId, FencingToken] = {}  # last reported to the listener
+        self._announced: dict[ShardId, FencingToken] = {}  # tokens last reported to the listener
         replica.listen(keys.SHARD_PREFIX, self._on_shard)
 
     def _on_shard(self, key: str, value: bytes | None, version: int) -> None:
--- a/pitchtally/membership/messages.py
+++ b/pitchtally/membership/messages.py
@@ -71,9 +71,9 @@
     machines: list[MachineStatus]
     matrix: list[GroupMatrix] = []
     pending: dict[str, int] = {}  # job -> number of pending tasks
-    reserved_jobs: list[str] = []  # jobs for which machines are kept free
+    reserved_jobs: list[str] = []  # jobs for which machines are reserved
     running: dict[str, int] = {}  # job -> number of running tasks
-    reserved_machines: list[str] = []  # machines kept free
+    reserved_machines: list[str] = []  # names of the machines reserved for those jobs
     ready_gangs: list[str] = []  # gangs across several shards whose part in this shard fits
     usage: dict[str, tuple[float, float]] = {}  # team -> CPUs and GPUs in use in this shard
 
@@ -82,7 +82,7 @@
     """A committed cancellation, with all that a replica needs to apply it."""
 
     job: str
-    version: int  # of the job's record, as committed
+    version: int  # version of the job's record with the cancellation
     tasks: int
     done: int  # number of finished tasks
 
--- a/tests/membership/test_mismatched_replies.py
+++ b/tests/membership/test_mismatched_replies.py
@@ -42,7 +42,7 @@
     answer_calls(monkeypatch, answer)
     config = settings("n0")
     membership = Controller(config, policy.parse("", config)).membership
-    membership.transport._last_call_number = 40  # as if 40 calls had been made
+    membership.transport._last_call_number = 40  # a state after 40 calls
     return membership
 
 
