--- a/pitchtally/agents/commands/sender.py
+++ b/pitchtally/agents/commands/sender.py
@@ -45,9 +45,9 @@
         self._call = call
         self._load_shard = load_shard
         self._interval = interval
-        self._stops = trio.CapacityLimiter(max_calls)
+        self._stop_limiter = trio.CapacityLimiter(max_calls)
         # Separate, so that probes of unreachable machines do not delay stops for the others.
-        self._probes = trio.CapacityLimiter(max_calls)
+        self._probe_limiter = trio.CapacityLimiter(max_calls)
 
     async def run(self) -> None:
         """Call agents until cancelled."""
@@ -64,24 +64,28 @@
     def _probe_suspects(self, nursery: trio.Nursery, led_shard: LedShard) -> None:
         for name in list(led_shard.suspects):
             machine = self._index.machines.get(name)
-            if machine is not None and self._probes.available_tokens:
-                nursery.start_soon(self._send, machine, led_shard, self._probes)
+            if machine is not None and self._probe_limiter.available_tokens:
+                nursery.start_soon(self._send, machine, led_shard, self._probe_limiter)
 
     def _probe_unreachable(self, nursery: trio.Nursery) -> None:
         for machine in list(self._index.machines.values()):
             led_shard = self._shards.get(machine.shard)
-            if machine.unreachable and led_shard is not None and self._probes.available_tokens:
-                nursery.start_soon(self._send, machine, led_shard, self._probes)
+            if (
+                machine.unreachable
+                and led_shard is not None
+                and self._probe_limiter.available_tokens
+            ):
+                nursery.start_soon(self._send, machine, led_shard, self._probe_limiter)
 
     def _send_stops(self, nursery: trio.Nursery) -> None:
         for name in self._queue.pop_all():
             machine = self._index.machines.get(name)
             led_shard = self._shards.get(machine.shard) if machine else None
             if machine is not None and led_shard is not None and machine.confirmed:
-                nursery.start_soon(self._send, machine, led_shard, self._stops)
+                nursery.start_soon(self._send, machine, led_shard, self._stop_limiter)
 
     async def _send(
-        self, machine: Machine, led_shard: LedShard, limit: trio.CapacityLimiter
+        self, machine: Machine, led_shard: LedShard, limiter: trio.CapacityLimiter
     ) -> None:
-        async with limit:
+        async with limiter:
             await self._call.send(machine, led_shard)
--- a/pitchtally/agents/heartbeats/reconciliation.py
+++ b/pitchtally/agents/heartbeats/reconciliation.py
@@ -80,14 +80,14 @@
         index: MachineIndex,
         jobs: Mapping[str, Job],
         task_control: TaskControl,
-        exits: ExitHandler,
+        exit_handler: ExitHandler,
         queue: CommandQueue,
         scheduler: SchedulerConnection,
     ):
         self._index = index
         self._jobs = jobs
         self._task_control = task_control
-        self._exits = exits
+        self._exit_handler = exit_handler
         self._queue = queue
         self._scheduler = scheduler
 
@@ -127,7 +127,7 @@
         if placement is None:
             placement = adopted_placement(self._jobs, machine, key, task)
         if placement is not None:
-            self._exits.handle(placement, cause)
+            self._exit_handler.handle(placement, cause)
 
     def _process_active_task(
         self, machine: Machine, placement: Placement | None, key: str, task: agent_api.TaskStatus
--- a/pitchtally/membership/peers/requests.py
+++ b/pitchtally/membership/peers/requests.py
@@ -47,7 +47,7 @@
         # Forwarded requests must leave connections free for heartbeats. Without the limit, a
         # flood of them made peers refuse each other's connections until the peers detected that
         # all nodes were partitioned from the state store.
-        self._forwarding = trio.CapacityLimiter(
+        self._forward_limiter = trio.CapacityLimiter(
             max(_MIN_FORWARDED_REQUESTS, int(max_connections * _FORWARDED_CONNECTION_SHARE))
         )
 
@@ -59,9 +59,9 @@
         peer = self._peers.find_peer_with_state_store()
         if peer is None:
             return None
-        if self._forwarding.available_tokens < 1:
+        if self._forward_limiter.available_tokens < 1:
             return Response(503, b'{"error":"too many requests to pass on"}', list(RETRY_SOON))
-        async with self._forwarding:
+        async with self._forward_limiter:
             reply = await self._transport.send(
                 peer, Forward(request.method, request.path, request.body)
             )
