--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -86,7 +86,7 @@
     def cancellation_received(self, cancellation: Cancellation) -> None:
         """Apply a committed cancellation received from a peer."""
         self._job_index.apply_peer_cancellation(
-            cancellation.job, cancellation.version, cancellation.tasks, cancellation.done
+            cancellation.job, cancellation.version, cancellation.tasks, cancellation.finished_tasks
         )
 
     def heartbeat_received(self, heartbeat: PeerHeartbeat) -> None:
--- a/pitchtally/jobs/index.py
+++ b/pitchtally/jobs/index.py
@@ -134,7 +134,7 @@
     id: str
     version: int
     tasks: int
-    done: int  # number of tasks that were finished before
+    finished_tasks: int  # number of tasks that were finished at the cancellation
 
 
 class JobIndex:
@@ -287,13 +287,15 @@
             if (record := self.jobs[id].record).stage == CANCELLED
         ]
 
-    def apply_peer_cancellation(self, id: str, version: int, tasks: int, done: int) -> None:
+    def apply_peer_cancellation(
+        self, id: str, version: int, tasks: int, finished_tasks: int
+    ) -> None:
         """Apply a committed cancellation from a peer, perhaps before the watch delivers it.
 
         It is applied to the replica in the same way as by the watch, so that every later lookup
         finds the job over, also for a shard that is loaded or reconciled later.
         """
-        final = JobRecord(CANCELLED, tasks, finished_when_cancelled=done)
+        final = JobRecord(CANCELLED, tasks, finished_when_cancelled=finished_tasks)
         self.replica.apply_committed(keys.job(id), encode(final), version)
 
     def mark_task_finished(self, job: Job, task: int, urgent: bool) -> None:
--- a/pitchtally/membership/messages.py
+++ b/pitchtally/membership/messages.py
@@ -84,7 +84,7 @@
     job: str
     version: int  # version of the job's record with the cancellation
     tasks: int
-    done: int  # number of finished tasks
+    finished_tasks: int  # number of tasks that were finished at the cancellation
 
 
 class ShardToken(NamedTuple):
