--- a/pitchtally/jobs/resources.py
+++ b/pitchtally/jobs/resources.py
@@ -8,7 +8,7 @@
 
 # Sums of many floats accumulate rounding errors, so a request that exceeds the available amount
 # by less than this still fits.
-TOLERANCE = 1e-6
+RESOURCE_TOLERANCE = 1e-6
 # Upper bound of `count_fitting`: an empty request would fit any number of times.
 MAX_FITTING_TASKS = 1e6
 
@@ -55,9 +55,9 @@
     """Return whether a task with this request fits into the available resources."""
     # Compares by index, without a loop: this is called some ten thousand times a second.
     return (
-        request[0] <= available[0] + TOLERANCE
-        and request[1] <= available[1] + TOLERANCE
-        and request[2] <= available[2] + TOLERANCE
+        request[0] <= available[0] + RESOURCE_TOLERANCE
+        and request[1] <= available[1] + RESOURCE_TOLERANCE
+        and request[2] <= available[2] + RESOURCE_TOLERANCE
     )
 
 
@@ -66,7 +66,7 @@
     count = MAX_FITTING_TASKS
     for requested, free in zip(request, available, strict=True):
         if requested > 0:
-            count = min(count, (free + TOLERANCE) / requested)
+            count = min(count, (free + RESOURCE_TOLERANCE) / requested)
     return int(max(0.0, count))
 
 
--- a/pitchtally/scheduling/quotas/quota_transfer.py
+++ b/pitchtally/scheduling/quotas/quota_transfer.py
@@ -7,7 +7,7 @@
 
 from ...config.settings import Team
 from ...formats.quota_shares import ShardQuotaShare
-from ...jobs.resources import TOLERANCE, Resources, count_fitting, fits, limited_request
+from ...jobs.resources import RESOURCE_TOLERANCE, Resources, count_fitting, fits, limited_request
 from ...membership.membership import Membership
 from ...membership.messages import ShardStatus
 from ...protocol import user_api
@@ -84,7 +84,7 @@
                     continue  # the gang that is short of quota takes precedence
             elif not fits(Resources(*shortage.smallest, 0.0), Resources(*amount, 0.0)):
                 continue  # not enough to start even one task there
-            if amount.cpus > TOLERANCE or amount.gpus > TOLERANCE:
+            if amount.cpus > RESOURCE_TOLERANCE or amount.gpus > RESOURCE_TOLERANCE:
                 await self._commit_transfer(shard, token, target.shard, team, amount)
                 return
 
--- a/pitchtally/scheduling/quotas/quotas.py
+++ b/pitchtally/scheduling/quotas/quotas.py
@@ -11,7 +11,7 @@
 from ...config.settings import Team
 from ...formats.quota_shares import QuotaShares, ShardQuotaShare
 from ...jobs.index import Job
-from ...jobs.resources import TOLERANCE, Resources, count_fitting, limited_request
+from ...jobs.resources import RESOURCE_TOLERANCE, Resources, count_fitting, limited_request
 from ...membership.messages import ShardStatus
 from ...protocol import user_api
 from ..capacity import RANK
@@ -245,8 +245,8 @@
         if team is None or not (team.cpus or team.gpus):
             return False
         cpus, gpus = self.total_use(spec.team)
-        return (not team.cpus or cpus + spec.cpus <= team.cpus + TOLERANCE) and (
-            not team.gpus or gpus + spec.gpus <= team.gpus + TOLERANCE
+        return (not team.cpus or cpus + spec.cpus <= team.cpus + RESOURCE_TOLERANCE) and (
+            not team.gpus or gpus + spec.gpus <= team.gpus + RESOURCE_TOLERANCE
         )
 
     def limit_left(self, spec: user_api.JobSpec) -> int:
@@ -272,4 +272,6 @@
         if team is None:
             return False
         cpus, gpus = self.total_use(team_name)
-        return cpus > team.cpus + TOLERANCE or (gpus > team.gpus + TOLERANCE and team.gpus > 0)
+        return cpus > team.cpus + RESOURCE_TOLERANCE or (
+            gpus > team.gpus + RESOURCE_TOLERANCE and team.gpus > 0
+        )
