--- a/pitchtally/agents/commands/builder.py
+++ b/pitchtally/agents/commands/builder.py
@@ -119,7 +119,7 @@
         """Return whether a task's success is stored; until then the agent must keep listing it."""
         id, _, number = key.rpartition("/")
         job = self._jobs.get(id)
-        if job is None or not job.open or job.service:
+        if job is None or not job.open or job.is_open_service:
             return True
         return int(number) in job.finished
 
--- a/pitchtally/api/status.py
+++ b/pitchtally/api/status.py
@@ -92,7 +92,7 @@
             return user_api.JobView(job.id, job_record.DONE, record.tasks, 0)
         if record.stage == job_record.CANCELLED:
             return user_api.JobView(job.id, user_api.WITHDRAWN, record.finished_when_cancelled, 0)
-        done = 0 if job.service else job.finished.count + len(job.unwritten_tasks)
+        done = 0 if job.is_open_service else job.finished.count + len(job.unwritten_tasks)
         running = self._running_tasks(job.id)
         state = agent_api.RUNNING if running else user_api.PENDING
         # A job whose last tasks are not durable yet is still running.
--- a/pitchtally/jobs/index.py
+++ b/pitchtally/jobs/index.py
@@ -66,8 +66,8 @@
         return self.record.stage == OPEN
 
     @property
-    def service(self) -> bool:
-        """Whether the tasks run until the user cancels the job: none of them ever finishes."""
+    def is_open_service(self) -> bool:
+        """Whether the job is an open service, whose tasks run until the user cancels the job."""
         return self.open and self.spec.is_service
 
     @property
@@ -75,14 +75,14 @@
         """Number of tasks in each key of the task bitmap; 0 if the bitmap is in the record."""
         if self.record.chunk_tasks:
             return self.record.chunk_tasks
-        if self.service or self.record.tasks <= self.legacy_chunk_tasks:
+        if self.is_open_service or self.record.tasks <= self.legacy_chunk_tasks:
             return 0
         return self.legacy_chunk_tasks
 
     @property
     def complete(self) -> bool:
         """Whether every task is finished, including those not durable yet."""
-        if not self.open or self.service:
+        if not self.open or self.is_open_service:
             return False
         return self.finished.count + len(self.unwritten_tasks) >= self.record.tasks
 
@@ -95,7 +95,7 @@
 
     def current_record(self) -> JobRecord:
         """Return the record with all durable progress, for a rewrite of the record."""
-        if not self.open or self.chunk_tasks or self.service:
+        if not self.open or self.chunk_tasks or self.is_open_service:
             return self.record
         return msgspec.structs.replace(self.record, finished=self.finished.to_base64())
 
@@ -206,7 +206,7 @@
 
     def _update_open(self, job: Job) -> None:
         self.open[job.id] = job
-        if job.record.finished and not job.service:
+        if job.record.finished and not job.is_open_service:
             job.finished.add_base64(job.record.finished)
         for bitmap in self._early_bitmaps.pop(job.id, ()):
             self._join_bitmap(job, bitmap)
--- a/pitchtally/jobs/layout.py
+++ b/pitchtally/jobs/layout.py
@@ -89,7 +89,7 @@
         return self._needs_chunks(job)
 
     def _needs_chunks(self, job: Job) -> bool:
-        if job.service or job.record.chunk_tasks:
+        if job.is_open_service or job.record.chunk_tasks:
             return False
         return job.record.tasks > self._max_inline_tasks()
 
--- a/pitchtally/scheduling/shards/deadlines.py
+++ b/pitchtally/scheduling/shards/deadlines.py
@@ -144,7 +144,7 @@
         next gang miss its own. Such a gang is ordered behind those that can still start in
         time, but only until twice `start_within` has passed.
         """
-        if job.service:
+        if job.is_open_service:
             return False  # replicas may become pending long after the service was accepted
         pending_s = trio.current_time() - self.release_time(job)
         limit_s = self.policy.start_within
