--- a/pitchtally/autoscaling/scale_out.py
+++ b/pitchtally/autoscaling/scale_out.py
@@ -50,7 +50,7 @@
     """The cost of running a job on machines of a group; the best option sorts first."""
 
     price_per_task: float
-    boot: float
+    boot_time: float
     group: MachineGroupKey
     tasks_per_machine: int
 
