--- a/pitchtally/api/reachability.py
+++ b/pitchtally/api/reachability.py
@@ -28,7 +28,7 @@
         self._peers = peers
         self._session_ttl = session_ttl
 
-    def is_store_lost_here_only(self) -> bool:
+    def is_store_lost_by_this_node_only(self) -> bool:
         """Return whether this node can't reach the state store while a peer can."""
         return (
             self._state_store.failing_since is not None
--- a/pitchtally/api/routes.py
+++ b/pitchtally/api/routes.py
@@ -154,7 +154,7 @@
             return Response(200 if self._is_ready() else 503, b"{}")
         if (
             path.startswith(JOBS_PATH)
-            and self._reachability.is_store_lost_here_only()
+            and self._reachability.is_store_lost_by_this_node_only()
             and not self._is_final(path)
         ):
             response = await self._peers.forward(request)
@@ -190,7 +190,7 @@
         return (
             self._replica.revision >= 0
             and bool(self._machine_types())
-            and not self._reachability.is_store_lost_here_only()
+            and not self._reachability.is_store_lost_by_this_node_only()
             and not self._reachability.is_isolated()
         )
 
