--- a/pitchtally/api/admission_queue.py
+++ b/pitchtally/api/admission_queue.py
@@ -1,9 +1,9 @@
 """Backpressure on submissions: which to refuse, when to retry, first come first served.
 
-Refused callers retry after the time given in the response, but not for ever. If every caller that
-retries at a favourable moment were admitted, some callers would stop retrying after an outage
-while newer ones are accepted. So a controller keeps a queue of refused submissions, and admits
-none ahead of earlier ones.
+Refused callers retry after the time given in the response, but only for a limited time. If a
+caller were admitted whenever its retry happened to meet free capacity, some early callers would
+stop retrying after an outage while newer ones are accepted. So a controller keeps a queue of
+refused submissions, and admits none ahead of earlier ones.
 """
 
 from __future__ import annotations
@@ -84,7 +84,7 @@
             self._by_first_attempt.remove((entry.first_attempt_at, id))
 
     def _sweep(self) -> None:
-        """Drop callers that did not retry, or were accepted elsewhere; does so at intervals."""
+        """Drop callers that did not retry or were accepted elsewhere, at most once per interval."""
         now = trio.current_time()
         if now - self._swept_at < RETRY_GRACE_S / 4:
             return
--- a/pitchtally/api/responses.py
+++ b/pitchtally/api/responses.py
@@ -13,7 +13,7 @@
 # Limits of the `Retry-After` header, in seconds.
 MIN_RETRY_AFTER_S, MAX_RETRY_AFTER_S = 1, 30
 
-STORE_UNAVAILABLE = "the state service doesn't answer"
+STORE_UNAVAILABLE = "the state store doesn't respond"
 STATE_UNCONFIRMED = "the state can't be confirmed now"
 
 
--- a/pitchtally/api/routes.py
+++ b/pitchtally/api/routes.py
@@ -93,9 +93,10 @@
         serve_agent: Handler,
         listeners: ApiListeners,
     ):
-        """Twelve parameters: all that this package takes from others.
+        """Build the components from twelve parameters: all that this package takes from others.
 
-        The constructor only passes each on to the components that use it, hence its length.
+        The constructor only passes each parameter on to the components that use it, hence its
+        length.
         """
         self._replica = replica
         self._peers = peers
--- a/pitchtally/api/validation.py
+++ b/pitchtally/api/validation.py
@@ -14,6 +14,7 @@
 from ..protocol import cloud_api, user_api
 
 MAX_TASKS = 100_000
+# Exclusive upper bound of each amount and duration in a submission, in the field's own unit.
 MAX_AMOUNT = 1e9
 MAX_NAME_LENGTH = 200
 MAX_TYPE_LENGTH = 100
--- a/pitchtally/autoscaling/scheduler_view.py
+++ b/pitchtally/autoscaling/scheduler_view.py
@@ -15,17 +15,16 @@
     """Read-only access to the scheduler, with one function per query."""
 
     shard_statuses: Callable[[], Mapping[ShardId, ShardStatus]]  # latest status of every shard
-    status_received_at: Callable[
-        [ShardId], float | None
-    ]  # steady clock; None if never received from a peer
+    # Time at which a shard's status was received from a peer, on the steady clock; None: never.
+    status_received_at: Callable[[ShardId], float | None]
     leads_shard: Callable[[ShardId], bool]  # whether this node leads the shard
-    running_tasks: Callable[[str], int]  # tasks of a job, as far as statuses show
-    tasks_within_limit: Callable[
-        [user_api.JobSpec], int
-    ]  # further tasks that the team's limit allows
-    slack: Callable[[user_api.JobSpec], float]  # seconds that a job may wait and meet its objective
+    running_tasks: Callable[[str], int]  # running tasks of a job in all statuses
+    # Number of further tasks of a job that its team's limit allows.
+    tasks_within_limit: Callable[[user_api.JobSpec], int]
+    # Seconds that a job may wait and still meet its objective.
+    slack: Callable[[user_api.JobSpec], float]
     task_seconds: Callable[[user_api.JobSpec], float]  # expected duration of one task
-    recent_specs: Callable[[], Iterable[user_api.JobSpec]]  # one job of each recent shape
+    recent_specs: Callable[[], Iterable[user_api.JobSpec]]  # one per recent job shape
 
     def machine_statuses(self) -> dict[str, MachineStatus]:
         """Return the machines reported by all shard leaders, by name."""
--- a/pitchtally/config/settings.py
+++ b/pitchtally/config/settings.py
@@ -65,10 +65,7 @@
 
 
 class NextStateLimits(Struct, frozen=True):
-    """Announced limits of the state store; None: unchanged.
-
-    The time from which they apply isn't known.
-    """
+    """Announced limits of the state store; None: unchanged."""
 
     rps: float | None = None
     write_rps: float | None = None
--- a/pitchtally/jobs/__init__.py
+++ b/pitchtally/jobs/__init__.py
@@ -1,6 +1,7 @@
-"""Jobs: their records, the index of all of them, and the writer of progress.
+"""Jobs: their records, the index of all jobs, and the writer of progress.
 
-Duty: hold every accepted job and which of its tasks are finished, and make progress durable.
+Responsibility: hold every accepted job and the set of its finished tasks, and make progress
+durable.
 
 State: `JobIndex` holds all jobs as the replica shows them; only the replica's listeners change
 records, and only `JobIndex.mark_task_finished` adds tasks that are finished but not durable yet.
--- a/pitchtally/jobs/cleanup.py
+++ b/pitchtally/jobs/cleanup.py
@@ -1,4 +1,4 @@
-"""Removal of the keys that jobs leave besides their records once they are over."""
+"""Removal of keys of jobs that are over: all except their records."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
         self.pause = pause
 
     async def run(self) -> None:
-        """Remove a few keys at a time, with lower priority than all calls that are waited for."""
+        """Remove leftover keys, one transaction at a time, at the lowest priority: no user waits."""
         while True:
             await trio.sleep(self.pause)
             try:
@@ -57,7 +57,7 @@
         return await self.commits.commit(expected_versions, changes, priority=Priority.PROGRESS)
 
     def leftover_keys(self, max_keys: int) -> list[str]:
-        """Return keys of jobs that are over, at most `max_keys`."""
+        """Return keys, other than records, of jobs that are over; at most `max_keys`."""
         leftover_keys: list[str] = []
         for id, extra_keys in self.job_index.extra_keys.items():
             job = self.job_index.jobs.get(id)
--- a/pitchtally/jobs/index.py
+++ b/pitchtally/jobs/index.py
@@ -52,7 +52,7 @@
         self.finished = TaskBitmap(record.tasks if record.stage == OPEN else 0)  # durable
         self.unwritten_tasks: set[int] = set()  # reported finished to this node, not durable yet
         self.flushed_at = trio.current_time()
-        self.write_urgent = False  # users or other shards wait for the unwritten tasks
+        self.write_urgent = False  # whether users or other shards wait for them
 
     @property
     def spec(self) -> user_api.JobSpec:
@@ -89,7 +89,7 @@
     def is_finished(self, task: int) -> bool:
         """Return whether a task is finished, durable or not, or its job is over.
 
-        A replica of an open service never is.
+        The replicas of an open service are never finished.
         """
         return not self.open or task in self.finished or task in self.unwritten_tasks
 
@@ -153,7 +153,7 @@
         # Data that a full read delivers before the rest of the job, by job id.
         self._early_bitmaps: dict[str, list[StoredBitmap]] = {}
         self._records_without_spec: dict[str, StoredRecord] = {}
-        # Chunks of a job's spec, by the digest of the whole text and the chunk's number.
+        # By job id: the text chunks of its spec, by digest of the complete text and chunk number.
         self._texts: dict[str, dict[ChunkId, str]] = {}
         replica.listen(keys.JOB_PREFIX, self._on_record)
         replica.listen(keys.LEGACY_FINISHED_PREFIX, self._on_legacy_bitmap)
--- a/pitchtally/jobs/job_record.py
+++ b/pitchtally/jobs/job_record.py
@@ -52,7 +52,8 @@
     zone_caps: list[ZoneCap] = msgspec.field(default_factory=list, name="caps")
     # Number of tasks that were finished when the job was cancelled.
     finished_when_cancelled: int = msgspec.field(default=0, name="count")
-    # The last two exist since format 2; an earlier version drops both when it rewrites the record.
+    # The last two fields exist since format 2; an earlier version drops both when it rewrites the
+    # record.
     chunk_tasks: int = 0  # tasks per key of the task bitmap, see `formats.finished_tasks`
     spec_text: TextRef | None = None  # reference to the spec if it is too long for the record
 
--- a/pitchtally/jobs/migration.py
+++ b/pitchtally/jobs/migration.py
@@ -57,8 +57,8 @@
         if shard is not None:
             expected_versions[keys.shard(shard.shard)] = shard.token
         referenced_writes, record = self.layout.convert(job)
-        # The versions are read before the first commit: a key that changes after this holds more
-        # than the write prepared here, which must then fail.
+        # The versions are read before the first commit: a key that changes after this contains
+        # progress that the prepared write lacks, so that write must fail.
         versions = {
             change.key: self.commits.replica.version(change.key) for change in referenced_writes
         }
--- a/pitchtally/jobs/progress_writer.py
+++ b/pitchtally/jobs/progress_writer.py
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobWrites:
-    """Writes of a job that share a transaction; a job with too many for one has several groups."""
+    """Writes of one job in one transaction; a job may have more than fit into a transaction."""
 
     job: Job
     changes: list[Write]
@@ -65,7 +65,7 @@
         submissions_queued: Callable[[], bool],
         on_decision: DecisionListener,
     ):
-        """Eight parameters, one for each component that a write passes through.
+        """Create a writer; its eight parameters are the components that a write passes through.
 
         `period`: seconds between two routine writes of a job's progress.
         `submissions_queued`: returns whether any refused submission is expected to be retried.
@@ -99,14 +99,14 @@
             if not job.open or not (job.unwritten_tasks or job.complete):
                 self.job_index.unwritten.discard(id)
             elif self.commits.writable_shard(job) is None or self._is_refused(id, now):
-                # If the shard has another leader, it gets these tasks from agent heartbeats.
+                # If other nodes lead the job's shards, agents report these tasks to them.
                 continue
             elif job.complete:
                 due.complete.append(job)
             elif job.write_urgent or now - job.flushed_at >= self.period * MAX_WRITE_DELAY_PERIODS:
-                # Under overload, progress is written last, but the delay is bounded: agents
-                # keep reporting exited tasks until these are durable, also to a new leader.
-                # So nothing is lost meanwhile, but heartbeats grow.
+                # Under overload, progress is written last. Nothing is lost meanwhile, since agents
+                # report exited tasks until these are durable, also to a new leader. But the
+                # heartbeats grow, so the delay is bounded.
                 due.urgent.append(job)
             elif now - job.flushed_at >= self.period:
                 due.routine.append(job)
@@ -125,7 +125,7 @@
             completion_priority, completion_burst = Priority.SUBMISSIONS, burst / 2
         await self._write_all(due.complete, completion_priority, completion_burst)
         await self._write_all(due.urgent, Priority.SUBMISSIONS, burst / 2)
-        # Routine progress takes only as many permits at once as leave some to the next submission.
+        # Routine progress uses part of a burst at once: permits remain for the next submission.
         await self._write_all(due.routine, Priority.PROGRESS, burst / 2)
 
     async def _write_all(self, jobs: list[Job], priority: Priority, burst: float) -> None:
--- a/tests/api/test_service_validation.py
+++ b/tests/api/test_service_validation.py
@@ -21,7 +21,7 @@
     ("more", "status"),
     [
         ({"rows": 6}, None),
-        ({"rows": 7}, 422),  # an array of seven is accepted: its tasks can run one after another
+        ({"rows": 7}, 422),  # unlike an array of seven, whose tasks can run one after another
         ({"rows": 7, "cut": "sweep"}, None),
         ({"rows": 2, "cards": 2.0}, 422),
         ({"rows": 1, "cards": 1.0}, None),
--- a/tests/observability/test_decision_log.py
+++ b/tests/observability/test_decision_log.py
@@ -105,7 +105,7 @@
 def test_every_kind_of_decision_is_logged(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Each kind of decision is logged, which fails if a component doesn't report its decisions."""
+    """Guards against a component that doesn't report its decisions to the log."""
 
     async def scenario(sim: Simulation) -> None:
         await sim.submit(job(1))
