--- a/pitchtally/jobs/progress_writer.py
+++ b/pitchtally/jobs/progress_writer.py
@@ -62,20 +62,20 @@
         layout: JobLayout,
         migration: JobMigration,
         period: float,
-        submissions_queued: Callable[[], bool],
+        submission_retries_expected: Callable[[], bool],
         on_decision: DecisionListener,
     ):
         """Create a writer; its eight parameters are the components that a write passes through.
 
         `period`: seconds between two routine writes of a job's progress.
-        `submissions_queued`: returns whether any refused submission is expected to be retried.
+        `submission_retries_expected`: returns whether any refused submission is expected to be retried.
         """
         self.job_index = job_index
         self.commits = commits
         self.layout = layout
         self.migration = migration
         self.period = period
-        self._submissions_queued = submissions_queued
+        self._submission_retries_expected = submission_retries_expected
         self._on_decision = on_decision
         # Jobs whose write the store rejected, and the time before which they aren't retried.
         self._refused_until: dict[str, float] = {}
@@ -119,7 +119,7 @@
         due = self._due()
         burst = self.commits.write_burst
         completion_priority, completion_burst = Priority.COMPLETIONS, burst
-        if self._submissions_queued():
+        if self._submission_retries_expected():
             # After an outage, completions have accumulated as well. They are late already, while
             # users whose submissions are refused soon stop retrying: both get a share.
             completion_priority, completion_burst = Priority.SUBMISSIONS, burst / 2
