--- a/tests/api/test_read_barrier.py
+++ b/tests/api/test_read_barrier.py
@@ -36,7 +36,7 @@
 NEVER_S = float("inf")  # delay of a response that never arrives
 
 
-class StateService:
+class StateStoreStub:
     """Responds to each read after the next of `delays`, in seconds; after the last, `delay`."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch):
@@ -66,21 +66,21 @@
         raise HttpError(f"no answer in {call.timeout:g} s")
 
 
-BarrierTest = Callable[[ReadBarrier, StateService], Awaitable[None]]
+BarrierTest = Callable[[ReadBarrier, StateStoreStub], Awaitable[None]]
 
 
 def run_with_barrier(monkeypatch: pytest.MonkeyPatch, body: BarrierTest) -> None:
     """Run a test body with a read barrier, for a replica at revision 10, on a mock clock."""
 
     async def main() -> None:
-        service = StateService(monkeypatch)
+        stub = StateStoreStub(monkeypatch)
         state_store = StateStoreClient("10.2.0.1:2379", LIMITS, 3, CALL_TIMEOUT_S)
         replica = Replica(state_store, 0.1, 1.0)
         replica.revision = 10
         read_barrier = ReadBarrier(state_store, replica, BARRIER_TIMEOUT_S)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(read_barrier.run)
-            await body(read_barrier, service)
+            await body(read_barrier, stub)
             nursery.cancel_scope.cancel()
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
@@ -118,11 +118,11 @@
     that timed out itself, received that outcome and passed.
     """
 
-    async def body(read_barrier: ReadBarrier, service: StateService) -> None:
-        service.delay = BARRIER_TIMEOUT_S + 0.3
+    async def body(read_barrier: ReadBarrier, stub: StateStoreStub) -> None:
+        stub.delay = BARRIER_TIMEOUT_S + 0.3
         assert await count_passed(read_barrier, 300) == 0
         await trio.sleep(1)  # the reads end after all requests have timed out
-        service.delay = NEVER_S
+        stub.delay = NEVER_S
         passed = 0
         for _ in range(3):
             passed += await count_passed(read_barrier, 300)
@@ -135,8 +135,8 @@
 def test_cancelled_request_leaves_no_waiter(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def body(read_barrier: ReadBarrier, service: StateService) -> None:
-        service.delay = 0.5
+    async def body(read_barrier: ReadBarrier, stub: StateStoreStub) -> None:
+        stub.delay = 0.5
         with trio.move_on_after(0.1):
             await read_barrier.wait()
         await trio.sleep(1)
@@ -154,8 +154,8 @@
     wait 1.5 s.
     """
 
-    async def body(read_barrier: ReadBarrier, service: StateService) -> None:
-        service.delays = [NEVER_S] * hanging
+    async def body(read_barrier: ReadBarrier, stub: StateStoreStub) -> None:
+        stub.delays = [NEVER_S] * hanging
         outcome, seconds = await wait_timed(read_barrier)
         assert isinstance(outcome, BarrierPassed)
         assert seconds < hanging * READ_INTERVAL_S + 0.05
@@ -169,8 +169,8 @@
 def test_requests_pass_while_a_tenth_of_answers_is_late(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def body(read_barrier: ReadBarrier, service: StateService) -> None:
-        service.delays = ([2.5] + [USUAL_DELAY_S] * 9) * 100
+    async def body(read_barrier: ReadBarrier, stub: StateStoreStub) -> None:
+        stub.delays = ([2.5] + [USUAL_DELAY_S] * 9) * 100
         passed = 0
         for _ in range(400):
             await trio.sleep(0.02)
@@ -181,25 +181,25 @@
 
 
 def test_reads_are_bounded_while_the_store_hangs(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def body(read_barrier: ReadBarrier, service: StateService) -> None:
-        service.delay = NEVER_S
+    async def body(read_barrier: ReadBarrier, stub: StateStoreStub) -> None:
+        stub.delay = NEVER_S
         for _ in range(4):
             await count_passed(read_barrier, 100)
-        assert service.max_in_flight == MAX_CONCURRENT_READS
-        assert service.reads <= MAX_CONCURRENT_READS * 5
+        assert stub.max_in_flight == MAX_CONCURRENT_READS
+        assert stub.reads <= MAX_CONCURRENT_READS * 5
         # Reads resume as soon as the store responds.
-        service.delay = USUAL_DELAY_S
+        stub.delay = USUAL_DELAY_S
         assert await count_passed(read_barrier, 100) == 100
 
     run_with_barrier(monkeypatch, body)
 
 
 def test_many_requests_take_a_fifth_of_the_rate_limit(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def body(read_barrier: ReadBarrier, service: StateService) -> None:
+    async def body(read_barrier: ReadBarrier, stub: StateStoreStub) -> None:
         end = trio.current_time() + 10
         while trio.current_time() < end:
             await count_passed(read_barrier, 50)
-        assert service.reads <= 10 * REQUESTS_PER_S / REQUESTS_PER_READ + 1
+        assert stub.reads <= 10 * REQUESTS_PER_S / REQUESTS_PER_READ + 1
 
     run_with_barrier(monkeypatch, body)
 
@@ -207,8 +207,8 @@
 def test_read_dispatched_before_the_request_does_not_pass_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def body(read_barrier: ReadBarrier, service: StateService) -> None:
-        service.delays = [0.02]
+    async def body(read_barrier: ReadBarrier, stub: StateStoreStub) -> None:
+        stub.delays = [0.02]
         async with trio.open_nursery() as nursery:
             nursery.start_soon(read_barrier.wait)
             await trio.sleep(0.01)
@@ -216,7 +216,7 @@
             outcome = await read_barrier.wait()
             assert isinstance(outcome, BarrierPassed)
             assert outcome.read.requested_at >= asked_at
-        assert service.reads == 2
+        assert stub.reads == 2
 
     run_with_barrier(monkeypatch, body)
 
@@ -234,8 +234,8 @@
 def test_unusable_answer_fails_requests_at_once(
     status: int, ledger: int, log: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def body(read_barrier: ReadBarrier, service: StateService) -> None:
-        service.status, service.ledger, service.log = status, ledger, log
+    async def body(read_barrier: ReadBarrier, stub: StateStoreStub) -> None:
+        stub.status, stub.ledger, stub.log = status, ledger, log
         outcome, seconds = await wait_timed(read_barrier)
         assert isinstance(outcome, BarrierFailed)
         assert outcome.cause == FailureCause.REFUSED
@@ -245,11 +245,11 @@
 
 
 def test_replica_that_was_never_loaded_passes_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def body(read_barrier: ReadBarrier, service: StateService) -> None:
+    async def body(read_barrier: ReadBarrier, stub: StateStoreStub) -> None:
         read_barrier.replica.revision = -1
         outcome, seconds = await wait_timed(read_barrier)
         assert isinstance(outcome, BarrierFailed)
-        assert (service.reads, seconds) == (0, 0.0)
+        assert (stub.reads, seconds) == (0, 0.0)
 
     run_with_barrier(monkeypatch, body)
 
@@ -257,15 +257,15 @@
 def test_late_response_does_not_restore_a_removed_key(monkeypatch: pytest.MonkeyPatch) -> None:
     """Reads overlap, so a response may arrive after one of a newer revision."""
 
-    async def body(read_barrier: ReadBarrier, service: StateService) -> None:
+    async def body(read_barrier: ReadBarrier, stub: StateStoreStub) -> None:
         replica = read_barrier.replica
         put = {"write": "pt/parts/0", "v": {"node": "n0"}, "stamp": 11}
-        service.ledger, service.log = 11, [put]
-        service.delays = [0.4]
+        stub.ledger, stub.log = 11, [put]
+        stub.delays = [0.4]
         async with trio.open_nursery() as nursery:
             nursery.start_soon(replica.refresh)
             await trio.sleep(0.1)
-            service.ledger, service.log = 12, [put, {"remove": "pt/parts/0", "stamp": 12}]
+            stub.ledger, stub.log = 12, [put, {"remove": "pt/parts/0", "stamp": 12}]
             newer_sent_at = trio.current_time()
             await replica.refresh()
             assert (replica.revision, replica.version("pt/parts/0")) == (12, 0)
@@ -280,11 +280,11 @@
 ) -> None:
     """A repeated response, read from a reused connection, would make a stale replica look fresh."""
 
-    async def body(read_barrier: ReadBarrier, service: StateService) -> None:
+    async def body(read_barrier: ReadBarrier, stub: StateStoreStub) -> None:
         replica = read_barrier.replica
         await replica.refresh()
         verified_at = replica.verified_at
-        service.ledger = 9
+        stub.ledger = 9
         await trio.sleep(1)
         with pytest.raises(StoreUnavailable):
             await replica.refresh()
