--- a/pitchtally/jobs/cleanup.py
+++ b/pitchtally/jobs/cleanup.py
@@ -37,7 +37,7 @@
         self.pause = pause
 
     async def run(self) -> None:
-        """Remove leftover keys, one transaction at a time, at the lowest priority: no user waits."""
+        """Remove leftover keys a few at a time, after all calls that users wait for."""
         while True:
             await trio.sleep(self.pause)
             try:
--- a/pitchtally/jobs/progress_writer.py
+++ b/pitchtally/jobs/progress_writer.py
@@ -68,7 +68,8 @@
         """Create a writer; its eight parameters are the components that a write passes through.
 
         `period`: seconds between two routine writes of a job's progress.
-        `submission_retries_expected`: returns whether any refused submission is expected to be retried.
+        `submission_retries_expected`: returns whether a refused submission is expected to be
+        retried.
         """
         self.job_index = job_index
         self.commits = commits
