--- a/tests/cluster/test_autoscaling.py
+++ b/tests/cluster/test_autoscaling.py
@@ -19,7 +19,7 @@
 
     async def day(sim: Simulation) -> None:
         requests: list[tuple[float, str]] = []
-        handle = sim.world.handle
+        handle = sim.cloud.handle
 
         async def recorded(request: Request) -> Response:
             if request.method == "POST":
@@ -29,7 +29,7 @@
         sim.network.hosts[("10.2.0.2", 8443)] = ("cloud", recorded)
         await sim.submit(job(1, rows=60, vcpus=4.0, realS=20.0, ripenS=20.0))
         await trio.sleep(1)
-        for other in ("state", "n1", "n2", *sim.world.agents):
+        for other in ("state", "n1", "n2", *sim.cloud.agents):
             sim.network.partition("n0", other)
         at = trio.current_time()
         await trio.sleep(60)
--- a/tests/cluster/test_cancellation.py
+++ b/tests/cluster/test_cancellation.py
@@ -24,7 +24,7 @@
         for number, team in ((1, "free"), (2, "free"), (3, "tight")):
             await sim.submit(job(number, rows=6, vcpus=1.0, crew=team, realS=400.0, ripenS=400.0))
         with trio.fail_after(10):
-            while len(sim.world.rules.placements) < 18:
+            while len(sim.cloud.rules.placements) < 18:
                 await trio.sleep(0.1)
         sim.kill("n1", "n2")
         await trio.sleep(gap)
@@ -32,7 +32,7 @@
         await sim.cancel("wk-000003")
         await sim.submit(job(4, rows=6, vcpus=1.0, crew="tight"))
         await trio.sleep(TIMES.cancel_s + 2)
-        left = {task.rpartition("/")[0] for task in sim.world.rules.placements}
+        left = {task.rpartition("/")[0] for task in sim.cloud.rules.placements}
         assert left <= {"wk-000002"}
         sim.check()  # the team's limit too: six tasks at once
 
@@ -51,7 +51,7 @@
         await trio.sleep(0.2)
         await sim.cancel("wk-000001", 1)
         await trio.sleep(TIMES.cancel_s + 2)
-        starts = sim.world.rules.starts_after_cancel
+        starts = sim.cloud.rules.starts_after_cancel
         assert max(starts, default=0.0) < SESSION_TTL_S + TIMES.report_s
         sim.network.heal()
         await trio.sleep(TIMES.lease_s)
@@ -71,7 +71,7 @@
 
     async def change_leader(sim: Simulation) -> None:
         if change == "partition_from_agents":
-            for name in list(sim.world.agents):
+            for name in list(sim.cloud.agents):
                 sim.network.partition("n1", name)
             await trio.sleep(TIMES.lease_s * 0.7)
             sim.network.partitions.clear()
@@ -83,7 +83,7 @@
             await trio.sleep(1.5)
 
     async def day(sim: Simulation) -> None:
-        sim.world.capacity = 8
+        sim.cloud.capacity = 8
         ids = []
         for number in range(1, 31):
             spec = job(number, rows=2, vcpus=0.5, **LONG_RUNNING)
@@ -98,7 +98,7 @@
         await trio.sleep(TIMES.cancel_s + 2)
         assert set(sim.final_stages.values()) == {"withdrawn"}
         assert len(sim.final_stages) == len(ids)
-        assert not sim.world.rules.placements
+        assert not sim.cloud.rules.placements
         sim.check()
 
     run(monkeypatch, day)
@@ -123,7 +123,7 @@
         for spec in running:
             await sim.submit(spec)
         with trio.fail_after(20):
-            while len(sim.world.rules.placements) < 22:
+            while len(sim.cloud.rules.placements) < 22:
                 await trio.sleep(0.2)
         queued_jobs = [
             job(4, rows=20, vcpus=1.0),
@@ -132,12 +132,12 @@
         ]
         for spec in queued_jobs:
             await sim.submit(spec)
-        busy = sorted({machine for machine, _ in sim.world.rules.placements.values()})
+        busy = sorted({machine for machine, _ in sim.cloud.rules.placements.values()})
         for name in busy[:2]:
             if fault == "cut":
                 isolate(sim, name)
             else:
-                sim.nursery.start_soon(sim.world.agents[name].hang, TIMES.lease_s * 0.8)
+                sim.nursery.start_soon(sim.cloud.agents[name].hang, TIMES.lease_s * 0.8)
         for spec in running:
             sim.nursery.start_soon(sim.cancel, spec["ref"], 1)
         await trio.sleep(0.4)
@@ -173,7 +173,7 @@
         await trio.sleep(sim.times.lease_s * 2)
         job_ = sim.controllers["n0"].job_index.jobs["wk-000001"]
         assert not job_.open
-        assert not sim.world.rules.placements
+        assert not sim.cloud.rules.placements
         sim.state_store.refused_callers.clear()
         sim.state_store.resume()
         await trio.sleep(5)
--- a/tests/cluster/test_cancellation_in_outages.py
+++ b/tests/cluster/test_cancellation_in_outages.py
@@ -84,7 +84,7 @@
         for number in (1, 2, 3):
             await sim.submit(job(number, rows=6, **LONG_RUNNING))
         with trio.fail_after(sim.times.lease_s * 2):
-            while len(sim.world.rules.placements) < 18:
+            while len(sim.cloud.rules.placements) < 18:
                 await trio.sleep(0.1)
         assert sim.controllers["n0"].membership.cluster_leader_token is not None
         sim.state_store.refused_callers.add("n0")
@@ -151,11 +151,11 @@
         self.sim.check()
         if self.outage.leader_hears_all_peers:
             # No peer is missing: the leader knows all cancellations, so all other tasks go on.
-            assert self.sim.world.rules.tasks_lost_to_lease_expiry == 0
+            assert self.sim.cloud.rules.tasks_lost_to_lease_expiry == 0
             assert left >= {"wk-000002", "wk-000003"}
 
     def _left(self) -> set[str]:
-        return {task.rpartition("/")[0] for task in self.sim.world.rules.placements}
+        return {task.rpartition("/")[0] for task in self.sim.cloud.rules.placements}
 
     async def recover(self) -> None:
         """End all faults: every job is known, and no cancelled one runs again."""
--- a/tests/cluster/test_completion_races.py
+++ b/tests/cluster/test_completion_races.py
@@ -26,7 +26,7 @@
         specs = [job(n, rows=rows, vcpus=1.0, realS=4.0) for n in range(1, 5)]
         for spec in specs:
             await sim.submit(spec)
-        first = sim.world.rules.first_start
+        first = sim.cloud.rules.first_start
         with trio.fail_after(20):
             while len(first) < len(specs):
                 await trio.sleep(0.01)
--- a/tests/cluster/test_duplicated_heartbeats.py
+++ b/tests/cluster/test_duplicated_heartbeats.py
@@ -50,7 +50,7 @@
     async def day(sim: Simulation) -> None:
         await sim.submit(job(1, rows=30, vcpus=1.0, realS=200.0, ripenS=200.0))
         await trio.sleep(6)
-        agent = sim.world.agents["i-000001"]
+        agent = sim.cloud.agents["i-000001"]
         body = json.dumps(agent.heartbeat()).encode()
         await trio.sleep(2)
         if between == "failover":
@@ -68,7 +68,7 @@
             sim.network.partition("*", agent.name)
             sim.network.partition(agent.name, "*")
             await trio.sleep(30)
-            assert agent.name in sim.world.terminated
+            assert agent.name in sim.cloud.terminated
             # Also at a leader that did not terminate the machine itself.
             sim.kill("n1")
             await trio.sleep(0.2)
@@ -93,9 +93,9 @@
     async def day(sim: Simulation) -> None:
         await sim.submit(job(1, rows=30, vcpus=1.0, realS=8.0))
         await trio.sleep(6)
-        agent = sim.world.agents["i-000001"]
+        agent = sim.cloud.agents["i-000001"]
         body = json.dumps(agent.heartbeat()).encode()
-        sim.world.agents.pop(agent.name).terminate()
+        sim.cloud.agents.pop(agent.name).terminate()
         sim.kill("n1")
         checks = 0
         for _ in range(30):
--- a/tests/cluster/test_failover.py
+++ b/tests/cluster/test_failover.py
@@ -19,18 +19,18 @@
     """A new leader goes by the recorded silence of a machine, and doesn't wait as long again."""
 
     async def day(sim: Simulation) -> None:
-        sim.world.capacity = 4
+        sim.cloud.capacity = 4
         await sim.submit(job(1, rows=12, vcpus=1.0, **LONG_RUNNING))
         await trio.sleep(5)
-        name = next(n for n in sim.world.agents if shard_of(n, 3) == 0)
+        name = next(n for n in sim.cloud.agents if shard_of(n, 3) == 0)
         isolate(sim, name)
         # Its lease has expired, and it is nearly due to be terminated.
         await trio.sleep(TIMES.lease_s * 1.75)
-        assert name not in sim.world.terminated
+        assert name not in sim.cloud.terminated
         sim.kill("n0")
         at = trio.current_time()
         with trio.fail_after(SESSION_TTL_S + TIMES.report_s * 3):
-            while name not in sim.world.terminated:
+            while name not in sim.cloud.terminated:
                 await trio.sleep(0.1)
         assert trio.current_time() - at > SESSION_TTL_S / 2  # not before there was a successor
         revive(sim, "n0")
@@ -44,13 +44,13 @@
     """A job bound to another zone goes on at once after a failover; any other is blocked."""
 
     async def day(sim: Simulation) -> None:
-        sim.world.capacity = 4
+        sim.cloud.capacity = 4
         zone_bound = job(1, rows=200, vcpus=1.0, parcel="a", realS=3.0, ripenS=3.0)
         unbound = job(2, rows=200, vcpus=1.0, realS=3.0, ripenS=3.0)
         await sim.submit(zone_bound)
         await sim.submit(unbound)
         await trio.sleep(6)
-        silent = [n for n, w in sim.world.agents.items() if w.zone == "b"]
+        silent = [n for n, w in sim.cloud.agents.items() if w.zone == "b"]
         for name in silent:
             isolate(sim, name)
         await restart(sim, after=0.5)
@@ -86,7 +86,7 @@
             await trio.sleep(5)
             sim.start(cluster_leader)
         await trio.sleep(15)
-        assert [n for n in sim.world.terminated if n <= "i-000004"] == []
+        assert [n for n in sim.cloud.terminated if n <= "i-000004"] == []
         sim.check()
 
     run(monkeypatch, day)
@@ -100,8 +100,8 @@
     async def day(sim: Simulation) -> None:
         await sim.submit(job(1, rows=40, vcpus=1.0, realS=3.0))
         await trio.sleep(5)
-        for name in list(sim.world.agents)[:2]:
-            sim.world.agents[name].terminate()
+        for name in list(sim.cloud.agents)[:2]:
+            sim.cloud.agents[name].terminate()
         sim.kill("n0")
         await trio.sleep(5)
         sim.start("n0")
--- a/tests/cluster/test_gang_scheduling.py
+++ b/tests/cluster/test_gang_scheduling.py
@@ -18,7 +18,7 @@
     """The shard is lost during the write; the rest of the scheduling round must go on."""
 
     async def day(sim: Simulation) -> None:
-        sim.world.capacity = 4
+        sim.cloud.capacity = 4
         await sim.submit(job(1, rows=16, vcpus=2.0, realS=60.0, ripenS=60.0))
         await trio.sleep(2)
         await sim.submit(job(2, rows=1, cut="gang", vcpus=8.0, oneZone=True))
@@ -64,7 +64,7 @@
         at = trio.current_time()
         await sim.submit(job(2, rows=1, cut="gang", crew="tight", vcpus=5.0))
         await trio.sleep(30)
-        assert sim.world.rules.first_start["wk-000002"] - at < 20
+        assert sim.cloud.rules.first_start["wk-000002"] - at < 20
         sim.check()
 
     run(monkeypatch, day)
@@ -74,13 +74,13 @@
     """Arrays of equal rank must not take all capacity that becomes available on large machines."""
 
     async def day(sim: Simulation) -> None:
-        sim.world.capacity = 4
+        sim.cloud.capacity = 4
         await sim.submit(job(1, rows=400, vcpus=1.0))
         await trio.sleep(8)
         at = trio.current_time()
         await sim.submit(job(2, rows=1, cut="gang", vcpus=8.0))
         await trio.sleep(40)
-        assert sim.world.rules.first_start["wk-000002"] - at < 30
+        assert sim.cloud.rules.first_start["wk-000002"] - at < 30
         sim.check()
 
     run(monkeypatch, day)
@@ -90,7 +90,7 @@
     """Also when it is migrated to another shard and back meanwhile."""
 
     async def day(sim: Simulation) -> None:
-        failing = next(iter(sim.world.agents.values()))
+        failing = next(iter(sim.cloud.agents.values()))
         failing.fails_tasks = True
         for number in range(1, 5):
             await sim.submit(job(number, rows=1, cut="gang", vcpus=8.0))
@@ -106,7 +106,7 @@
     async def day(sim: Simulation) -> None:
         sim.policy_text = f"start_within = {start_within}"
         await restart(sim, after=0.5)
-        sim.world.capacity = 4
+        sim.cloud.capacity = 4
         accepted: dict[str, float] = {}
 
         async def gang(number: int) -> None:
@@ -121,7 +121,7 @@
             await trio.sleep(16)
             await gang(number)
         await sim.finish(list(accepted), limit=300)
-        waits = {id: sim.world.rules.first_start[id] - at for id, at in accepted.items()}
+        waits = {id: sim.cloud.rules.first_start[id] - at for id, at in accepted.items()}
         in_time = [id for id, wait in waits.items() if wait < start_within]
         assert len(in_time) > len(accepted) * 0.6
         assert max(waits.values()) < start_within * 4  # late gangs regain priority in the end
--- a/tests/cluster/test_invariants_under_faults.py
+++ b/tests/cluster/test_invariants_under_faults.py
@@ -53,7 +53,7 @@
 
 
 async def partition_from_agents(sim: Simulation) -> None:
-    for name in list(sim.world.agents):
+    for name in list(sim.cloud.agents):
         sim.network.partition("n0", name)
     await trio.sleep(20)
 
@@ -80,9 +80,9 @@
 async def late_duplicates(sim: Simulation) -> None:
     """Commands, heartbeats, transactions and launches are carried out a second time, late."""
     for name in NODES:
-        for other in ("state", "cloud", *sim.world.agents):
+        for other in ("state", "cloud", *sim.cloud.agents):
             sim.network.duplicate_after[(name, other)] = 7.0
-    for agent in sim.world.agents:
+    for agent in sim.cloud.agents:
         for name in NODES:
             sim.network.duplicate_after[(agent, name)] = 7.0
     await trio.sleep(20)
@@ -95,9 +95,9 @@
 
 
 async def state_store_and_cloud_outage(sim: Simulation) -> None:
-    sim.world.down = True
+    sim.cloud.down = True
     await state_store_outage(sim)
-    sim.world.down = False
+    sim.cloud.down = False
 
 
 async def crash_in_outage(sim: Simulation) -> None:
@@ -111,21 +111,21 @@
 
 
 async def machine_isolated(sim: Simulation) -> None:
-    name = next(iter(sim.world.agents))
+    name = next(iter(sim.cloud.agents))
     sim.network.partition("*", name)
     sim.network.partition(name, "*")
     await trio.sleep(15)
 
 
 async def machine_crashes(sim: Simulation) -> None:
-    name = next(iter(sim.world.agents))
-    sim.world.agents.pop(name).terminate()
+    name = next(iter(sim.cloud.agents))
+    sim.cloud.agents.pop(name).terminate()
     await trio.sleep(5)
 
 
 async def machine_isolated_and_leader_crashes(sim: Simulation) -> None:
     """The leader crashes while one of its machines can't be reached."""
-    name = next(iter(sim.world.agents))
+    name = next(iter(sim.cloud.agents))
     sim.network.partition("*", name)
     sim.network.partition(name, "*")
     sim.kill("n0")
@@ -135,23 +135,23 @@
 
 
 async def unlisted_machine(sim: Simulation) -> None:
-    sim.world.add("big", "b")
+    sim.cloud.add("big", "b")
     await trio.sleep(5)
 
 
 async def machine_that_fails_tasks(sim: Simulation) -> None:
-    next(iter(sim.world.agents.values())).fails_tasks = True
+    next(iter(sim.cloud.agents.values())).fails_tasks = True
     await trio.sleep(15)
 
 
 async def unreachable_agent(sim: Simulation) -> None:
     """Heartbeats of an agent arrive, but neither responses nor commands reach it."""
-    sim.network.partition_inbound(next(iter(sim.world.agents)))
+    sim.network.partition_inbound(next(iter(sim.cloud.agents)))
     await trio.sleep(25)
 
 
 async def unreachable_agent_and_failover(sim: Simulation) -> None:
-    sim.network.partition_inbound(next(iter(sim.world.agents)))
+    sim.network.partition_inbound(next(iter(sim.cloud.agents)))
     sim.kill("n0")
     await trio.sleep(5)
     sim.start("n0")
@@ -159,7 +159,7 @@
 
 
 def _duplicate_heartbeats(sim: Simulation, after: float) -> None:
-    for agent in sim.world.agents:
+    for agent in sim.cloud.agents:
         for name in NODES:
             sim.network.duplicate_after[(agent, name)] = after
 
@@ -186,12 +186,12 @@
 async def duplicates_of_lost_machines(sim: Simulation) -> None:
     """Duplicates from machines that are gone, or whose lease has expired, still arrive."""
     _duplicate_heartbeats(sim, 9.0)
-    names = list(sim.world.agents)
+    names = list(sim.cloud.agents)
     sim.network.partition("*", names[0])
     sim.network.partition(names[0], "*")
     await trio.sleep(2)
-    if names[1] in sim.world.agents:
-        sim.world.agents.pop(names[1]).terminate()
+    if names[1] in sim.cloud.agents:
+        sim.cloud.agents.pop(names[1]).terminate()
     await trio.sleep(25)
 
 
@@ -222,7 +222,7 @@
 
 async def agents_restart_at_once(sim: Simulation) -> None:
     """Agents begin a new epoch within a fraction of a second."""
-    for agent in list(sim.world.agents.values()):
+    for agent in list(sim.cloud.agents.values()):
         agent.restart()
         await trio.sleep(0.3)
         agent.restart()
@@ -231,7 +231,7 @@
 
 async def machines_hang_and_resume(sim: Simulation) -> None:
     """Nothing gets in or out of half of the machines for longer than a lease, twice."""
-    names = list(sim.world.agents)[::2]
+    names = list(sim.cloud.agents)[::2]
     for _ in range(2):
         for name in names:
             sim.network.partition(name, "*")
@@ -243,7 +243,7 @@
 
 async def machines_hang_and_leader_crashes(sim: Simulation) -> None:
     """As before, with a failover meanwhile, and the old leader back at once."""
-    names = list(sim.world.agents)[::2]
+    names = list(sim.cloud.agents)[::2]
     for name in names:
         sim.network.partition(name, "*")
         sim.network.partition("*", name)
@@ -266,8 +266,8 @@
 
 
 async def most_machines_crash(sim: Simulation) -> None:
-    for name in list(sim.world.agents)[:-1]:
-        sim.world.agents.pop(name).terminate()
+    for name in list(sim.cloud.agents)[:-1]:
+        sim.cloud.agents.pop(name).terminate()
     await trio.sleep(5)
 
 
@@ -359,6 +359,6 @@
         assert sim.final_stages["wk-000007"] == "withdrawn"
         await trio.sleep(26)  # nothing of the cancelled job may be left
         sim.check()
-        assert sim.world.rules.started >= sum(s["rows"] for s in jobs[:6])
+        assert sim.cloud.rules.started >= sum(s["rows"] for s in jobs[:6])
 
     run(monkeypatch, day)
--- a/tests/cluster/test_partitions.py
+++ b/tests/cluster/test_partitions.py
@@ -74,7 +74,7 @@
         sim.network.partition("n0", "state")
         await trio.sleep(6)
         body = {k: v for k, v in job(1).items() if k != "realS"}
-        sim.world.rules.specs["wk-000001"] = job(1)
+        sim.cloud.rules.specs["wk-000001"] = job(1)
         assert (await sim.call(0, "POST", "/api/jobs", body)).status == 201
         assert (await sim.call(0, "GET", "/api/jobs/wk-000001")).status == 200
         assert (await sim.call(0, "GET", "/api/jobs/wk-000009")).status == 404
--- a/tests/cluster/test_preemption_notices.py
+++ b/tests/cluster/test_preemption_notices.py
@@ -17,7 +17,7 @@
     async def day(sim: Simulation) -> None:
         await sim.submit(job(1, rows=24, vcpus=1.0, ripenS=30.0, realS=30.0, rackS=5.0))
         await trio.sleep(6)
-        agent = next(w for w in sim.world.agents.values() if w.tasks)
+        agent = next(w for w in sim.cloud.agents.values() if w.tasks)
         agent.preemption_at = trio.current_time() + 8
         await trio.sleep(7)
         assert agent.terminated or not [t for t, s in agent.tasks.items() if s.state == "running"]
--- a/tests/cluster/test_quotas.py
+++ b/tests/cluster/test_quotas.py
@@ -15,7 +15,7 @@
     async def day(sim: Simulation) -> None:
         await sim.submit(job(1, rows=60, crew="tight", vcpus=3.0))
         await trio.sleep(30)
-        assert sim.world.rules.peak_cpus["tight"] == 6.0
+        assert sim.cloud.rules.peak_cpus["tight"] == 6.0
         sim.check()
 
     run(monkeypatch, day)
--- a/tests/cluster/test_reassignment.py
+++ b/tests/cluster/test_reassignment.py
@@ -29,14 +29,14 @@
     async def day(sim: Simulation) -> None:
         await sim.submit(spec)
         with trio.fail_after(30):
-            while not sim.world.rules.done:
+            while not sim.cloud.rules.done:
                 await trio.sleep(0.2)
         await trio.sleep(1.5)
-        zones = [z for t, (_, z) in sim.world.rules.placements.items()]
+        zones = [z for t, (_, z) in sim.cloud.rules.placements.items()]
         zone = zones[0] if zones else "a"
-        for agent in [w for w in sim.world.agents.values() if w.zone == zone]:
-            sim.world.agents.pop(agent.name).terminate()
-        sim.world.capacity = len(sim.world.agents)
+        for agent in [w for w in sim.cloud.agents.values() if w.zone == zone]:
+            sim.cloud.agents.pop(agent.name).terminate()
+        sim.cloud.capacity = len(sim.cloud.agents)
         for task in range(spec["rows"]):
             spec["realBy"][task] = 5.0
         await sim.finish([spec["ref"]], limit=150.0)
--- a/tests/cluster/test_rolling_upgrade.py
+++ b/tests/cluster/test_rolling_upgrade.py
@@ -114,7 +114,7 @@
 
 
 async def cancellations_and_isolated_machines(sim: Simulation) -> None:
-    for agent in list(sim.world.agents)[::2]:
+    for agent in list(sim.cloud.agents)[::2]:
         sim.network.partition(agent, "*")
         sim.network.partition("*", agent)
     for id in CANCELLED:
@@ -124,7 +124,7 @@
 
 
 async def zone_partitioned_from_two_controllers(sim: Simulation) -> None:
-    for agent in list(sim.world.agents.values()):
+    for agent in list(sim.cloud.agents.values()):
         if agent.zone == "a":
             for node in NODES[1:]:
                 sim.network.partition(agent.name, node)
@@ -181,7 +181,7 @@
         now = trio.current_time()
         sim.invariants.check_replicas_return(now, services_due_at, BACK_WITHIN_S)
         sim.invariants.check_jobs_answer(now, ended_at)
-        sim.invariants.check_startable_jobs_start(now, sim.world)
+        sim.invariants.check_startable_jobs_start(now, sim.cloud)
         sim.check()
         if now > services_due_at and all(id in sim.final_stages for id in ids):
             break
--- a/tests/cluster/test_services.py
+++ b/tests/cluster/test_services.py
@@ -29,7 +29,7 @@
         await sim.cancel(spec["ref"])
         await trio.sleep(TIMES.cancel_s + 1)
         assert not replicas_up(sim, spec["ref"])
-        assert sim.world.rules.started == 3
+        assert sim.cloud.rules.started == 3
         sim.check()
 
     run(monkeypatch, day)
@@ -46,7 +46,7 @@
         await sim.submit(slow_to_end)
         await sim.submit(quick_to_end)
         await trio.sleep(200)
-        starts = sim.world.rules.starts_of
+        starts = sim.cloud.rules.starts_of
         assert starts(slow_to_end["ref"]) >= 3 * 6
         assert starts(quick_to_end["ref"]) <= 3 * 40
         for id in (slow_to_end["ref"], quick_to_end["ref"]):
@@ -61,13 +61,13 @@
     """On full machines an idle job is preempted at once, another service isn't."""
 
     async def day(sim: Simulation) -> None:
-        sim.world.capacity = len(sim.world.agents)
+        sim.cloud.capacity = len(sim.cloud.agents)
         first = service(1, rows=16, vcpus=1.0)
         await sim.submit(first)
         await wait_until_up(sim, first, within=10.0)
         idle = job(2, rows=60, vcpus=1.0, rank="idle", realS=50.0, ripenS=50.0)
         await sim.submit(idle)
-        await wait_until(lambda: len(sim.world.rules.placements) == 32, 20)
+        await wait_until(lambda: len(sim.cloud.rules.placements) == 32, 20)
         second = service(3, rows=8, vcpus=1.0)
         await sim.submit(second)
         await wait_until_up(sim, first, second, within=8.0)
@@ -88,14 +88,14 @@
     """Its share of the limit is in other shards and must move, so that it can preempt at all."""
 
     async def day(sim: Simulation) -> None:
-        sim.world.capacity = len(sim.world.agents)
+        sim.cloud.capacity = len(sim.cloud.agents)
         earlier = service(3, rows=6, crew="tight")  # moves all shares of the limit to one shard
         await sim.submit(earlier)
         await wait_until_up(sim, earlier, within=15.0)
         await sim.submit(job(2, rows=200, vcpus=1.0, rank="idle", realS=90.0, ripenS=90.0))
-        await wait_until(lambda: len(sim.world.rules.placements) == 32, 20)
+        await wait_until(lambda: len(sim.cloud.rules.placements) == 32, 20)
         await sim.cancel(earlier["ref"])
-        await wait_until(lambda: len(sim.world.rules.placements) == 32, 20)
+        await wait_until(lambda: len(sim.cloud.rules.placements) == 32, 20)
         specs = [service(number, rows=2, crew="tight") for number in (4, 5, 6)]
         for spec in specs:
             await sim.submit(spec)
@@ -111,27 +111,27 @@
         await sim.submit(spec)
         await wait_until_up(sim, spec, within=5.0)
         await trio.sleep(120)
-        assert sim.world.terminated  # those without replicas
-        assert sim.world.rules.started == 4
+        assert sim.cloud.terminated  # those without replicas
+        assert sim.cloud.rules.started == 4
 
     run(monkeypatch, day)
 
 
 def machine_of(sim: Simulation, id: str) -> Any:
-    name = next(w for t, (w, _) in sim.world.rules.placements.items() if t.startswith(f"{id}/"))
-    return sim.world.agents[name]
+    name = next(w for t, (w, _) in sim.cloud.rules.placements.items() if t.startswith(f"{id}/"))
+    return sim.cloud.agents[name]
 
 
 async def terminated(sim: Simulation, agent: Any) -> None:
-    sim.world.agents.pop(agent.name).terminate()
+    sim.cloud.agents.pop(agent.name).terminate()
 
 
 async def preempted(sim: Simulation, agent: Any) -> None:
     agent.preemption_at = trio.current_time() + 6.0
     agent.changed.set()
     await trio.sleep(6.0)
-    if agent.name in sim.world.agents:  # not terminated before that
-        sim.world.agents.pop(agent.name).terminate()
+    if agent.name in sim.cloud.agents:  # not terminated before that
+        sim.cloud.agents.pop(agent.name).terminate()
 
 
 async def restarted(sim: Simulation, agent: Any) -> None:
@@ -176,16 +176,16 @@
 
     async def day(sim: Simulation) -> None:
         for zone in ("a", "b"):
-            sim.world.add("big", zone)
-        sim.world.capacity = 6
+            sim.cloud.add("big", zone)
+        sim.cloud.capacity = 6
         await trio.sleep(3)
         spec = service(1, rows=4, vcpus=4.0, spread=True)
         await sim.submit(spec)
         await wait_until_up(sim, spec, within=8.0)
         shard = int(machine_of(sim, spec["ref"]).name[2:]) % 3
-        other = next(w for w in sim.world.agents.values() if int(w.name[2:]) % 3 == shard)
-        sim.world.capacity = 5
-        sim.world.agents.pop(other.name).terminate()
+        other = next(w for w in sim.cloud.agents.values() if int(w.name[2:]) % 3 == shard)
+        sim.cloud.capacity = 5
+        sim.cloud.agents.pop(other.name).terminate()
         await wait_until_up(sim, spec, within=120.0)
         sim.check()
 
--- a/tests/cluster/test_services_under_faults.py
+++ b/tests/cluster/test_services_under_faults.py
@@ -52,7 +52,7 @@
 
 
 async def agents_fail_every_task(sim: Simulation) -> None:
-    failing = list(sim.world.agents.values())[:2]
+    failing = list(sim.cloud.agents.values())[:2]
     for agent in failing:
         agent.fails_tasks = True
         agent.restart()
@@ -97,7 +97,7 @@
         await trio.sleep(0.5)
         now = trio.current_time()
         sim.invariants.check_replicas_return(now, ended_at, bound)
-        sim.invariants.check_startable_jobs_start(now, sim.world)
+        sim.invariants.check_startable_jobs_start(now, sim.cloud)
         sim.invariants.check_jobs_answer(now, ended_at)
         sim.check()
     assert all(sim.final_stages.get(spec["ref"]) == "done" for spec in OTHER_JOBS)
--- a/tests/cluster/test_starvation.py
+++ b/tests/cluster/test_starvation.py
@@ -15,7 +15,7 @@
     """Wide arrays and gangs start within their bound although small jobs never stop coming."""
 
     async def day(sim: Simulation) -> None:
-        sim.world.capacity = 4
+        sim.cloud.capacity = 4
         latest = 100
 
         async def submit_small_jobs() -> None:
@@ -33,7 +33,7 @@
         await sim.submit(job(3, rows=1, rank="idle", vcpus=8.0, vintage="large"))
         await trio.sleep(238)
         for number in (1, 2, 3):
-            assert sim.world.rules.first_start[f"wk-{number:06d}"] - at < 240, number
+            assert sim.cloud.rules.first_start[f"wk-{number:06d}"] - at < 240, number
         sim.check()
 
     run(monkeypatch, day)
--- a/tests/cluster/test_submission.py
+++ b/tests/cluster/test_submission.py
@@ -52,7 +52,7 @@
 
         async def submit_one(number: int) -> None:
             spec = job(number, rows=1)
-            sim.world.rules.specs[spec["ref"]] = spec
+            sim.cloud.rules.specs[spec["ref"]] = spec
             body = {k: v for k, v in spec.items() if k != "realS"}
             statuses.append((await sim.call(0, "POST", "/api/jobs", body)).status)
 
@@ -81,16 +81,16 @@
     """A second write for each small job would exhaust the write rate under load."""
 
     async def day(sim: Simulation) -> None:
-        sim.world.capacity = 4
+        sim.cloud.capacity = 4
         await sim.submit(job(1, rows=400, vcpus=1.0, realS=3.0, ripenS=3.0))
         await trio.sleep(8)
         if cluster_leader == "silent":
             sim.network.partition("n1", "n0")
-        sim.world.rules.specs.update({f"wk-{n:06d}": job(n, rows=1) for n in range(10, 30)})
+        sim.cloud.rules.specs.update({f"wk-{n:06d}": job(n, rows=1) for n in range(10, 30)})
         for number in range(10, 30):
             at = trio.current_time()
             id = f"wk-{number:06d}"
-            spec = sim.world.rules.specs[id]
+            spec = sim.cloud.rules.specs[id]
             assert (await sim.ask(1, "POST", "/api/jobs", submission(spec), about=id))[0] == 201
             assert trio.current_time() - at < 1.0
         assigned = [bool(first_written_ranges(sim, f"wk-{n:06d}")) for n in range(10, 30)]
@@ -106,7 +106,7 @@
 
 async def submit_with_retries(sim: Simulation, spec: dict[str, Any], rng: random.Random) -> bool:
     """Retry as the protocol says, at any controller, for as long as users do."""
-    sim.world.rules.specs[spec["ref"]] = spec
+    sim.cloud.rules.specs[spec["ref"]] = spec
     started_at = trio.current_time()
     while trio.current_time() - started_at < RETRIES_FOR_S:
         retry_after = 1.0
@@ -127,7 +127,7 @@
     async def day(sim: Simulation) -> None:
         sim.state_limits = StateLimits(rps=80, write_rps=15, value_kb=8, txn_ops=8)
         await restart(sim, after=0.5)
-        sim.world.capacity = 12
+        sim.cloud.capacity = 12
         rng = random.Random(3)
         accepted: dict[str, bool] = {}
 
@@ -164,7 +164,7 @@
             await sim.cancel(spec["ref"], number)
 
     async def day(sim: Simulation) -> None:
-        sim.world.capacity = 12
+        sim.cloud.capacity = 12
         rng = random.Random(5)
         count = STREAM_JOBS_PER_S * STREAM_FOR_S
         for number in range(1, count + 1):
--- a/tests/cluster/test_unreachable_agents.py
+++ b/tests/cluster/test_unreachable_agents.py
@@ -27,7 +27,7 @@
     async def day(sim: Simulation) -> None:
         await sim.submit(job(1, rows=200, vcpus=1.0))
         await trio.sleep(4)
-        name = next(n for n, w in sim.world.agents.items() if w.tasks)
+        name = next(n for n, w in sim.cloud.agents.items() if w.tasks)
         sim.network.partition_inbound(name)
         starts_sent: list[Any] = []
         leader = _leader_of(sim, name)
@@ -45,7 +45,7 @@
         # The agent counts as unreachable after its second response without effect.
         assert all(not n for t, n in starts_sent if t - at > 25)
         assert len([1 for _, n in starts_sent if n]) <= 3
-        assert name in sim.world.terminated
+        assert name in sim.cloud.terminated
         await sim.finish(["wk-000001"])
 
     run(monkeypatch, day)
--- a/tests/harness/cluster_faults.py
+++ b/tests/harness/cluster_faults.py
@@ -68,7 +68,7 @@
 
 def isolate_zone_with(sim: Simulation, controller: str, zone: str) -> None:
     """Partition a controller and a zone's machines from all others, but not from one another."""
-    inside = {controller} | {n for n, w in sim.world.agents.items() if w.zone == zone}
+    inside = {controller} | {n for n, w in sim.cloud.agents.items() if w.zone == zone}
     for name in inside:
-        for other in {*NODES, "state", "cloud", *sim.world.agents} - inside:
+        for other in {*NODES, "state", "cloud", *sim.cloud.agents} - inside:
             sim.network.partition(name, other)
--- a/tests/harness/fault_scenarios.py
+++ b/tests/harness/fault_scenarios.py
@@ -49,12 +49,12 @@
 
 async def agents_cannot_call(sim: Simulation) -> None:
     """Agents can't call any controller; direct commands still reach them."""
-    sim.network.partitioned_outbound |= set(sim.world.agents)
+    sim.network.partitioned_outbound |= set(sim.cloud.agents)
     await trio.sleep(TIMES.lease_s * 1.6)
 
 
 async def some_agents_cannot_call(sim: Simulation) -> None:
-    sim.network.partitioned_outbound |= set(list(sim.world.agents)[::2])
+    sim.network.partitioned_outbound |= set(list(sim.cloud.agents)[::2])
     await trio.sleep(TIMES.lease_s * 1.6)
 
 
@@ -65,7 +65,7 @@
 
 
 async def leader_crash_with_partitioned_agents(sim: Simulation) -> None:
-    for agent in list(sim.world.agents)[::2]:
+    for agent in list(sim.cloud.agents)[::2]:
         isolate(sim, agent)
     sim.kill(cluster_leader(sim))
     await trio.sleep(TIMES.lease_s * 0.7)
@@ -74,7 +74,7 @@
 
 
 async def leader_crash_with_one_way_partition(sim: Simulation) -> None:
-    for agent in list(sim.world.agents)[::2]:
+    for agent in list(sim.cloud.agents)[::2]:
         sim.network.partition_inbound(agent)
     sim.kill(cluster_leader(sim))
     await trio.sleep(TIMES.lease_s * 1.6)
@@ -103,7 +103,7 @@
 
 async def failover_with_team_at_its_limit(sim: Simulation) -> None:
     """Machines are isolated, and the job that fills the limit is cancelled."""
-    busy = {m for t, (m, _) in sim.world.rules.placements.items() if t.startswith(CANCELLED[1])}
+    busy = {m for t, (m, _) in sim.cloud.rules.placements.items() if t.startswith(CANCELLED[1])}
     for agent in sorted(busy)[:2]:
         isolate(sim, agent)
     sim.kill(cluster_leader(sim))
@@ -127,7 +127,7 @@
 
 async def overload_over_slow_links(sim: Simulation) -> None:
     for a in NODES:
-        for b in (*NODES, "state", "cloud", *sim.world.agents):
+        for b in (*NODES, "state", "cloud", *sim.cloud.agents):
             sim.network.reply_delay[(a, b)] = sim.network.reply_delay[(b, a)] = 0.25
     for number in range(20, 32):
         rank = ("urgent", "idle", "standard")[number % 3]
@@ -152,9 +152,9 @@
 async def zone_loses_machines(sim: Simulation) -> None:
     """Machines of a zone end, to which jobs are bound; the cloud has others there."""
     for _ in range(3):
-        found = [w for w in sim.world.agents.values() if w.zone == "a"]
+        found = [w for w in sim.cloud.agents.values() if w.zone == "a"]
         if found:
-            sim.world.agents.pop(found[0].name).terminate()
+            sim.cloud.agents.pop(found[0].name).terminate()
         await trio.sleep(4)
     await trio.sleep(6)
 
@@ -179,7 +179,7 @@
 
 async def cancel_during_failover(sim: Simulation) -> None:
     """Jobs of a controller are cancelled while it crashes and comes back."""
-    name = shard_leader(sim, next(iter(sim.world.agents)))
+    name = shard_leader(sim, next(iter(sim.cloud.agents)))
     sim.kill(name)
     for after, id in zip((0.2, 2.4), CANCELLED, strict=True):
         await trio.sleep(after)
@@ -193,7 +193,7 @@
 
 
 async def agents_cannot_call_during_store_outage(sim: Simulation) -> None:
-    sim.network.partitioned_outbound |= set(list(sim.world.agents)[:2])
+    sim.network.partitioned_outbound |= set(list(sim.cloud.agents)[:2])
     sim.state_store.stop()
     await trio.sleep(TIMES.lease_s * 1.4)
     sim.state_store.resume()
@@ -201,7 +201,7 @@
 
 
 async def hung_agents_cancel_and_failover(sim: Simulation) -> None:
-    for agent in list(sim.world.agents.values()):
+    for agent in list(sim.cloud.agents.values()):
         sim.nursery.start_soon(agent.hang, TIMES.lease_s * 0.85)
     for id in CANCELLED:
         sim.nursery.start_soon(sim.cancel, id, 1)
@@ -211,7 +211,7 @@
 
 
 async def one_way_partition_and_store_refusal(sim: Simulation) -> None:
-    for agent in list(sim.world.agents)[1::2]:
+    for agent in list(sim.cloud.agents)[1::2]:
         sim.network.partition_inbound(agent)
     for id in CANCELLED:
         sim.nursery.start_soon(sim.cancel, id, 1)
--- a/tests/harness/invariants.py
+++ b/tests/harness/invariants.py
@@ -72,14 +72,14 @@
             if now - max(calm_since, self.last_answered.get(id, calm_since)) > limit:
                 self.violations.append(f"forgotten {id}: no answer")
 
-    def check_startable_jobs_start(self, now: float, world: World, limit: float = 90.0) -> None:
+    def check_startable_jobs_start(self, now: float, cloud: World, limit: float = 90.0) -> None:
         """Check that no job waits that long while machines and its team's limit would take it."""
         used: dict[str, float] = {}
         for task in self.rules.placements:
             spec = self.rules.specs[job_of(task)]
             used[spec["crew"]] = used.get(spec["crew"], 0.0) + spec["vcpus"]
         for id in self.accepted:
-            if id in self.final_stages or not self._could_start(id, world, used):
+            if id in self.final_stages or not self._could_start(id, cloud, used):
                 self.startable_since.pop(id, None)
             elif now - self.startable_since.setdefault(id, now) > limit:
                 self.violations.append(f"waits {id}")
@@ -100,7 +100,7 @@
                 if now - since > limit:
                     self.violations.append(f"down {task}")
 
-    def _could_start(self, id: str, world: World, used: dict[str, float]) -> bool:
+    def _could_start(self, id: str, cloud: World, used: dict[str, float]) -> bool:
         spec: dict[str, Any] = self.rules.specs[id]
         placed = {t for t in self.rules.placements if job_of(t) == id}
         if self._done(id) + len(placed) >= spec["rows"]:
@@ -112,16 +112,16 @@
         at_once = spec["rows"] if gang else 1
         if limit and used.get(spec["crew"], 0.0) + at_once * spec["vcpus"] > limit + TOLERANCE:
             return False
-        free_slots = self._free_slots(spec, world, placed)
+        free_slots = self._free_slots(spec, cloud, placed)
         if spec["oneZone"]:
             return max(free_slots.values(), default=0) >= at_once
         return sum(free_slots.values()) >= at_once
 
-    def _free_slots(self, spec: dict[str, Any], world: World, placed: set[str]) -> dict[str, int]:
+    def _free_slots(self, spec: dict[str, Any], cloud: World, placed: set[str]) -> dict[str, int]:
         """Return by zone how many more tasks of a job the machines could take."""
         zones = {self.rules.placements[task].zone for task in placed}
         free_slots: dict[str, int] = {}
-        for agent in world.agents.values():
+        for agent in cloud.agents.values():
             if agent.hung or agent.fails_tasks or agent.preemption_at is not None:
                 continue
             if spec.get("presses") and agent.type not in spec["presses"]:
--- a/tests/harness/message_scenarios.py
+++ b/tests/harness/message_scenarios.py
@@ -14,7 +14,7 @@
 
 async def duplicated_heartbeats_after_newer_ones(sim: Simulation) -> None:
     sim.network.duplicated_heartbeats, sim.network.max_duplicate_delay = 0.5, TIMES.lease_s * 2.5
-    for agent in list(sim.world.agents.values())[:2]:
+    for agent in list(sim.cloud.agents.values())[:2]:
         await trio.sleep(4)
         agent.restart()
     await restart(sim, "n1", after=3.0)
@@ -22,7 +22,7 @@
 
 
 async def delayed_commands_and_hung_agents(sim: Simulation) -> None:
-    agents = list(sim.world.agents.values())
+    agents = list(sim.cloud.agents.values())
     for agent in agents[:2]:
         sim.network.hold_back(shard_leader(sim, agent.name), agent.name)
         sim.nursery.start_soon(agent.hang, 5.0)
@@ -35,7 +35,7 @@
 
 
 async def delayed_heartbeats_across_failover(sim: Simulation) -> None:
-    for agent in sim.world.agents:
+    for agent in sim.cloud.agents:
         for name in NODES:
             if name != "n2":
                 sim.network.held_back_links.add((agent, name))
@@ -98,7 +98,7 @@
     """Agent heartbeats arrive again everywhere, some of earlier epochs and attempts."""
     sim.network.recorded_heartbeats = 0.4
     await trio.sleep(4)
-    for agent in list(sim.world.agents.values())[:2]:
+    for agent in list(sim.cloud.agents.values())[:2]:
         agent.restart()
     await trio.sleep(4)
     sim.network.recorded_heartbeats = 0.0
@@ -113,16 +113,16 @@
 async def scale_out_with_delayed_commits_and_failover(sim: Simulation) -> None:
     """New machines get work at once, long before the cloud lists them."""
     sim.network.delayed_commits = 0.3
-    sim.world.list_lag_s = 4.0
-    sim.world.capacity += 3
+    sim.cloud.list_lag_s = 4.0
+    sim.cloud.capacity += 3
     sim.nursery.start_soon(sim.submit, job(41, rows=24, vcpus=2.0, realS=8.0))
     await trio.sleep(1.5)
     for zone in ("a", "b"):
-        sim.world.add("big", zone)
+        sim.cloud.add("big", zone)
     await trio.sleep(0.5)
     await restart(sim, cluster_leader(sim), after=3.0)
     await trio.sleep(12)
-    sim.world.list_lag_s = 0.0
+    sim.cloud.list_lag_s = 0.0
 
 
 async def delayed_commits_duplicated_heartbeats_failover(sim: Simulation) -> None:
--- a/tests/harness/scenario_day.py
+++ b/tests/harness/scenario_day.py
@@ -35,7 +35,7 @@
         await trio.sleep(1.0)
         now = trio.current_time()
         sim.invariants.check_jobs_answer(now, calm_since)
-        sim.invariants.check_startable_jobs_start(now, sim.world)
+        sim.invariants.check_startable_jobs_start(now, sim.cloud)
         sim.check()
         if all(id in sim.final_stages for id in IDS):
             break
--- a/tests/harness/services.py
+++ b/tests/harness/services.py
@@ -21,7 +21,7 @@
 
 def replicas_up(sim: Simulation, id: str) -> int:
     """Return how many replicas of a service are on machines."""
-    return sum(1 for task in sim.world.rules.placements if task.startswith(f"{id}/"))
+    return sum(1 for task in sim.cloud.rules.placements if task.startswith(f"{id}/"))
 
 
 async def wait_until(check: Callable[[], bool], seconds: float) -> None:
--- a/tests/harness/simulation.py
+++ b/tests/harness/simulation.py
@@ -130,7 +130,7 @@
     """A cluster, what surrounds it, and the users who call it.
 
     `run` makes one and passes it to a test; faults are brought about in `network`,
-    `state_store` and `world`, and `invariants` judges every answer that users get.
+    `state_store` and `cloud`, and `invariants` judges every answer that users get.
     """
 
     def __init__(
@@ -145,20 +145,20 @@
         controllers = [
             ControllerAddress(name, (f"10.0.0.{i}", 8080)) for i, name in enumerate(NODES)
         ]
-        self.world = World(
+        self.cloud = World(
             self.network,
             controllers,
             TYPES,
             times,
             seed=seed,
         )
-        self.world.rules.limits = {team.name: team.cpus_max for team in self.teams}
+        self.cloud.rules.limits = {team.name: team.cpus_max for team in self.teams}
         self.network.hosts[("10.2.0.1", 2379)] = ("state", self.state_store.handle)
-        self.network.hosts[("10.2.0.2", 8443)] = ("cloud", self.world.handle)
+        self.network.hosts[("10.2.0.2", 8443)] = ("cloud", self.cloud.handle)
         self.scopes: dict[str, trio.CancelScope] = {}
         self.controllers: dict[str, Any] = {}  # a Controller, or an earlier version's
         self.nursery: trio.Nursery
-        self.invariants = InvariantChecker(self.world.rules)
+        self.invariants = InvariantChecker(self.cloud.rules)
         self.final_stages = self.invariants.final_stages
         self.earlier: EarlierVersion | None = None  # an earlier version, if a test uses one
         self.earlier_nodes: set[str] = set()  # nodes that start with it
@@ -229,7 +229,7 @@
         if (id, stage) in self._probed:
             return
         self._probed.add((id, stage))
-        spec = self.world.rules.specs[id]
+        spec = self.cloud.rules.specs[id]
         for turn in range(PROBES):
             for node in range(len(NODES)):
                 self.nursery.start_soon(self._poll_after, turn * PROBE_PAUSE_S, id, node)
@@ -246,7 +246,7 @@
 
     async def submit(self, spec: dict[str, Any]) -> None:
         """Submit a job as users do: again and again, at any node, until it is accepted."""
-        self.world.rules.specs[spec["ref"]] = spec
+        self.cloud.rules.specs[spec["ref"]] = spec
         for turn in range(ATTEMPTS):
             status, _ = await self.ask(
                 turn % 3, "POST", "/api/jobs", submission(spec), about=spec["ref"]
@@ -327,10 +327,10 @@
         if earlier is not None:
             earlier.install(monkeypatch, sim.network, clock)
         async with trio.open_nursery() as nursery:
-            sim.nursery = sim.network.nursery = sim.world.nursery = nursery
+            sim.nursery = sim.network.nursery = sim.cloud.nursery = nursery
             nursery.start_soon(sim.state_store.run)
             for zone in ("a", "b", "a", "b"):
-                sim.world.add("big", zone)
+                sim.cloud.add("big", zone)
             sim.start()
             await trio.sleep(2.0)
             await body(sim)
--- a/tests/harness/test_invariants.py
+++ b/tests/harness/test_invariants.py
@@ -134,9 +134,9 @@
 
 async def startable_job_waits(invariants: InvariantChecker) -> None:
     accepted(invariants, rows=1)
-    world: Any = SimpleNamespace(types=TYPES, agents={"i-1": agent("i-1")})
-    invariants.check_startable_jobs_start(0.0, world)
-    invariants.check_startable_jobs_start(91.0, world)
+    cloud: Any = SimpleNamespace(types=TYPES, agents={"i-1": agent("i-1")})
+    invariants.check_startable_jobs_start(0.0, cloud)
+    invariants.check_startable_jobs_start(91.0, cloud)
 
 
 VIOLATIONS: list[tuple[Callable[[InvariantChecker], Any], str]] = [
@@ -189,9 +189,9 @@
         invariants = InvariantChecker(rules)
         id = accepted(invariants, rows=2, crew="tight")
         start(invariants, 0, agent("i-1"))
-        world: Any = SimpleNamespace(types=TYPES, agents={"i-1": agent("i-1")})
-        invariants.check_startable_jobs_start(0.0, world)
-        invariants.check_startable_jobs_start(91.0, world)
+        cloud: Any = SimpleNamespace(types=TYPES, agents={"i-1": agent("i-1")})
+        invariants.check_startable_jobs_start(0.0, cloud)
+        invariants.check_startable_jobs_start(91.0, cloud)
         rules.done |= {f"{id}/0", f"{id}/1"}
         invariants.observe(5.0, 6.0, id, 200, "done")
         invariants.observe(5.5, 6.5, id, 200, "running")
--- a/tests/harness/workload.py
+++ b/tests/harness/workload.py
@@ -46,7 +46,7 @@
     """Poll every job; now and then repeat one, ask for an unknown one, submit an invalid one."""
     rng = random.Random(7)
     while True:
-        for spec in [sim.world.rules.specs[id] for id in list(sim.invariants.accepted)]:
+        for spec in [sim.cloud.rules.specs[id] for id in list(sim.invariants.accepted)]:
             node = rng.randrange(3)
             roll = rng.random()
             if roll < 0.1 and spec["ref"] in sim.invariants.accepted:
--- a/tests/scheduling/test_failure_attribution.py
+++ b/tests/scheduling/test_failure_attribution.py
@@ -64,10 +64,10 @@
         )
         # Failures on two machines of a shard classify a job as faulty, each with as many tasks
         # as it holds at once.
-        assert sim.world.rules.failures <= 3 * (6 * 8 + 3 * 8)
-        before = sim.world.rules.failures
+        assert sim.cloud.rules.failures <= 3 * (6 * 8 + 3 * 8)
+        before = sim.cloud.rules.failures
         await trio.sleep(60)
-        assert 0 < sim.world.rules.failures - before <= 3 * 3 * 8  # still retried, rarely
+        assert 0 < sim.cloud.rules.failures - before <= 3 * 3 * 8  # still retried, rarely
         for number in (1, 2, 3):
             await sim.cancel(f"wk-{number:06d}")
         sim.check()
@@ -79,11 +79,11 @@
     """A job that failed on every machine runs once its mistake is corrected."""
 
     async def day(sim: Simulation) -> None:
-        sim.world.capacity = len(sim.world.agents)  # the cloud has no other machine
+        sim.cloud.capacity = len(sim.cloud.agents)  # the cloud has no other machine
         spec = job(1, rows=10, vcpus=1.0, broken=True)
         await sim.submit(spec)
         await trio.sleep(40)
-        assert sim.world.rules.failures > 0
+        assert sim.cloud.rules.failures > 0
         spec["broken"] = False
         await sim.finish([spec["ref"]], limit=90)
         assert sim.final_stages[spec["ref"]] == "done"
