--- a/tests/cluster/test_fault_combinations.py
+++ b/tests/cluster/test_fault_combinations.py
@@ -9,7 +9,7 @@
 import trio.testing
 
 from ..harness.fault_scenarios import SCENARIOS, Scenario
-from ..harness.scenario_day import play
+from ..harness.scenario_day import run_scenario_day
 from ..harness.simulation import TIMES, Simulation, run
 
 SEEDS = (1, 2)
@@ -21,7 +21,7 @@
     scenario: Scenario, seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def day(sim: Simulation) -> None:
-        await play(sim, scenario, 5 + seed % 3)
+        await run_scenario_day(sim, scenario, 5 + seed % 3)
 
     run(monkeypatch, day, seed)
 
@@ -48,6 +48,6 @@
             nursery.start_soon(second_fault, sim)
 
     async def day(sim: Simulation) -> None:
-        await play(sim, both_faults, start_after)
+        await run_scenario_day(sim, both_faults, start_after)
 
     run(monkeypatch, day, 1000 + seed)
--- a/tests/harness/fault_scenarios.py
+++ b/tests/harness/fault_scenarios.py
@@ -1,8 +1,9 @@
 """Combinations of faults: crashes, partitions, outages and hung machines.
 
-A scenario brings faults about, waits, and returns, at the latest when the faults have had their
-effect; `scenario_day.play` ends what is left of them and checks every invariant. `SCENARIOS` lists
-these and those with delayed, duplicated or lost messages (`message_scenarios`).
+A scenario injects faults, waits until they have had their effect, and returns;
+`scenario_day.run_scenario_day` then ends the faults that remain and checks every invariant.
+`SCENARIOS` lists these scenarios and those with delayed, duplicated or lost messages
+(`message_scenarios`).
 """
 
 from __future__ import annotations
--- a/tests/harness/scenario_day.py
+++ b/tests/harness/scenario_day.py
@@ -11,7 +11,7 @@
 CALM_S = 200  # in which every job must come to its end
 
 
-async def play(sim: Simulation, scenario: Scenario, after: float) -> None:
+async def run_scenario_day(sim: Simulation, scenario: Scenario, after: float) -> None:
     """Play a day: the users' jobs, the scenario some seconds later, then no more faults.
 
     In the calm that follows every job must come to its end, and every invariant must hold.
