--- a/tests/harness/simulation.py
+++ b/tests/harness/simulation.py
@@ -195,7 +195,7 @@
         data = json.dumps(body).encode() if body is not None else b""
         return await self.network.call((f"10.0.0.{node}", 8080), method, path, data, timeout=5.0)
 
-    async def ask(
+    async def send(
         self,
         node: int,
         method: str,
@@ -242,13 +242,13 @@
 
     async def _repeat_at(self, node: int, spec: dict[str, Any]) -> None:
         about = spec["ref"]
-        await self.ask(node, "POST", "/api/jobs", submission(spec), about=about, repeat=True)
+        await self.send(node, "POST", "/api/jobs", submission(spec), about=about, repeat=True)
 
     async def submit(self, spec: dict[str, Any]) -> None:
         """Submit a job as users do: again and again, at any node, until it is accepted."""
         self.cloud.rules.specs[spec["ref"]] = spec
         for turn in range(ATTEMPTS):
-            status, _ = await self.ask(
+            status, _ = await self.send(
                 turn % 3, "POST", "/api/jobs", submission(spec), about=spec["ref"]
             )
             if status in (200, 201):
@@ -259,14 +259,14 @@
     async def cancel(self, id: str, first: int = 0) -> None:
         self.invariants.cancel_requested.add(id)
         for turn in range(first, first + ATTEMPTS):
-            status, _ = await self.ask(turn % 3, "POST", f"/api/jobs/{id}/cancel", about=id)
+            status, _ = await self.send(turn % 3, "POST", f"/api/jobs/{id}/cancel", about=id)
             if status == 200:
                 return
             await trio.sleep(1.0)
         raise AssertionError(f"not cancelled: {id}")
 
     async def poll(self, id: str, node: int) -> str | None:
-        status, stage = await self.ask(node, "GET", f"/api/jobs/{id}", about=id)
+        status, stage = await self.send(node, "GET", f"/api/jobs/{id}", about=id)
         return stage if status == 200 else None
 
     async def wait_until_known(self, ids: list[str], within: float) -> None:
