--- a/tests/cluster/test_cancellation.py
+++ b/tests/cluster/test_cancellation.py
@@ -146,7 +146,7 @@
         await restart(sim, cluster_leader(sim), after=3.0)
         await trio.sleep(TIMES.lease_s)
         sim.network.heal()
-        await sim.finish([spec["ref"] for spec in running + queued_jobs])
+        await sim.wait_until_finished([spec["ref"] for spec in running + queued_jobs])
         assert {sim.final_stages[spec["ref"]] for spec in queued_jobs} == {"done"}
         await trio.sleep(TIMES.cancel_s + 1)
         sim.check()
--- a/tests/cluster/test_completion_races.py
+++ b/tests/cluster/test_completion_races.py
@@ -38,7 +38,7 @@
                 for node in range(3):
                     nursery.start_soon(sim.poll, spec["ref"], node)
                     nursery.start_soon(submit_again, sim, node, spec)
-        await sim.finish([spec["ref"] for spec in specs])
+        await sim.wait_until_finished([spec["ref"] for spec in specs])
         await trio.sleep(TIMES.cancel_s + 1)
         sim.check()
 
--- a/tests/cluster/test_duplicated_heartbeats.py
+++ b/tests/cluster/test_duplicated_heartbeats.py
@@ -112,6 +112,6 @@
         assert checks  # it was in the record of a shard that was acquired
         sim.start("n1")
         # The shard was reconciled without it, since the cloud does not list it any more.
-        await sim.finish(["wk-000001"], limit=40)
+        await sim.wait_until_finished(["wk-000001"], limit=40)
 
     run(monkeypatch, day)
--- a/tests/cluster/test_failover.py
+++ b/tests/cluster/test_failover.py
@@ -67,7 +67,7 @@
                 assert state.allocations[zone_bound["ref"]].ranges
         assert blocked_shards
         sim.network.heal()
-        await sim.finish([zone_bound["ref"], unbound["ref"]])
+        await sim.wait_until_finished([zone_bound["ref"], unbound["ref"]])
 
     run(monkeypatch, day)
 
@@ -105,6 +105,6 @@
         sim.kill("n0")
         await trio.sleep(5)
         sim.start("n0")
-        await sim.finish(["wk-000001"], limit=90)
+        await sim.wait_until_finished(["wk-000001"], limit=90)
 
     run(monkeypatch, day)
--- a/tests/cluster/test_gang_scheduling.py
+++ b/tests/cluster/test_gang_scheduling.py
@@ -94,7 +94,7 @@
         failing.fails_tasks = True
         for number in range(1, 5):
             await sim.submit(job(number, rows=1, cut="gang", vcpus=8.0))
-        await sim.finish([f"wk-{n:06d}" for n in range(1, 5)], limit=60)
+        await sim.wait_until_finished([f"wk-{n:06d}" for n in range(1, 5)], limit=60)
 
     run(monkeypatch, day)
 
@@ -120,7 +120,7 @@
         for number in range(9, 21):
             await trio.sleep(16)
             await gang(number)
-        await sim.finish(list(accepted), limit=300)
+        await sim.wait_until_finished(list(accepted), limit=300)
         waits = {id: sim.cloud.rules.first_start[id] - at for id, at in accepted.items()}
         in_time = [id for id, wait in waits.items() if wait < start_within]
         assert len(in_time) > len(accepted) * 0.6
--- a/tests/cluster/test_invariants_under_faults.py
+++ b/tests/cluster/test_invariants_under_faults.py
@@ -355,7 +355,7 @@
             nursery.start_soon(sim.cancel, "wk-000007")
         sim.network.heal()
         await sim.wait_until_known([spec["ref"] for spec in jobs], within=30)
-        await sim.finish([spec["ref"] for spec in jobs])
+        await sim.wait_until_finished([spec["ref"] for spec in jobs])
         assert sim.final_stages["wk-000007"] == "withdrawn"
         await trio.sleep(26)  # nothing of the cancelled job may be left
         sim.check()
--- a/tests/cluster/test_preemption_notices.py
+++ b/tests/cluster/test_preemption_notices.py
@@ -23,6 +23,6 @@
         assert agent.terminated or not [t for t, s in agent.tasks.items() if s.state == "running"]
         if not agent.terminated:
             agent.terminate()
-        await sim.finish(["wk-000001"], limit=60)
+        await sim.wait_until_finished(["wk-000001"], limit=60)
 
     run(monkeypatch, day)
--- a/tests/cluster/test_reassignment.py
+++ b/tests/cluster/test_reassignment.py
@@ -39,7 +39,7 @@
         sim.cloud.capacity = len(sim.cloud.agents)
         for task in range(spec["rows"]):
             spec["realBy"][task] = 5.0
-        await sim.finish([spec["ref"]], limit=150.0)
+        await sim.wait_until_finished([spec["ref"]], limit=150.0)
         assert sim.final_stages[spec["ref"]] == "done"
 
     run(monkeypatch, day)
--- a/tests/cluster/test_request_forwarding.py
+++ b/tests/cluster/test_request_forwarding.py
@@ -22,7 +22,7 @@
     async def day(sim: Simulation) -> None:
         await sim.submit(job(1, rows=4, realS=900.0, ripenS=900.0))
         await sim.submit(job(2, rows=1, realS=1.0, ripenS=1.0))
-        await sim.finish(["wk-000002"], limit=30)
+        await sim.wait_until_finished(["wk-000002"], limit=30)
         in_flight = peak = 0
         call = sim.network.call
 
--- a/tests/cluster/test_rolling_upgrade.py
+++ b/tests/cluster/test_rolling_upgrade.py
@@ -246,7 +246,7 @@
         await trio.sleep(5)
         lower_limits(sim)
         assert not any(spec["ref"] in sim.final_stages for spec in WIDE)
-        await sim.finish([spec["ref"] for spec in [*WIDE, *JOBS[:6]]], limit=180)
+        await sim.wait_until_finished([spec["ref"] for spec in [*WIDE, *JOBS[:6]]], limit=180)
         assert sim.state_store.oversized == []
 
     run(monkeypatch, day, earlier=production, state=STATE)
@@ -280,7 +280,7 @@
         specs: list[dict[str, Any]] = JOBS[:4]
         for spec in specs:
             await sim.submit(spec)
-        await sim.finish([spec["ref"] for spec in specs])
+        await sim.wait_until_finished([spec["ref"] for spec in specs])
 
     run(monkeypatch, day, earlier=production, state=STATE)
 
@@ -350,7 +350,7 @@
         if id not in sim.invariants.cancel_requested:
             sim.nursery.start_soon(sim.cancel, id)
     ids = [*IDS, *(spec["ref"] for spec in WIDE)]
-    await sim.finish(ids)
+    await sim.wait_until_finished(ids)
     assert not [id for id in ids if id not in sim.final_stages]
     assert [sim.final_stages[id] for id in CANCELLED] == ["withdrawn"] * len(CANCELLED)
     await sim.wait_until_known([*ids, *(spec["ref"] for spec in SERVICES)], 20)
--- a/tests/cluster/test_slow_state_store.py
+++ b/tests/cluster/test_slow_state_store.py
@@ -72,7 +72,7 @@
                 await trio.sleep(1 / JOBS_PER_S)
             await trio.sleep(10)
             nursery.cancel_scope.cancel()
-        await sim.finish([f"wk-{number:06d}" for number in range(1, JOBS + 1)])
+        await sim.wait_until_finished([f"wk-{number:06d}" for number in range(1, JOBS + 1)])
         await trio.sleep(TIMES.cancel_s + 1)
         sim.check()
         # Most reads pass the barrier all the same.
--- a/tests/cluster/test_submission.py
+++ b/tests/cluster/test_submission.py
@@ -28,7 +28,7 @@
             answer = await sim.call(node, "POST", "/api/jobs", {"ref": "wk-000002", "rows": -1})
             assert answer.status == 400
             assert "field" in json.loads(answer.body)
-        await sim.finish(["wk-000001"])
+        await sim.wait_until_finished(["wk-000001"])
 
     run(monkeypatch, day)
 
@@ -62,7 +62,7 @@
         assert sorted(statuses) == [200] + [201] * 20
         assert commits < 15
         sim.network.hosts[("10.2.0.1", 2379)] = ("state", handle)
-        await sim.finish([f"wk-{n:06d}" for n in range(1, 21)])
+        await sim.wait_until_finished([f"wk-{n:06d}" for n in range(1, 21)])
 
     run(monkeypatch, day)
 
@@ -96,7 +96,7 @@
         assigned = [bool(first_written_ranges(sim, f"wk-{n:06d}")) for n in range(10, 30)]
         assert all(assigned) == (cluster_leader == "heard")
         sim.network.heal()
-        await sim.finish([f"wk-{n:06d}" for n in range(10, 30)])
+        await sim.wait_until_finished([f"wk-{n:06d}" for n in range(10, 30)])
 
     run(monkeypatch, day)
 
@@ -176,7 +176,7 @@
                 sim.start("n1")
         await trio.sleep(5)
         ids = [f"wk-{number:06d}" for number in range(1, count + 1)]
-        await sim.finish(ids, limit=60)
+        await sim.wait_until_finished(ids, limit=60)
         withdrawn = [id for id in ids if sim.final_stages[id] == "withdrawn"]
         assert set(withdrawn) <= sim.invariants.cancel_requested
         assert len(withdrawn) >= count // 16
--- a/tests/cluster/test_unreachable_agents.py
+++ b/tests/cluster/test_unreachable_agents.py
@@ -46,7 +46,7 @@
         assert all(not n for t, n in starts_sent if t - at > 25)
         assert len([1 for _, n in starts_sent if n]) <= 3
         assert name in sim.cloud.terminated
-        await sim.finish(["wk-000001"])
+        await sim.wait_until_finished(["wk-000001"])
 
     run(monkeypatch, day)
 
@@ -64,6 +64,6 @@
         sim.start("n0")
         await trio.sleep(25)
         assert _leader_of(sim, name).agents.shards[0].reconciled
-        await sim.finish(["wk-000001"], limit=60)
+        await sim.wait_until_finished(["wk-000001"], limit=60)
 
     run(monkeypatch, day)
--- a/tests/formats/test_golden.py
+++ b/tests/formats/test_golden.py
@@ -638,7 +638,7 @@
         await sim.submit(job(3, cut="standing", rows=1))
         await trio.sleep(5)
         await sim.cancel("wk-000002")
-        await sim.finish(["wk-000001", "wk-000002"])
+        await sim.wait_until_finished(["wk-000001", "wk-000002"])
         await trio.sleep(3)
         items.update(sim.state_store.items)
 
--- a/tests/harness/simulation.py
+++ b/tests/harness/simulation.py
@@ -280,7 +280,7 @@
             await trio.sleep(0.5)
         assert not missing, f"no answer for {sorted(missing)}"
 
-    async def finish(self, ids: list[str], limit: float = 240.0) -> None:
+    async def wait_until_finished(self, ids: list[str], limit: float = 240.0) -> None:
         """Poll until every job is over; then check that it stays so at every node."""
         end = trio.current_time() + limit
         turn = 0
--- a/tests/observability/test_decision_log.py
+++ b/tests/observability/test_decision_log.py
@@ -114,7 +114,7 @@
         assert (await sim.call(0, "GET", "/api/jobs/wk-999999")).status == 404
         await sim.poll("wk-000002", 1)
         await sim.cancel("wk-000002")
-        await sim.finish(["wk-000001", "wk-000002"])
+        await sim.wait_until_finished(["wk-000001", "wk-000002"])
 
     with caplog.at_level(logging.DEBUG, decision_log.__name__):
         run(monkeypatch, scenario)
--- a/tests/scheduling/test_failure_attribution.py
+++ b/tests/scheduling/test_failure_attribution.py
@@ -55,7 +55,7 @@
         good = [job(n, rows=6, vcpus=1.0) for n in range(4, 8)]
         for spec in good:
             await sim.submit(spec)
-        await sim.finish([spec["ref"] for spec in good], limit=60)
+        await sim.wait_until_finished([spec["ref"] for spec in good], limit=60)
         await trio.sleep(60)
         assert not any(
             m.quarantined_until > 0
@@ -85,7 +85,7 @@
         await trio.sleep(40)
         assert sim.cloud.rules.failures > 0
         spec["broken"] = False
-        await sim.finish([spec["ref"]], limit=90)
+        await sim.wait_until_finished([spec["ref"]], limit=90)
         assert sim.final_stages[spec["ref"]] == "done"
 
     run(monkeypatch, day)
