--- a/tests/cluster/test_rolling_upgrade.py
+++ b/tests/cluster/test_rolling_upgrade.py
@@ -13,7 +13,7 @@
 from pitchtally.formats.gate import KEY
 
 from ..harness.cluster_faults import cluster_leader, restart
-from ..harness.earlier_version import EarlierVersion, as_built
+from ..harness.earlier_version import EarlierVersion, original_controller
 from ..harness.services import BACK_WITHIN_S, service
 from ..harness.simulation import NODES, TIMES, Simulation, job, run
 from ..harness.workload import CANCELLED, IDS, JOBS, users
@@ -304,7 +304,7 @@
 
 def versions_serving(sim: Simulation) -> set[str]:
     return {
-        type(as_built(controller)).__module__.split(".")[0]
+        type(original_controller(controller)).__module__.split(".")[0]
         for controller in sim.controllers.values()
     }
 
--- a/tests/harness/earlier_version.py
+++ b/tests/harness/earlier_version.py
@@ -37,7 +37,7 @@
         return getattr(self._target, found) if isinstance(found, str) else found
 
 
-def as_built(controller: Any) -> Any:
+def original_controller(controller: Any) -> Any:
     """A controller as its own version made it."""
     return controller._target if isinstance(controller, Renamed) else controller
 
