--- a/tests/cluster/test_rolling_upgrade.py
+++ b/tests/cluster/test_rolling_upgrade.py
@@ -14,7 +14,7 @@
 
 from ..harness.cluster_faults import cluster_leader, restart
 from ..harness.earlier_version import EarlierVersion, original_controller
-from ..harness.services import BACK_WITHIN_S, service
+from ..harness.services import RECOVERY_TIMEOUT_S, service
 from ..harness.simulation import NODES, TIMES, Simulation, job, run
 from ..harness.workload import CANCELLED, IDS, JOBS, users
 
@@ -175,11 +175,11 @@
         if id not in sim.invariants.cancel_requested:
             sim.nursery.start_soon(sim.cancel, id)
     ids = [*IDS, *(spec["ref"] for spec in WIDE)]
-    services_due_at = trio.current_time() + BACK_WITHIN_S
+    services_due_at = trio.current_time() + RECOVERY_TIMEOUT_S
     while trio.current_time() - ended_at < 240:
         await trio.sleep(1.0)
         now = trio.current_time()
-        sim.invariants.check_replicas_return(now, services_due_at, BACK_WITHIN_S)
+        sim.invariants.check_replicas_return(now, services_due_at, RECOVERY_TIMEOUT_S)
         sim.invariants.check_jobs_answer(now, ended_at)
         sim.invariants.check_startable_jobs_start(now, sim.cloud)
         sim.check()
--- a/tests/cluster/test_services.py
+++ b/tests/cluster/test_services.py
@@ -9,7 +9,7 @@
 import pytest
 import trio
 
-from ..harness.services import BACK_WITHIN_S, replicas_up, service, wait_until, wait_until_up
+from ..harness.services import RECOVERY_TIMEOUT_S, replicas_up, service, wait_until, wait_until_up
 from ..harness.simulation import TIMES, Simulation, job, run
 
 
@@ -163,7 +163,7 @@
         agent = machine_of(sim, spec["ref"])
         async with trio.open_nursery() as nursery:
             nursery.start_soon(loss, sim, agent)
-        await wait_until_up(sim, spec, within=BACK_WITHIN_S)
+        await wait_until_up(sim, spec, within=RECOVERY_TIMEOUT_S)
         sim.check()
 
     run(monkeypatch, day)
--- a/tests/cluster/test_services_under_faults.py
+++ b/tests/cluster/test_services_under_faults.py
@@ -22,7 +22,7 @@
     delayed_commits,
     duplicated_heartbeats_after_newer_ones,
 )
-from ..harness.services import BACK_WITHIN_S, replicas_up, service
+from ..harness.services import RECOVERY_TIMEOUT_S, replicas_up, service
 from ..harness.simulation import TIMES, Simulation, job, run
 from ..harness.workload import CANCELLED, users
 
@@ -110,6 +110,6 @@
     fault: Fault, seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def day(sim: Simulation) -> None:
-        await play_services(sim, fault, bound=BACK_WITHIN_S)
+        await play_services(sim, fault, bound=RECOVERY_TIMEOUT_S)
 
     run(monkeypatch, day, seed)
--- a/tests/harness/services.py
+++ b/tests/harness/services.py
@@ -10,7 +10,7 @@
 from .simulation import TIMES, Simulation, job
 
 # Once all faults are over: a lease has to expire, then a failover and a few heartbeats.
-BACK_WITHIN_S = TIMES.lease_s * 2 + TIMES.report_s * 5
+RECOVERY_TIMEOUT_S = TIMES.lease_s * 2 + TIMES.report_s * 5
 
 
 def service(number: int, **more: Any) -> dict[str, Any]:
