--- a/tests/cluster/test_cancellation_in_outages.py
+++ b/tests/cluster/test_cancellation_in_outages.py
@@ -120,7 +120,7 @@
 
     async def _cancel_at(self, node: int, id: str) -> None:
         self.sim.invariants.cancel_requested.add(id)
-        answer = await self.sim.send(node, "POST", f"/api/jobs/{id}/cancel", about=id)
+        answer = await self.sim.send(node, "POST", f"/api/jobs/{id}/cancel", job_id=id)
         assert answer == (200, "withdrawn")
 
     async def cut_off(self) -> None:
--- a/tests/cluster/test_completion_races.py
+++ b/tests/cluster/test_completion_races.py
@@ -12,7 +12,7 @@
 
 
 async def submit_again(sim: Simulation, node: int, spec: dict[str, Any]) -> None:
-    await sim.send(node, "POST", "/api/jobs", submission(spec), about=spec["ref"], repeat=True)
+    await sim.send(node, "POST", "/api/jobs", submission(spec), job_id=spec["ref"], repeat=True)
 
 
 @pytest.mark.parametrize("seconds_before", [0.5, 0.2, 0.05, 0.0, -0.05, -0.15, -0.4, -1.0])
--- a/tests/cluster/test_submission.py
+++ b/tests/cluster/test_submission.py
@@ -91,7 +91,7 @@
             at = trio.current_time()
             id = f"wk-{number:06d}"
             spec = sim.cloud.rules.specs[id]
-            assert (await sim.send(1, "POST", "/api/jobs", submission(spec), about=id))[0] == 201
+            assert (await sim.send(1, "POST", "/api/jobs", submission(spec), job_id=id))[0] == 201
             assert trio.current_time() - at < 1.0
         assigned = [bool(first_written_ranges(sim, f"wk-{n:06d}")) for n in range(10, 30)]
         assert all(assigned) == (cluster_leader == "heard")
--- a/tests/harness/simulation.py
+++ b/tests/harness/simulation.py
@@ -202,7 +202,7 @@
         path: str,
         body: object = None,
         *,
-        about: str,
+        job_id: str,
         repeat: bool = False,
     ) -> tuple[int, str]:
         """Send a user's request and have its answer checked; return status (0: none) and stage."""
@@ -215,10 +215,10 @@
         if answer.status in (200, 201):
             stage = json.loads(answer.body)["stage"]
         self.invariants.observe(
-            asked, trio.current_time(), about, answer.status, stage, repeat=repeat
+            asked, trio.current_time(), job_id, answer.status, stage, repeat=repeat
         )
         if self.probes_changes and stage:
-            self._probe_change(about, stage)
+            self._probe_change(job_id, stage)
         return answer.status, stage
 
     def _probe_change(self, id: str, stage: str) -> None:
@@ -241,15 +241,15 @@
         await self.poll(id, node)
 
     async def _repeat_at(self, node: int, spec: dict[str, Any]) -> None:
-        about = spec["ref"]
-        await self.send(node, "POST", "/api/jobs", submission(spec), about=about, repeat=True)
+        job_id = spec["ref"]
+        await self.send(node, "POST", "/api/jobs", submission(spec), job_id=job_id, repeat=True)
 
     async def submit(self, spec: dict[str, Any]) -> None:
         """Submit a job as users do: again and again, at any node, until it is accepted."""
         self.cloud.rules.specs[spec["ref"]] = spec
         for turn in range(ATTEMPTS):
             status, _ = await self.send(
-                turn % 3, "POST", "/api/jobs", submission(spec), about=spec["ref"]
+                turn % 3, "POST", "/api/jobs", submission(spec), job_id=spec["ref"]
             )
             if status in (200, 201):
                 return
@@ -259,14 +259,14 @@
     async def cancel(self, id: str, first: int = 0) -> None:
         self.invariants.cancel_requested.add(id)
         for turn in range(first, first + ATTEMPTS):
-            status, _ = await self.send(turn % 3, "POST", f"/api/jobs/{id}/cancel", about=id)
+            status, _ = await self.send(turn % 3, "POST", f"/api/jobs/{id}/cancel", job_id=id)
             if status == 200:
                 return
             await trio.sleep(1.0)
         raise AssertionError(f"not cancelled: {id}")
 
     async def poll(self, id: str, node: int) -> str | None:
-        status, stage = await self.send(node, "GET", f"/api/jobs/{id}", about=id)
+        status, stage = await self.send(node, "GET", f"/api/jobs/{id}", job_id=id)
         return stage if status == 200 else None
 
     async def wait_until_known(self, ids: list[str], within: float) -> None:
--- a/tests/harness/workload.py
+++ b/tests/harness/workload.py
@@ -51,13 +51,13 @@
             roll = rng.random()
             if roll < 0.1 and spec["ref"] in sim.invariants.accepted:
                 await sim.send(
-                    node, "POST", "/api/jobs", submission(spec), about=spec["ref"], repeat=True
+                    node, "POST", "/api/jobs", submission(spec), job_id=spec["ref"], repeat=True
                 )
             elif roll < 0.15:
-                await sim.send(node, "GET", "/api/jobs/wk-999999", about="wk-999999")
+                await sim.send(node, "GET", "/api/jobs/wk-999999", job_id="wk-999999")
             elif roll < 0.2:
                 invalid = rng.choice(INVALID)
-                await sim.send(node, "POST", "/api/jobs", invalid, about="wk-888888")
+                await sim.send(node, "POST", "/api/jobs", invalid, job_id="wk-888888")
             else:
                 with trio.move_on_after(2.0):
                     await sim.poll(spec["ref"], node)
