--- a/tests/cluster/test_rolling_upgrade.py
+++ b/tests/cluster/test_rolling_upgrade.py
@@ -16,7 +16,7 @@
 from ..harness.earlier_version import EarlierVersion, original_controller
 from ..harness.services import RECOVERY_TIMEOUT_S, service
 from ..harness.simulation import NODES, TIMES, Simulation, job, run
-from ..harness.workload import CANCELLED, IDS, JOBS, users
+from ..harness.workload import CANCELLED, IDS, JOBS, simulate_users
 
 Fault = Callable[[Simulation], Awaitable[None]]
 
@@ -158,7 +158,7 @@
     specs = [*JOBS, *WIDE]
     for spec in specs:
         sim.nursery.start_soon(sim.submit, spec)
-    sim.nursery.start_soon(users, sim)
+    sim.nursery.start_soon(simulate_users, sim)
     await trio.sleep(5.0)
     assert KEY not in sim.state_store.items
     await replace_controllers(sim, fault)
@@ -324,7 +324,7 @@
         while KEY not in sim.state_store.items:
             await trio.sleep(0.1)
     gate_record = sim.state_store.items[KEY][0]
-    sim.nursery.start_soon(users, sim)
+    sim.nursery.start_soon(simulate_users, sim)
     lower_limits(sim)
     for back, during, jobs_then in (
         (False, jobs_forwards, jobs_after),
--- a/tests/cluster/test_services_under_faults.py
+++ b/tests/cluster/test_services_under_faults.py
@@ -24,7 +24,7 @@
 )
 from ..harness.services import RECOVERY_TIMEOUT_S, replicas_up, service
 from ..harness.simulation import TIMES, Simulation, job, run
-from ..harness.workload import CANCELLED, users
+from ..harness.workload import CANCELLED, simulate_users
 
 Fault = Callable[[Simulation], Awaitable[None]]
 
@@ -81,7 +81,7 @@
     """Run services beside other jobs, then a fault; after it all must be up again in time."""
     for spec in [*SERVICES, *OTHER_JOBS]:
         sim.nursery.start_soon(sim.submit, spec)
-    sim.nursery.start_soon(users, sim)
+    sim.nursery.start_soon(simulate_users, sim)
     await trio.sleep(8)
     await fault(sim)
     sim.state_store.refused_callers.clear()
--- a/tests/harness/scenario_day.py
+++ b/tests/harness/scenario_day.py
@@ -6,7 +6,7 @@
 
 from .fault_scenarios import Scenario
 from .simulation import TIMES, Simulation
-from .workload import CANCELLED, IDS, JOBS, users
+from .workload import CANCELLED, IDS, JOBS, simulate_users
 
 CALM_S = 200  # in which every job must come to its end
 
@@ -19,7 +19,7 @@
     sim.probes_changes = True
     for spec in JOBS:
         sim.nursery.start_soon(sim.submit, spec)
-    sim.nursery.start_soon(users, sim)
+    sim.nursery.start_soon(simulate_users, sim)
     await trio.sleep(after)
     await scenario(sim)
     sim.state_store.refused_callers.clear()
--- a/tests/harness/workload.py
+++ b/tests/harness/workload.py
@@ -42,7 +42,7 @@
 ]
 
 
-async def users(sim: Simulation) -> None:
+async def simulate_users(sim: Simulation) -> None:
     """Poll every job; now and then repeat one, ask for an unknown one, submit an invalid one."""
     rng = random.Random(7)
     while True:
