--- a/tests/harness/simulation.py
+++ b/tests/harness/simulation.py
@@ -48,7 +48,7 @@
 PROBES = 3  # at each node, after each change that a user sees
 PROBE_PAUSE_S = 0.004
 ATTEMPTS = 120  # of a user, one a second
-TYPES: dict[str, dict[str, Any]] = {
+MACHINE_TYPES: dict[str, dict[str, Any]] = {
     "big": {
         "vcpus": 8.0,
         "memGb": 32.0,
@@ -148,7 +148,7 @@
         self.cloud = World(
             self.network,
             controllers,
-            TYPES,
+            MACHINE_TYPES,
             times,
             seed=seed,
         )
--- a/tests/harness/test_invariants.py
+++ b/tests/harness/test_invariants.py
@@ -14,7 +14,7 @@
 from standins.rules import Rules
 
 from .invariants import InvariantChecker
-from .simulation import TYPES, job
+from .simulation import MACHINE_TYPES, job
 
 
 def agent(name: str, zone: str = "a", *, spot: bool = False, type: str = "big") -> Agent:
@@ -134,7 +134,7 @@
 
 async def startable_job_waits(invariants: InvariantChecker) -> None:
     accepted(invariants, rows=1)
-    cloud: Any = SimpleNamespace(types=TYPES, agents={"i-1": agent("i-1")})
+    cloud: Any = SimpleNamespace(types=MACHINE_TYPES, agents={"i-1": agent("i-1")})
     invariants.check_startable_jobs_start(0.0, cloud)
     invariants.check_startable_jobs_start(91.0, cloud)
 
@@ -189,7 +189,7 @@
         invariants = InvariantChecker(rules)
         id = accepted(invariants, rows=2, crew="tight")
         start(invariants, 0, agent("i-1"))
-        cloud: Any = SimpleNamespace(types=TYPES, agents={"i-1": agent("i-1")})
+        cloud: Any = SimpleNamespace(types=MACHINE_TYPES, agents={"i-1": agent("i-1")})
         invariants.check_startable_jobs_start(0.0, cloud)
         invariants.check_startable_jobs_start(91.0, cloud)
         rules.done |= {f"{id}/0", f"{id}/1"}
