--- a/tests/harness/simulation.py
+++ b/tests/harness/simulation.py
@@ -45,7 +45,7 @@
     ),
 }
 SESSION_TTL_S = TIMES.lease_s / 4  # of a controller's session lease in the state store
-PROBES = 3  # at each node, after each change that a user sees
+PROBES_PER_NODE = 3  # at each node, after each change that a user sees
 PROBE_PAUSE_S = 0.004
 ATTEMPTS = 120  # of a user, one a second
 MACHINE_TYPES: dict[str, dict[str, Any]] = {
@@ -230,7 +230,7 @@
             return
         self._probed.add((id, stage))
         spec = self.cloud.rules.specs[id]
-        for turn in range(PROBES):
+        for turn in range(PROBES_PER_NODE):
             for node in range(len(NODES)):
                 self.nursery.start_soon(self._poll_after, turn * PROBE_PAUSE_S, id, node)
         for node in range(len(NODES)):
