--- a/tests/harness/simulation.py
+++ b/tests/harness/simulation.py
@@ -47,7 +47,7 @@
 SESSION_TTL_S = TIMES.lease_s / 4  # of a controller's session lease in the state store
 PROBES_PER_NODE = 3  # at each node, after each change that a user sees
 PROBE_PAUSE_S = 0.004
-ATTEMPTS = 120  # of a user, one a second
+MAX_ATTEMPTS = 120  # of a user, one a second
 MACHINE_TYPES: dict[str, dict[str, Any]] = {
     "big": {
         "vcpus": 8.0,
@@ -247,7 +247,7 @@
     async def submit(self, spec: dict[str, Any]) -> None:
         """Submit a job as users do: again and again, at any node, until it is accepted."""
         self.cloud.rules.specs[spec["ref"]] = spec
-        for turn in range(ATTEMPTS):
+        for turn in range(MAX_ATTEMPTS):
             status, _ = await self.send(
                 turn % 3, "POST", "/api/jobs", submission(spec), job_id=spec["ref"]
             )
@@ -258,7 +258,7 @@
 
     async def cancel(self, id: str, first: int = 0) -> None:
         self.invariants.cancel_requested.add(id)
-        for turn in range(first, first + ATTEMPTS):
+        for turn in range(first, first + MAX_ATTEMPTS):
             status, _ = await self.send(turn % 3, "POST", f"/api/jobs/{id}/cancel", job_id=id)
             if status == 200:
                 return
