--- a/tests/harness/simulation.py
+++ b/tests/harness/simulation.py
@@ -155,7 +155,7 @@
         self.cloud.rules.limits = {team.name: team.cpus_max for team in self.teams}
         self.network.hosts[("10.2.0.1", 2379)] = ("state", self.state_store.handle)
         self.network.hosts[("10.2.0.2", 8443)] = ("cloud", self.cloud.handle)
-        self.scopes: dict[str, trio.CancelScope] = {}
+        self.cancel_scopes: dict[str, trio.CancelScope] = {}
         self.controllers: dict[str, Any] = {}  # a Controller, or an earlier version's
         self.nursery: trio.Nursery
         self.invariants = InvariantChecker(self.cloud.rules)
@@ -168,7 +168,7 @@
     async def _node(self, name: str) -> None:
         HERE.set(name)
         with trio.CancelScope() as scope:
-            self.scopes[name] = scope
+            self.cancel_scopes[name] = scope
             config = settings(name, self.times, self.teams, self.state_limits)
             controller: Any
             if name in self.earlier_nodes and self.earlier is not None:
@@ -189,7 +189,7 @@
     def kill(self, *names: str) -> None:
         for name in names or NODES:
             self.network.crashed.add(name)
-            self.scopes[name].cancel()
+            self.cancel_scopes[name].cancel()
 
     async def call(self, node: int, method: str, path: str, body: object = None) -> Response:
         data = json.dumps(body).encode() if body is not None else b""
