--- a/tests/harness/simulation.py
+++ b/tests/harness/simulation.py
@@ -163,9 +163,9 @@
         self.earlier: EarlierVersion | None = None  # an earlier version, if a test uses one
         self.earlier_nodes: set[str] = set()  # nodes that start with it
         self.probes_changes = False  # users ask at all nodes at once after each change they see
-        self._probed: set[tuple[str, str]] = set()
+        self._probed_stages: set[tuple[str, str]] = set()
 
-    async def _node(self, name: str) -> None:
+    async def _run_controller(self, name: str) -> None:
         HERE.set(name)
         with trio.CancelScope() as scope:
             self.cancel_scopes[name] = scope
@@ -184,7 +184,7 @@
             for address in [a for a, (n, _) in self.network.hosts.items() if n == name]:
                 del self.network.hosts[address]
             self.network.crashed.discard(name)
-            self.nursery.start_soon(self._node, name)
+            self.nursery.start_soon(self._run_controller, name)
 
     def kill(self, *names: str) -> None:
         for name in names or NODES:
@@ -226,21 +226,21 @@
 
         All within milliseconds of the first answer with that stage; none may give an older one.
         """
-        if (id, stage) in self._probed:
+        if (id, stage) in self._probed_stages:
             return
-        self._probed.add((id, stage))
+        self._probed_stages.add((id, stage))
         spec = self.cloud.rules.specs[id]
         for turn in range(PROBES_PER_NODE):
             for node in range(len(NODES)):
                 self.nursery.start_soon(self._poll_after, turn * PROBE_PAUSE_S, id, node)
         for node in range(len(NODES)):
-            self.nursery.start_soon(self._repeat_at, node, spec)
+            self.nursery.start_soon(self._repeat_submission, node, spec)
 
     async def _poll_after(self, seconds: float, id: str, node: int) -> None:
         await trio.sleep(seconds)
         await self.poll(id, node)
 
-    async def _repeat_at(self, node: int, spec: dict[str, Any]) -> None:
+    async def _repeat_submission(self, node: int, spec: dict[str, Any]) -> None:
         job_id = spec["ref"]
         await self.send(node, "POST", "/api/jobs", submission(spec), job_id=job_id, repeat=True)
 
