--- a/tests/harness/scenario_day.py
+++ b/tests/harness/scenario_day.py
@@ -8,7 +8,7 @@
 from .simulation import TIMES, Simulation
 from .workload import CANCELLED, IDS, JOBS, simulate_users
 
-CALM_S = 200  # in which every job must come to its end
+MAX_RECOVERY_S = 200  # in which every job must come to its end
 
 
 async def run_scenario_day(sim: Simulation, scenario: Scenario, after: float) -> None:
@@ -31,7 +31,7 @@
     for id in CANCELLED:
         if id not in sim.invariants.cancel_requested:
             sim.nursery.start_soon(sim.cancel, id)
-    while trio.current_time() - calm_since < CALM_S:
+    while trio.current_time() - calm_since < MAX_RECOVERY_S:
         await trio.sleep(1.0)
         now = trio.current_time()
         sim.invariants.check_jobs_answer(now, calm_since)
