--- a/tests/harness/invariants.py
+++ b/tests/harness/invariants.py
@@ -22,7 +22,7 @@
         self.rules = rules
         self.accepted: dict[str, float] = {}  # job -> when its user got the first answer
         self.final_stages: dict[str, str] = {}
-        self.final_at: dict[str, float] = {}
+        self.finished_at: dict[str, float] = {}
         self.cancel_requested: set[str] = set()
         self.last_answered: dict[str, float] = {}  # by job
         self.startable_since: dict[str, float] = {}  # by job that waits although it could start
@@ -49,13 +49,13 @@
             return
         self.accepted.setdefault(id, now)
         before = self.final_stages.get(id)
-        if before is not None and stage != before and self.final_at[id] < asked:
+        if before is not None and stage != before and self.finished_at[id] < asked:
             self.violations.append(f"went_back {id}: {before}, then {stage}")
         if stage == "withdrawn" and id not in self.cancel_requested:
             self.violations.append(f"went_back {id}: not cancelled by its user")
         if stage in FINAL_STAGES:
             self.final_stages.setdefault(id, stage)
-            self.final_at.setdefault(id, now)
+            self.finished_at.setdefault(id, now)
         if stage == "withdrawn":
             self.rules.cancelled.setdefault(id, now)
         if stage == "done" and self.rules.specs[id]["cut"] == "standing":
