--- a/tests/harness/invariants.py
+++ b/tests/harness/invariants.py
@@ -24,7 +24,7 @@
         self.final_stages: dict[str, str] = {}
         self.finished_at: dict[str, float] = {}
         self.cancel_requested: set[str] = set()
-        self.last_answered: dict[str, float] = {}  # by job
+        self.last_answered_at: dict[str, float] = {}  # by job
         self.startable_since: dict[str, float] = {}  # by job that waits although it could start
         self.missing_since: dict[str, float] = {}  # by replica that isn't on a machine
         self.violations: list[str] = []
@@ -43,7 +43,7 @@
             self.violations.append(f"forgotten {id}: {status} to a repeat")
         if status not in (200, 201):
             return
-        self.last_answered[id] = now
+        self.last_answered_at[id] = now
         if id not in self.rules.specs:
             self.violations.append(f"invented {id}")
             return
@@ -69,7 +69,7 @@
     def check_jobs_answer(self, now: float, calm_since: float, limit: float = 75.0) -> None:
         """Check that every job was answered for within the limit, without faults since then."""
         for id in self.accepted:
-            if now - max(calm_since, self.last_answered.get(id, calm_since)) > limit:
+            if now - max(calm_since, self.last_answered_at.get(id, calm_since)) > limit:
                 self.violations.append(f"forgotten {id}: no answer")
 
     def check_startable_jobs_start(self, now: float, cloud: World, limit: float = 90.0) -> None:
