--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,7 +7,7 @@
 import pytest
 
 from .harness.earlier_version import (
-    VERSION_0_6_0,
+    COMMIT_0_6_0,
     EarlierVersion,
     HistoryMissing,
     commit_in_production,
@@ -41,10 +41,10 @@
 @pytest.fixture(scope="session")
 def version_0_6_0(load_version: LoadVersion) -> EarlierVersion:
     """The first version with the feature gate."""
-    return load_version(VERSION_0_6_0)
+    return load_version(COMMIT_0_6_0)
 
 
 @pytest.fixture(scope="session", params=["0.5.1", "0.6.0"])
 def earlier(request: pytest.FixtureRequest, load_version: LoadVersion) -> EarlierVersion:
     """Each of the released versions in turn."""
-    return load_version(commit_in_production() if request.param == "0.5.1" else VERSION_0_6_0)
+    return load_version(commit_in_production() if request.param == "0.5.1" else COMMIT_0_6_0)
--- a/tests/harness/earlier_version.py
+++ b/tests/harness/earlier_version.py
@@ -21,7 +21,7 @@
 from standins.network import HERE, Network
 
 ROOT = Path(__file__).resolve().parent.parent.parent
-VERSION_0_6_0 = "4dbc4a62bb9624fbab8370e0e8fe46c94eccac3e"
+COMMIT_0_6_0 = "4dbc4a62bb9624fbab8370e0e8fe46c94eccac3e"
 
 
 class Renamed:
