--- a/tests/harness/earlier_version.py
+++ b/tests/harness/earlier_version.py
@@ -24,7 +24,7 @@
 COMMIT_0_6_0 = "4dbc4a62bb9624fbab8370e0e8fe46c94eccac3e"
 
 
-class Renamed:
+class AliasingProxy:
     """An object of an earlier version that answers to present names of its attributes."""
 
     def __init__(self, target: Any, **present: Any):
@@ -39,27 +39,27 @@
 
 def original_controller(controller: Any) -> Any:
     """A controller as its own version made it."""
-    return controller._target if isinstance(controller, Renamed) else controller
+    return controller._target if isinstance(controller, AliasingProxy) else controller
 
 
-def with_present_names(controller: Any) -> Renamed:
+def with_present_names(controller: Any) -> AliasingProxy:
     """A controller of 0.5.1 or 0.6.0 under the present tree's names."""
-    return Renamed(
+    return AliasingProxy(
         controller,
-        replica=Renamed(controller.replica, apply_committed="learn"),
+        replica=AliasingProxy(controller.replica, apply_committed="learn"),
         job_index="job_store",
-        membership=Renamed(
+        membership=AliasingProxy(
             controller.members,
             leader="owner",
             cluster_leader_token="leading",
-            session=Renamed(controller.members, own_record="_own_node"),
+            session=AliasingProxy(controller.members, own_record="_own_node"),
         ),
-        agents=Renamed(
+        agents=AliasingProxy(
             controller.workers,
-            records=Renamed(controller.workers.records, recorded_machines="of"),
+            records=AliasingProxy(controller.workers.records, recorded_machines="of"),
         ),
-        scheduler=Renamed(controller.split, quotas="teams"),
-        autoscaler=Renamed(controller.fleet, catalog="machine_types"),
+        scheduler=AliasingProxy(controller.split, quotas="teams"),
+        autoscaler=AliasingProxy(controller.fleet, catalog="machine_types"),
     )
 
 
