--- a/tests/harness/workload.py
+++ b/tests/harness/workload.py
@@ -30,7 +30,7 @@
 
 
 # What every controller must refuse: a field is missing, or the job can never run.
-INVALID: list[dict[str, Any]] = [
+INVALID_SUBMISSIONS: list[dict[str, Any]] = [
     *(
         {k: v for k, v in submission(job(888888)).items() if k != name}
         for name in ("crew", "rows", "vcpus", "cask", "oneZone", "ripenS")
@@ -56,7 +56,7 @@
             elif roll < 0.15:
                 await sim.send(node, "GET", "/api/jobs/wk-999999", job_id="wk-999999")
             elif roll < 0.2:
-                invalid = rng.choice(INVALID)
+                invalid = rng.choice(INVALID_SUBMISSIONS)
                 await sim.send(node, "POST", "/api/jobs", invalid, job_id="wk-888888")
             else:
                 with trio.move_on_after(2.0):
