--- a/tests/harness/invariants.py
+++ b/tests/harness/invariants.py
@@ -66,10 +66,10 @@
     def _done(self, id: str) -> int:
         return sum(1 for t in self.rules.done if job_of(t) == id)
 
-    def check_jobs_answer(self, now: float, calm_since: float, limit: float = 75.0) -> None:
+    def check_jobs_answer(self, now: float, faults_ended_at: float, limit: float = 75.0) -> None:
         """Check that every job was answered for within the limit, without faults since then."""
         for id in self.accepted:
-            if now - max(calm_since, self.last_answered_at.get(id, calm_since)) > limit:
+            if now - max(faults_ended_at, self.last_answered_at.get(id, faults_ended_at)) > limit:
                 self.violations.append(f"forgotten {id}: no answer")
 
     def check_startable_jobs_start(self, now: float, cloud: World, limit: float = 90.0) -> None:
@@ -85,7 +85,7 @@
                 self.violations.append(f"waits {id}")
                 self.startable_since[id] = now
 
-    def check_replicas_return(self, now: float, calm_since: float, limit: float) -> None:
+    def check_replicas_return(self, now: float, faults_ended_at: float, limit: float) -> None:
         """Check that no replica is missing that long, without faults since then."""
         for id in self.accepted:
             spec = self.rules.specs[id]
@@ -96,7 +96,7 @@
                 if task in self.rules.placements:
                     self.missing_since.pop(task, None)
                     continue
-                since = max(calm_since, self.missing_since.setdefault(task, now))
+                since = max(faults_ended_at, self.missing_since.setdefault(task, now))
                 if now - since > limit:
                     self.violations.append(f"down {task}")
 
--- a/tests/harness/scenario_day.py
+++ b/tests/harness/scenario_day.py
@@ -27,14 +27,14 @@
     sim.network.heal()
     for name in sorted(sim.network.crashed):
         sim.start(name)
-    calm_since = trio.current_time()
+    faults_ended_at = trio.current_time()
     for id in CANCELLED:
         if id not in sim.invariants.cancel_requested:
             sim.nursery.start_soon(sim.cancel, id)
-    while trio.current_time() - calm_since < MAX_RECOVERY_S:
+    while trio.current_time() - faults_ended_at < MAX_RECOVERY_S:
         await trio.sleep(1.0)
         now = trio.current_time()
-        sim.invariants.check_jobs_answer(now, calm_since)
+        sim.invariants.check_jobs_answer(now, faults_ended_at)
         sim.invariants.check_startable_jobs_start(now, sim.cloud)
         sim.check()
         if all(id in sim.final_stages for id in IDS):
