--- a/tests/harness/invariants.py
+++ b/tests/harness/invariants.py
@@ -38,30 +38,32 @@
         """
         accepted_before = self.accepted.get(id, now) < asked
         if status == 404 and accepted_before:
-            self.violations.append(f"forgotten {id}: 404")
+            self.violations.append(f"lost_job {id}: 404 after its acceptance")
         if repeat and status in (400, 422) and accepted_before:
-            self.violations.append(f"forgotten {id}: {status} to a repeat")
+            self.violations.append(f"lost_job {id}: {status} to a repeated submission")
         if status not in (200, 201):
             return
         self.last_answered_at[id] = now
         if id not in self.rules.specs:
-            self.violations.append(f"invented {id}")
+            self.violations.append(f"unknown_job {id}: no user submitted it")
             return
         self.accepted.setdefault(id, now)
         before = self.final_stages.get(id)
         if before is not None and stage != before and self.finished_at[id] < asked:
-            self.violations.append(f"went_back {id}: {before}, then {stage}")
+            self.violations.append(f"inconsistent_stage {id}: {before}, then {stage}")
         if stage == "withdrawn" and id not in self.cancel_requested:
-            self.violations.append(f"went_back {id}: not cancelled by its user")
+            self.violations.append(
+                f"inconsistent_stage {id}: withdrawn, but its user did not cancel it"
+            )
         if stage in FINAL_STAGES:
             self.final_stages.setdefault(id, stage)
             self.finished_at.setdefault(id, now)
         if stage == "withdrawn":
             self.rules.cancelled.setdefault(id, now)
         if stage == "done" and self.rules.specs[id]["cut"] == "standing":
-            self.violations.append(f"not_done {id}: a service")
+            self.violations.append(f"not_done {id}: a service is never done")
         if stage == "done" and self._done(id) < self.rules.specs[id]["rows"]:
-            self.violations.append(f"not_done {id}")
+            self.violations.append(f"not_done {id}: tasks are still unfinished")
 
     def _done(self, id: str) -> int:
         return sum(1 for t in self.rules.done if job_of(t) == id)
@@ -70,7 +72,7 @@
         """Check that every job was answered for within the limit, without faults since then."""
         for id in self.accepted:
             if now - max(faults_ended_at, self.last_answered_at.get(id, faults_ended_at)) > limit:
-                self.violations.append(f"forgotten {id}: no answer")
+                self.violations.append(f"lost_job {id}: no answer")
 
     def check_startable_jobs_start(self, now: float, cloud: World, limit: float = 90.0) -> None:
         """Check that no job waits that long while machines and its team's limit would take it."""
@@ -82,7 +84,7 @@
             if id in self.final_stages or not self._could_start(id, cloud, used):
                 self.startable_since.pop(id, None)
             elif now - self.startable_since.setdefault(id, now) > limit:
-                self.violations.append(f"waits {id}")
+                self.violations.append(f"starved {id}: pending although it could start")
                 self.startable_since[id] = now
 
     def check_replicas_return(self, now: float, faults_ended_at: float, limit: float) -> None:
@@ -98,7 +100,7 @@
                     continue
                 since = max(faults_ended_at, self.missing_since.setdefault(task, now))
                 if now - since > limit:
-                    self.violations.append(f"down {task}")
+                    self.violations.append(f"replica_missing {task}")
 
     def _could_start(self, id: str, cloud: World, used: dict[str, float]) -> bool:
         spec: dict[str, Any] = self.rules.specs[id]
--- a/tests/harness/test_invariants.py
+++ b/tests/harness/test_invariants.py
@@ -149,14 +149,14 @@
     (wrong_purchase_option, "wrong_place spot"),
     (ran_cancelled, "ran_cancelled"),
     (started_after_cancel, "ran_cancelled"),
-    (accepted_job_unknown, "forgotten"),
-    (accepted_job_refused_on_repeat, "forgotten"),
-    (job_without_answers, "forgotten"),
-    (job_never_submitted, "invented"),
+    (accepted_job_unknown, "lost_job"),
+    (accepted_job_refused_on_repeat, "lost_job"),
+    (job_without_answers, "lost_job"),
+    (job_never_submitted, "unknown_job"),
     (done_too_early, "not_done"),
-    (stage_went_back, "went_back"),
-    (cancelled_by_nobody, "went_back"),
-    (startable_job_waits, "waits"),
+    (stage_went_back, "inconsistent_stage"),
+    (cancelled_by_nobody, "inconsistent_stage"),
+    (startable_job_waits, "starved"),
 ]
 
 
