--- a/tests/harness/simulation.py
+++ b/tests/harness/simulation.py
@@ -181,7 +181,7 @@
     def start(self, *names: str) -> None:
         for name in names or NODES:
             # No one listens at its addresses until the new process does.
-            for address in [a for a, (n, _) in self.network.hosts.items() if n == name]:
+            for address in [a for a, (host, _) in self.network.hosts.items() if host == name]:
                 del self.network.hosts[address]
             self.network.crashed.discard(name)
             self.nursery.start_soon(self._run_controller, name)
@@ -206,7 +206,7 @@
         repeat: bool = False,
     ) -> tuple[int, str]:
         """Send a user's request and have its answer checked; return status (0: none) and stage."""
-        asked = trio.current_time()
+        asked_at = trio.current_time()
         try:
             answer = await self.call(node, method, path, body)
         except HttpError:
@@ -215,7 +215,7 @@
         if answer.status in (200, 201):
             stage = json.loads(answer.body)["stage"]
         self.invariants.observe(
-            asked, trio.current_time(), job_id, answer.status, stage, repeat=repeat
+            asked_at, trio.current_time(), job_id, answer.status, stage, repeat=repeat
         )
         if self.probes_changes and stage:
             self._probe_change(job_id, stage)
@@ -230,9 +230,9 @@
             return
         self._probed_stages.add((id, stage))
         spec = self.cloud.rules.specs[id]
-        for turn in range(PROBES_PER_NODE):
+        for probe in range(PROBES_PER_NODE):
             for node in range(len(NODES)):
-                self.nursery.start_soon(self._poll_after, turn * PROBE_PAUSE_S, id, node)
+                self.nursery.start_soon(self._poll_after, probe * PROBE_PAUSE_S, id, node)
         for node in range(len(NODES)):
             self.nursery.start_soon(self._repeat_submission, node, spec)
 
@@ -247,19 +247,19 @@
     async def submit(self, spec: dict[str, Any]) -> None:
         """Submit a job as users do: again and again, at any node, until it is accepted."""
         self.cloud.rules.specs[spec["ref"]] = spec
-        for turn in range(MAX_ATTEMPTS):
+        for attempt in range(MAX_ATTEMPTS):
             status, _ = await self.send(
-                turn % 3, "POST", "/api/jobs", submission(spec), job_id=spec["ref"]
+                attempt % 3, "POST", "/api/jobs", submission(spec), job_id=spec["ref"]
             )
             if status in (200, 201):
                 return
             await trio.sleep(1.0)
         raise AssertionError(f"not accepted: {spec['ref']}")
 
-    async def cancel(self, id: str, first: int = 0) -> None:
+    async def cancel(self, id: str, first_node: int = 0) -> None:
         self.invariants.cancel_requested.add(id)
-        for turn in range(first, first + MAX_ATTEMPTS):
-            status, _ = await self.send(turn % 3, "POST", f"/api/jobs/{id}/cancel", job_id=id)
+        for attempt in range(first_node, first_node + MAX_ATTEMPTS):
+            status, _ = await self.send(attempt % 3, "POST", f"/api/jobs/{id}/cancel", job_id=id)
             if status == 200:
                 return
             await trio.sleep(1.0)
@@ -271,9 +271,9 @@
 
     async def wait_until_known(self, ids: list[str], within: float) -> None:
         """Poll until every node answers for every job, as they must without faults."""
-        end = trio.current_time() + within
+        deadline = trio.current_time() + within
         missing = {(id, node) for id in ids for node in range(len(NODES))}
-        while missing and trio.current_time() < end:
+        while missing and trio.current_time() < deadline:
             for id, node in sorted(missing):
                 if await self.poll(id, node) is not None:
                     missing.discard((id, node))
@@ -282,16 +282,16 @@
 
     async def wait_until_finished(self, ids: list[str], limit: float = 240.0) -> None:
         """Poll until every job is over; then check that it stays so at every node."""
-        end = trio.current_time() + limit
-        turn = 0
-        while trio.current_time() < end:
-            turn += 1
-            states = [await self.poll(id, turn % 3) for id in ids]
-            if all(s in ("done", "withdrawn") for s in states):
+        deadline = trio.current_time() + limit
+        round_number = 0
+        while trio.current_time() < deadline:
+            round_number += 1
+            stages = [await self.poll(id, round_number % 3) for id in ids]
+            if all(stage in ("done", "withdrawn") for stage in stages):
                 break
             await trio.sleep(1.0)
         else:
-            raise AssertionError(f"still open: {[i for i in ids if i not in self.final_stages]}")
+            raise AssertionError(f"still open: {[id for id in ids if id not in self.final_stages]}")
         for node in range(3):
             for id in ids:
                 await self.poll(id, node)
