--- a/tests/harness/simulation.py
+++ b/tests/harness/simulation.py
@@ -1,4 +1,7 @@
-"""A simulated cluster: three controllers against the stand-ins, on trio's mock clock."""
+"""A simulated cluster on trio's mock clock: three controllers and the services around them.
+
+The cloud, the agents, the state store and the network are the ones of `standins`.
+"""
 
 from __future__ import annotations
 
@@ -36,7 +39,8 @@
 
 NODES = ["n0", "n1", "n2"]
 TIMES = AgentTimes(report_s=1.0, lease_s=10.0, gang_wait_s=12.0, gang_peer_s=3.0, cancel_s=25.0)
-DEPLOYMENT_TIMES = {  # the two real deployments
+# The agent times of the two production deployments.
+DEPLOYMENT_TIMES = {
     "brda": AgentTimes(
         report_s=2.5, lease_s=15.25, gang_wait_s=40.0, gang_peer_s=6.0, cancel_s=40.25
     ),
@@ -44,10 +48,13 @@
         report_s=3.0, lease_s=20.0, gang_wait_s=40.0, gang_peer_s=6.0, cancel_s=40.0
     ),
 }
-SESSION_TTL_S = TIMES.lease_s / 4  # of a controller's session lease in the state store
-PROBES_PER_NODE = 3  # at each node, after each change that a user sees
+# TTL of a controller's session lease in the state store.
+SESSION_TTL_S = TIMES.lease_s / 4
+# Status requests sent to each node after a user receives a stage for the first time.
+PROBES_PER_NODE = 3
 PROBE_PAUSE_S = 0.004
-MAX_ATTEMPTS = 120  # of a user, one a second
+# Requests that a user sends, one a second, before a submission or cancellation fails the test.
+MAX_ATTEMPTS = 120
 MACHINE_TYPES: dict[str, dict[str, Any]] = {
     "big": {
         "vcpus": 8.0,
@@ -122,15 +129,18 @@
 
 
 def submission(spec: dict[str, Any]) -> dict[str, Any]:
-    """Return what a user submits of a job: how its tasks really run is known to agents only."""
+    """Return a job's fields without those that say how its tasks really run.
+
+    Users don't submit these fields; only the simulated agents read them.
+    """
     return {k: v for k, v in spec.items() if not k.startswith("real") and k != "broken"}
 
 
 class Simulation:
-    """A cluster, what surrounds it, and the users who call it.
+    """A cluster, the services that it depends on, and the users who call it.
 
-    `run` makes one and passes it to a test; faults are brought about in `network`,
-    `state_store` and `cloud`, and `invariants` judges every answer that users get.
+    `run` creates one and passes it to a test. Tests inject faults through `network`,
+    `state_store` and `cloud`; `invariants` checks every answer that users receive.
     """
 
     def __init__(
@@ -138,8 +148,9 @@
     ) -> None:
         self.times = times
         self.teams = TEAMS if teams is None else teams
-        self.state_limits = STATE_LIMITS  # in force from each start on, as the policy
-        self.policy_text = ""  # what operators set, in force from each start on
+        # The state store's limits and the operators' policy; a controller reads both at its start.
+        self.state_limits = STATE_LIMITS
+        self.policy_text = ""
         self.network = Network(seed)
         self.state_store = StateStore()
         controllers = [
@@ -156,13 +167,14 @@
         self.network.hosts[("10.2.0.1", 2379)] = ("state", self.state_store.handle)
         self.network.hosts[("10.2.0.2", 8443)] = ("cloud", self.cloud.handle)
         self.cancel_scopes: dict[str, trio.CancelScope] = {}
-        self.controllers: dict[str, Any] = {}  # a Controller, or an earlier version's
+        self.controllers: dict[str, Any] = {}  # of the present or an earlier version
         self.nursery: trio.Nursery
         self.invariants = InvariantChecker(self.cloud.rules)
         self.final_stages = self.invariants.final_stages
-        self.earlier: EarlierVersion | None = None  # an earlier version, if a test uses one
-        self.earlier_nodes: set[str] = set()  # nodes that start with it
-        self.probes_changes = False  # users ask at all nodes at once after each change they see
+        self.earlier: EarlierVersion | None = None  # set if the test runs an earlier version
+        self.earlier_nodes: set[str] = set()  # nodes that run `earlier` from their next start on
+        # Whether users request a job's status from all nodes as soon as they receive a new stage.
+        self.probes_changes = False
         self._probed_stages: set[tuple[str, str]] = set()
 
     async def _run_controller(self, name: str) -> None:
@@ -179,19 +191,22 @@
             await controller.run()
 
     def start(self, *names: str) -> None:
+        """Start controllers by name, or all of them if no name is given."""
         for name in names or NODES:
-            # No one listens at its addresses until the new process does.
+            # Connections to the node are refused until its new process listens.
             for address in [a for a, (host, _) in self.network.hosts.items() if host == name]:
                 del self.network.hosts[address]
             self.network.crashed.discard(name)
             self.nursery.start_soon(self._run_controller, name)
 
     def kill(self, *names: str) -> None:
+        """Crash controllers by name, or all of them if no name is given."""
         for name in names or NODES:
             self.network.crashed.add(name)
             self.cancel_scopes[name].cancel()
 
     async def call(self, node: int, method: str, path: str, body: object = None) -> Response:
+        """Send a request to a node without checking the answer; raises HttpError."""
         data = json.dumps(body).encode() if body is not None else b""
         return await self.network.call((f"10.0.0.{node}", 8080), method, path, data, timeout=5.0)
 
@@ -205,7 +220,10 @@
         job_id: str,
         repeat: bool = False,
     ) -> tuple[int, str]:
-        """Send a user's request and have its answer checked; return status (0: none) and stage."""
+        """Send a user's request, check the answer, and return its status and stage.
+
+        The status is 0 if no answer arrives; the stage is empty unless the status is 200 or 201.
+        """
         asked_at = trio.current_time()
         try:
             answer = await self.call(node, method, path, body)
@@ -222,9 +240,10 @@
         return answer.status, stage
 
     def _probe_change(self, id: str, stage: str) -> None:
-        """Ask at all nodes again and again, and repeat the submission, when a stage is new.
+        """Poll a job at all nodes, and repeat its submission, if the stage is new to its user.
 
-        All within milliseconds of the first answer with that stage; none may give an older one.
+        The requests follow the first answer with that stage within milliseconds; no node may
+        answer with an older stage.
         """
         if (id, stage) in self._probed_stages:
             return
@@ -245,7 +264,7 @@
         await self.send(node, "POST", "/api/jobs", submission(spec), job_id=job_id, repeat=True)
 
     async def submit(self, spec: dict[str, Any]) -> None:
-        """Submit a job as users do: again and again, at any node, until it is accepted."""
+        """Submit a job to one node after another until it is accepted."""
         self.cloud.rules.specs[spec["ref"]] = spec
         for attempt in range(MAX_ATTEMPTS):
             status, _ = await self.send(
@@ -254,23 +273,25 @@
             if status in (200, 201):
                 return
             await trio.sleep(1.0)
-        raise AssertionError(f"not accepted: {spec['ref']}")
+        raise AssertionError(f"job {spec['ref']} was not accepted in {MAX_ATTEMPTS} attempts")
 
     async def cancel(self, id: str, first_node: int = 0) -> None:
+        """Cancel a job at one node after another, from `first_node` on, until one accepts it."""
         self.invariants.cancel_requested.add(id)
         for attempt in range(first_node, first_node + MAX_ATTEMPTS):
             status, _ = await self.send(attempt % 3, "POST", f"/api/jobs/{id}/cancel", job_id=id)
             if status == 200:
                 return
             await trio.sleep(1.0)
-        raise AssertionError(f"not cancelled: {id}")
+        raise AssertionError(f"job {id} was not cancelled in {MAX_ATTEMPTS} attempts")
 
     async def poll(self, id: str, node: int) -> str | None:
+        """Return a job's stage according to a node, or None without a successful answer."""
         status, stage = await self.send(node, "GET", f"/api/jobs/{id}", job_id=id)
         return stage if status == 200 else None
 
     async def wait_until_known(self, ids: list[str], within: float) -> None:
-        """Poll until every node answers for every job, as they must without faults."""
+        """Poll until every node answers for every job, as each must without faults."""
         deadline = trio.current_time() + within
         missing = {(id, node) for id in ids for node in range(len(NODES))}
         while missing and trio.current_time() < deadline:
@@ -278,10 +299,15 @@
                 if await self.poll(id, node) is not None:
                     missing.discard((id, node))
             await trio.sleep(0.5)
-        assert not missing, f"no answer for {sorted(missing)}"
+        assert not missing, (
+            f"jobs that nodes did not answer for within {within} s: {sorted(missing)}"
+        )
 
     async def wait_until_finished(self, ids: list[str], limit: float = 240.0) -> None:
-        """Poll until every job is over; then check that it stays so at every node."""
+        """Poll until every job is done or withdrawn; then check the answers of every node.
+
+        Raises AssertionError if a job is unfinished after `limit` seconds.
+        """
         deadline = trio.current_time() + limit
         round_number = 0
         while trio.current_time() < deadline:
@@ -291,13 +317,16 @@
                 break
             await trio.sleep(1.0)
         else:
-            raise AssertionError(f"still open: {[id for id in ids if id not in self.final_stages]}")
+            raise AssertionError(
+                f"unfinished after {limit} s: {[id for id in ids if id not in self.final_stages]}"
+            )
         for node in range(3):
             for id in ids:
                 await self.poll(id, node)
         self.check()
 
     def check(self) -> None:
+        """Fail if an invariant has been violated so far."""
         self.invariants.check()
 
 
@@ -310,9 +339,9 @@
     earlier: EarlierVersion | None = None,
     state: StateLimits = STATE_LIMITS,
 ) -> Simulation:
-    """Run `await body(sim)` on a mock clock, with all controllers and four machines up.
+    """Run `await body(sim)` on a mock clock, with all controllers and four machines running.
 
-    With an `earlier` version, all nodes start with that.
+    If an `earlier` version is given, all nodes start with it.
     """
     sim = Simulation(seed, times, teams)
     sim.state_limits = state
