--- a/tests/harness/invariants.py
+++ b/tests/harness/invariants.py
@@ -30,43 +30,50 @@
         self.violations: list[str] = []
 
     def observe(
-        self, asked: float, now: float, id: str, status: int, stage: str, *, repeat: bool = False
+        self,
+        asked_at: float,
+        answered_at: float,
+        id: str,
+        status: int,
+        stage: str,
+        *,
+        repeat: bool = False,
     ) -> None:
         """Check an answer that a user got to a request, against all earlier answers.
 
         An answer may be older than another one only if it was asked for before that one came.
         """
-        accepted_before = self.accepted.get(id, now) < asked
-        if status == 404 and accepted_before:
+        was_accepted = self.accepted.get(id, answered_at) < asked_at
+        if status == 404 and was_accepted:
             self.violations.append(f"lost_job {id}: 404 after its acceptance")
-        if repeat and status in (400, 422) and accepted_before:
+        if repeat and status in (400, 422) and was_accepted:
             self.violations.append(f"lost_job {id}: {status} to a repeated submission")
         if status not in (200, 201):
             return
-        self.last_answered_at[id] = now
+        self.last_answered_at[id] = answered_at
         if id not in self.rules.specs:
             self.violations.append(f"unknown_job {id}: no user submitted it")
             return
-        self.accepted.setdefault(id, now)
-        before = self.final_stages.get(id)
-        if before is not None and stage != before and self.finished_at[id] < asked:
-            self.violations.append(f"inconsistent_stage {id}: {before}, then {stage}")
+        self.accepted.setdefault(id, answered_at)
+        earlier_stage = self.final_stages.get(id)
+        if earlier_stage is not None and stage != earlier_stage and self.finished_at[id] < asked_at:
+            self.violations.append(f"inconsistent_stage {id}: {earlier_stage}, then {stage}")
         if stage == "withdrawn" and id not in self.cancel_requested:
             self.violations.append(
                 f"inconsistent_stage {id}: withdrawn, but its user did not cancel it"
             )
         if stage in FINAL_STAGES:
             self.final_stages.setdefault(id, stage)
-            self.finished_at.setdefault(id, now)
+            self.finished_at.setdefault(id, answered_at)
         if stage == "withdrawn":
-            self.rules.cancelled.setdefault(id, now)
+            self.rules.cancelled.setdefault(id, answered_at)
         if stage == "done" and self.rules.specs[id]["cut"] == "standing":
             self.violations.append(f"not_done {id}: a service is never done")
-        if stage == "done" and self._done(id) < self.rules.specs[id]["rows"]:
+        if stage == "done" and self._count_done(id) < self.rules.specs[id]["rows"]:
             self.violations.append(f"not_done {id}: tasks are still unfinished")
 
-    def _done(self, id: str) -> int:
-        return sum(1 for t in self.rules.done if job_of(t) == id)
+    def _count_done(self, id: str) -> int:
+        return sum(1 for task in self.rules.done if job_of(task) == id)
 
     def check_jobs_answer(self, now: float, faults_ended_at: float, limit: float = 75.0) -> None:
         """Check that every job was answered for within the limit, without faults since then."""
@@ -98,26 +105,26 @@
                 if task in self.rules.placements:
                     self.missing_since.pop(task, None)
                     continue
-                since = max(faults_ended_at, self.missing_since.setdefault(task, now))
-                if now - since > limit:
+                missing_from = max(faults_ended_at, self.missing_since.setdefault(task, now))
+                if now - missing_from > limit:
                     self.violations.append(f"replica_missing {task}")
 
     def _could_start(self, id: str, cloud: World, used: dict[str, float]) -> bool:
         spec: dict[str, Any] = self.rules.specs[id]
-        placed = {t for t in self.rules.placements if job_of(t) == id}
-        if self._done(id) + len(placed) >= spec["rows"]:
+        placed = {task for task in self.rules.placements if job_of(task) == id}
+        if self._count_done(id) + len(placed) >= spec["rows"]:
             return False
         gang = spec["cut"] == "gang"
         if gang and placed:
             return False
         limit = self.rules.limits.get(spec["crew"], 0.0)
-        at_once = spec["rows"] if gang else 1
-        if limit and used.get(spec["crew"], 0.0) + at_once * spec["vcpus"] > limit + TOLERANCE:
+        min_tasks = spec["rows"] if gang else 1
+        if limit and used.get(spec["crew"], 0.0) + min_tasks * spec["vcpus"] > limit + TOLERANCE:
             return False
         free_slots = self._free_slots(spec, cloud, placed)
         if spec["oneZone"]:
-            return max(free_slots.values(), default=0) >= at_once
-        return sum(free_slots.values()) >= at_once
+            return max(free_slots.values(), default=0) >= min_tasks
+        return sum(free_slots.values()) >= min_tasks
 
     def _free_slots(self, spec: dict[str, Any], cloud: World, placed: set[str]) -> dict[str, int]:
         """Return by zone how many more tasks of a job the machines could take."""
@@ -137,10 +144,10 @@
             slots = int((agent.free_cpus() + TOLERANCE) / spec["vcpus"])
             free_slots[agent.zone] = free_slots.get(agent.zone, 0) + slots
         if spec["spread"]:
-            most = (spec["rows"] + 1) // 2
+            max_per_zone = (spec["rows"] + 1) // 2
             for zone in free_slots:
-                here = sum(1 for task in placed if self.rules.placements[task].zone == zone)
-                free_slots[zone] = min(free_slots[zone], most - here)
+                in_zone = sum(1 for task in placed if self.rules.placements[task].zone == zone)
+                free_slots[zone] = min(free_slots[zone], max_per_zone - in_zone)
         return free_slots
 
     def check(self) -> None:
