--- a/tests/harness/invariants.py
+++ b/tests/harness/invariants.py
@@ -1,8 +1,8 @@
-"""The invariants on answers and on waiting, as users and agents see them.
+"""Invariants on the answers to users and on the waiting time of jobs and replicas.
 
-Placements, limits, zones and cancellations are checked at each start and ten times a second by
-`standins.rules.Rules`. Here it is checked that answers never contradict earlier ones, and that
-no job or replica waits although it could run.
+No answer may contradict an earlier one, and no job or replica may wait although it could run.
+`standins.rules.Rules` checks placements, limits, zones and cancellations, at each start of a task
+and ten times a second.
 """
 
 from __future__ import annotations
@@ -16,17 +16,19 @@
 
 
 class InvariantChecker:
-    """Collects violations of the invariants, from users' answers and the state of the agents."""
+    """Collects violations of the invariants from the answers to users and the agents' tasks."""
 
     def __init__(self, rules: Rules) -> None:
         self.rules = rules
-        self.accepted: dict[str, float] = {}  # job -> when its user got the first answer
+        # By job id; times are in seconds of the simulation's clock.
+        self.accepted: dict[str, float] = {}  # time of the first successful answer
         self.final_stages: dict[str, str] = {}
         self.finished_at: dict[str, float] = {}
         self.cancel_requested: set[str] = set()
-        self.last_answered_at: dict[str, float] = {}  # by job
-        self.startable_since: dict[str, float] = {}  # by job that waits although it could start
-        self.missing_since: dict[str, float] = {}  # by replica that isn't on a machine
+        self.last_answered_at: dict[str, float] = {}
+        self.startable_since: dict[str, float] = {}  # jobs that wait although they could start
+        # By task name: replicas that no machine runs.
+        self.missing_since: dict[str, float] = {}
         self.violations: list[str] = []
 
     def observe(
@@ -39,9 +41,10 @@
         *,
         repeat: bool = False,
     ) -> None:
-        """Check an answer that a user got to a request, against all earlier answers.
+        """Check the answer to a user's request against all earlier answers.
 
-        An answer may be older than another one only if it was asked for before that one came.
+        An answer may show an older state than another one only if it was requested before the
+        other one arrived.
         """
         was_accepted = self.accepted.get(id, answered_at) < asked_at
         if status == 404 and was_accepted:
@@ -76,13 +79,19 @@
         return sum(1 for task in self.rules.done if job_of(task) == id)
 
     def check_jobs_answer(self, now: float, faults_ended_at: float, limit: float = 75.0) -> None:
-        """Check that every job was answered for within the limit, without faults since then."""
+        """Check that each accepted job had a successful answer in the last `limit` seconds.
+
+        Time before the end of the last fault doesn't count.
+        """
         for id in self.accepted:
             if now - max(faults_ended_at, self.last_answered_at.get(id, faults_ended_at)) > limit:
                 self.violations.append(f"lost_job {id}: no answer")
 
     def check_startable_jobs_start(self, now: float, cloud: World, limit: float = 90.0) -> None:
-        """Check that no job waits that long while machines and its team's limit would take it."""
+        """Check that no job waits longer than `limit` seconds while it could start.
+
+        A job could start if machines have room for it and its team's limit allows it.
+        """
         used: dict[str, float] = {}
         for task in self.rules.placements:
             spec = self.rules.specs[job_of(task)]
@@ -95,7 +104,10 @@
                 self.startable_since[id] = now
 
     def check_replicas_return(self, now: float, faults_ended_at: float, limit: float) -> None:
-        """Check that no replica is missing that long, without faults since then."""
+        """Check that no service replica has been missing for longer than `limit` seconds.
+
+        Time before the end of the last fault doesn't count.
+        """
         for id in self.accepted:
             spec = self.rules.specs[id]
             if spec["cut"] != "standing" or id in self.cancel_requested:
@@ -127,7 +139,7 @@
         return sum(free_slots.values()) >= min_tasks
 
     def _free_slots(self, spec: dict[str, Any], cloud: World, placed: set[str]) -> dict[str, int]:
-        """Return by zone how many more tasks of a job the machines could take."""
+        """Return by zone how many more tasks of a job the machines have room for."""
         zones = {self.rules.placements[task].zone for task in placed}
         free_slots: dict[str, int] = {}
         for agent in cloud.agents.values():
@@ -151,6 +163,7 @@
         return free_slots
 
     def check(self) -> None:
+        """Fail if an invariant or a rule on placements has been violated."""
         self.rules.check()
         assert not self.rules.violations, self.rules.violations
         assert not self.violations, self.violations
--- a/tests/harness/test_invariants.py
+++ b/tests/harness/test_invariants.py
@@ -1,4 +1,4 @@
-"""The checks are tested too: for each invariant, a run that violates it is caught."""
+"""Tests of the invariant checks: each violation is detected, allowed behaviour passes."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def agent(name: str, zone: str = "a", *, spot: bool = False, type: str = "big") -> Agent:
-    """Return what the invariants look at of an agent."""
+    """Return an agent with only the attributes that the invariants read."""
     stand_in: Any = SimpleNamespace(
         name=name,
         zone=zone,
@@ -181,7 +181,11 @@
 
 
 def test_allowed_behaviour_is_no_violation() -> None:
-    """An answer under way when a later one came; a job at its team's limit; no room."""
+    """Neither answers that overlap in time nor a job at its team's limit violate an invariant.
+
+    The job can't start its second task because its team's limit is 2 CPUs. A 404 answer to a
+    job that was never accepted is allowed too.
+    """
 
     async def main() -> None:
         rules = Rules(25.0)
