--- a/tests/harness/test_invariants.py
+++ b/tests/harness/test_invariants.py
@@ -17,9 +17,9 @@
 from .simulation import MACHINE_TYPES, job
 
 
-def agent(name: str, zone: str = "a", *, spot: bool = False, type: str = "big") -> Agent:
+def make_agent(name: str, zone: str = "a", *, spot: bool = False, type: str = "big") -> Agent:
     """Return an agent with only the attributes that the invariants read."""
-    stand_in: Any = SimpleNamespace(
+    fake_agent: Any = SimpleNamespace(
         name=name,
         zone=zone,
         spot=spot,
@@ -30,62 +30,62 @@
         preemption_at=None,
         free_cpus=lambda: 8.0,
     )
-    return cast(Agent, stand_in)
+    return cast(Agent, fake_agent)
 
 
-def accepted(invariants: InvariantChecker, **more: object) -> str:
-    spec = job(1, **more)
+def accept_job(invariants: InvariantChecker, **fields: object) -> str:
+    spec = job(1, **fields)
     invariants.rules.specs[spec["ref"]] = spec
     invariants.observe(0.0, 0.1, spec["ref"], 201, "pending")
     return str(spec["ref"])
 
 
-def start(invariants: InvariantChecker, task: int, where: Agent) -> None:
-    invariants.rules.start(where, f"wk-000001/{task}")
+def start_task(invariants: InvariantChecker, task: int, agent: Agent) -> None:
+    invariants.rules.start(agent, f"wk-000001/{task}")
 
 
 async def ran_twice(invariants: InvariantChecker) -> None:
-    accepted(invariants)
-    start(invariants, 0, agent("i-1"))
-    start(invariants, 0, agent("i-2"))
+    accept_job(invariants)
+    start_task(invariants, 0, make_agent("i-1"))
+    start_task(invariants, 0, make_agent("i-2"))
 
 
 async def over_quota(invariants: InvariantChecker) -> None:
-    accepted(invariants, crew="tight", vcpus=4.0)
-    start(invariants, 0, agent("i-1"))
-    start(invariants, 1, agent("i-2"))
+    accept_job(invariants, crew="tight", vcpus=4.0)
+    start_task(invariants, 0, make_agent("i-1"))
+    start_task(invariants, 1, make_agent("i-2"))
 
 
 async def wrong_zone(invariants: InvariantChecker) -> None:
-    accepted(invariants, oneZone=True)
-    start(invariants, 0, agent("i-1", "a"))
-    start(invariants, 1, agent("i-2", "b"))
+    accept_job(invariants, oneZone=True)
+    start_task(invariants, 0, make_agent("i-1", "a"))
+    start_task(invariants, 1, make_agent("i-2", "b"))
 
 
 async def wrong_parcel(invariants: InvariantChecker) -> None:
-    accepted(invariants, parcel="b")
-    start(invariants, 0, agent("i-1", "a"))
+    accept_job(invariants, parcel="b")
+    start_task(invariants, 0, make_agent("i-1", "a"))
 
 
 async def wrong_spread(invariants: InvariantChecker) -> None:
-    accepted(invariants, spread=True, rows=2)
-    start(invariants, 0, agent("i-1", "a"))
-    start(invariants, 1, agent("i-2", "a"))
+    accept_job(invariants, spread=True, rows=2)
+    start_task(invariants, 0, make_agent("i-1", "a"))
+    start_task(invariants, 1, make_agent("i-2", "a"))
 
 
 async def wrong_type(invariants: InvariantChecker) -> None:
-    accepted(invariants, presses=["other"])
-    start(invariants, 0, agent("i-1"))
+    accept_job(invariants, presses=["other"])
+    start_task(invariants, 0, make_agent("i-1"))
 
 
 async def wrong_purchase_option(invariants: InvariantChecker) -> None:
-    accepted(invariants, gleaning=False)
-    start(invariants, 0, agent("i-1", spot=True))
+    accept_job(invariants, gleaning=False)
+    start_task(invariants, 0, make_agent("i-1", spot=True))
 
 
 async def ran_cancelled(invariants: InvariantChecker) -> None:
-    id = accepted(invariants)
-    start(invariants, 0, agent("i-1"))
+    id = accept_job(invariants)
+    start_task(invariants, 0, make_agent("i-1"))
     invariants.cancel_requested.add(id)
     invariants.observe(1.0, 1.1, id, 200, "withdrawn")
     await trio.sleep(30)
@@ -93,23 +93,23 @@
 
 
 async def started_after_cancel(invariants: InvariantChecker) -> None:
-    id = accepted(invariants)
+    id = accept_job(invariants)
     invariants.cancel_requested.add(id)
     invariants.observe(1.0, 1.1, id, 200, "withdrawn")
     await trio.sleep(30)
-    start(invariants, 0, agent("i-1"))
+    start_task(invariants, 0, make_agent("i-1"))
 
 
 async def accepted_job_unknown(invariants: InvariantChecker) -> None:
-    invariants.observe(5.0, 5.1, accepted(invariants), 404, "")
+    invariants.observe(5.0, 5.1, accept_job(invariants), 404, "")
 
 
 async def accepted_job_refused_on_repeat(invariants: InvariantChecker) -> None:
-    invariants.observe(5.0, 5.1, accepted(invariants), 400, "", repeat=True)
+    invariants.observe(5.0, 5.1, accept_job(invariants), 400, "", repeat=True)
 
 
 async def job_without_answers(invariants: InvariantChecker) -> None:
-    accepted(invariants)
+    accept_job(invariants)
     invariants.check_jobs_answer(100.0, faults_ended_at=20.0)
 
 
@@ -118,23 +118,23 @@
 
 
 async def done_too_early(invariants: InvariantChecker) -> None:
-    invariants.observe(5.0, 5.1, accepted(invariants), 200, "done")
+    invariants.observe(5.0, 5.1, accept_job(invariants), 200, "done")
 
 
 async def stage_went_back(invariants: InvariantChecker) -> None:
-    id = accepted(invariants, rows=1)
+    id = accept_job(invariants, rows=1)
     invariants.rules.done.add(f"{id}/0")
     invariants.observe(5.0, 5.1, id, 200, "done")
     invariants.observe(6.0, 6.1, id, 200, "running")
 
 
 async def cancelled_by_nobody(invariants: InvariantChecker) -> None:
-    invariants.observe(5.0, 5.1, accepted(invariants), 200, "withdrawn")
+    invariants.observe(5.0, 5.1, accept_job(invariants), 200, "withdrawn")
 
 
 async def startable_job_waits(invariants: InvariantChecker) -> None:
-    accepted(invariants, rows=1)
-    cloud: Any = SimpleNamespace(types=MACHINE_TYPES, agents={"i-1": agent("i-1")})
+    accept_job(invariants, rows=1)
+    cloud: Any = SimpleNamespace(types=MACHINE_TYPES, agents={"i-1": make_agent("i-1")})
     invariants.check_startable_jobs_start(0.0, cloud)
     invariants.check_startable_jobs_start(91.0, cloud)
 
@@ -172,7 +172,7 @@
         invariants = InvariantChecker(rules)
         await violate(invariants)
         assert any(
-            text.startswith(violation) for text in [*rules.violations, *invariants.violations]
+            message.startswith(violation) for message in [*rules.violations, *invariants.violations]
         )
         with pytest.raises(AssertionError):
             invariants.check()
@@ -191,9 +191,9 @@
         rules = Rules(25.0)
         rules.limits = {"tight": 2.0}
         invariants = InvariantChecker(rules)
-        id = accepted(invariants, rows=2, crew="tight")
-        start(invariants, 0, agent("i-1"))
-        cloud: Any = SimpleNamespace(types=MACHINE_TYPES, agents={"i-1": agent("i-1")})
+        id = accept_job(invariants, rows=2, crew="tight")
+        start_task(invariants, 0, make_agent("i-1"))
+        cloud: Any = SimpleNamespace(types=MACHINE_TYPES, agents={"i-1": make_agent("i-1")})
         invariants.check_startable_jobs_start(0.0, cloud)
         invariants.check_startable_jobs_start(91.0, cloud)
         rules.done |= {f"{id}/0", f"{id}/1"}
