--- a/tests/harness/earlier_version.py
+++ b/tests/harness/earlier_version.py
@@ -27,14 +27,14 @@
 class AliasingProxy:
     """An object of an earlier version that answers to present names of its attributes."""
 
-    def __init__(self, target: Any, **present: Any):
-        """`present`: by present name the earlier name, or an object to give out for it."""
+    def __init__(self, target: Any, **aliases: Any):
+        """`aliases`: by present name the earlier name, or an object to give out for it."""
         self._target = target
-        self._present = present
+        self._aliases = aliases
 
     def __getattr__(self, name: str) -> Any:
-        found = self._present.get(name, name)
-        return getattr(self._target, found) if isinstance(found, str) else found
+        alias = self._aliases.get(name, name)
+        return getattr(self._target, alias) if isinstance(alias, str) else alias
 
 
 def original_controller(controller: Any) -> Any:
@@ -72,15 +72,15 @@
     return str(tomllib.loads((ROOT / "deploy" / "service.toml").read_text())["production"])
 
 
-def extract(commit: str, folder: Path) -> None:
+def extract_commit(commit: str, folder: Path) -> None:
     """Write the whole tree of a commit into a folder; raises HistoryMissing."""
-    found = subprocess.run(["git", "archive", commit], cwd=ROOT, capture_output=True)
-    if found.returncode:
+    git_archive = subprocess.run(["git", "archive", commit], cwd=ROOT, capture_output=True)
+    if git_archive.returncode:
         raise HistoryMissing(
             f"commit {commit}, an earlier version that tests play, isn't in this clone: "
-            f"fetch the whole history (git fetch --unshallow). {found.stderr.decode().strip()}"
+            f"fetch the whole history (git fetch --unshallow). {git_archive.stderr.decode().strip()}"
         )
-    with tarfile.open(fileobj=io.BytesIO(found.stdout)) as archive:
+    with tarfile.open(fileobj=io.BytesIO(git_archive.stdout)) as archive:
         archive.extractall(folder)
 
 
@@ -88,7 +88,7 @@
     """The modules of a released version, under a package name of their own."""
 
     def __init__(self, commit: str, folder: Path):
-        extract(commit, folder)
+        extract_commit(commit, folder)
         self.package = f"pitchtally_{commit[:12]}"
         self.folder = folder / "pitchtally"
         init = self.folder / "__init__.py"
