--- a/tests/harness/fault_scenarios.py
+++ b/tests/harness/fault_scenarios.py
@@ -104,8 +104,12 @@
 
 async def failover_with_team_at_its_limit(sim: Simulation) -> None:
     """Machines are isolated, and the job that fills the limit is cancelled."""
-    busy = {m for t, (m, _) in sim.cloud.rules.placements.items() if t.startswith(CANCELLED[1])}
-    for agent in sorted(busy)[:2]:
+    machines = {
+        machine
+        for task, (machine, _) in sim.cloud.rules.placements.items()
+        if task.startswith(CANCELLED[1])
+    }
+    for agent in sorted(machines)[:2]:
         isolate(sim, agent)
     sim.kill(cluster_leader(sim))
     await trio.sleep(1)
@@ -116,20 +120,20 @@
 
 
 async def leader_partitioned_from_store_and_peers(sim: Simulation) -> None:
-    old = cluster_leader(sim)
-    for other in ("state", *NODES):
-        if other != old:
-            sim.network.partition(old, other)
+    leader = cluster_leader(sim)
+    for host in ("state", *NODES):
+        if host != leader:
+            sim.network.partition(leader, host)
     await trio.sleep(TIMES.lease_s / 2)
     for id in CANCELLED:
-        sim.nursery.start_soon(sim.cancel, id, NODES.index(old) + 1)
+        sim.nursery.start_soon(sim.cancel, id, NODES.index(leader) + 1)
     await trio.sleep(TIMES.cancel_s * 1.2)
 
 
 async def overload_over_slow_links(sim: Simulation) -> None:
-    for a in NODES:
-        for b in (*NODES, "state", "cloud", *sim.cloud.agents):
-            sim.network.reply_delay[(a, b)] = sim.network.reply_delay[(b, a)] = 0.25
+    for node in NODES:
+        for host in (*NODES, "state", "cloud", *sim.cloud.agents):
+            sim.network.reply_delay[(node, host)] = sim.network.reply_delay[(host, node)] = 0.25
     for number in range(20, 32):
         rank = ("urgent", "idle", "standard")[number % 3]
         sim.nursery.start_soon(sim.submit, job(number, rows=5, rank=rank, realS=5.0))
@@ -153,23 +157,23 @@
 async def zone_loses_machines(sim: Simulation) -> None:
     """Machines of a zone end, to which jobs are bound; the cloud has others there."""
     for _ in range(3):
-        found = [w for w in sim.cloud.agents.values() if w.zone == "a"]
-        if found:
-            sim.cloud.agents.pop(found[0].name).terminate()
+        zone_agents = [agent for agent in sim.cloud.agents.values() if agent.zone == "a"]
+        if zone_agents:
+            sim.cloud.agents.pop(zone_agents[0].name).terminate()
         await trio.sleep(4)
     await trio.sleep(6)
 
 
 async def ten_failovers_with_store_outage(sim: Simulation) -> None:
-    for turn in range(10):
-        name = cluster_leader(sim)
-        if turn % 3 == 1:
-            sim.state_store.refused_callers.add(name)
+    for failover in range(10):
+        leader = cluster_leader(sim)
+        if failover % 3 == 1:
+            sim.state_store.refused_callers.add(leader)
             await trio.sleep(6)
             sim.state_store.refused_callers.clear()
         else:
-            await restart(sim, name, after=(0.1, 1.0, 4.0)[turn % 3])
-        if turn == 5:
+            await restart(sim, leader, after=(0.1, 1.0, 4.0)[failover % 3])
+        if failover == 5:
             sim.state_store.stop()
             await trio.sleep(8)
             await restart(sim, cluster_leader(sim), after=0.3)
@@ -182,8 +186,8 @@
     """Jobs of a controller are cancelled while it crashes and comes back."""
     name = shard_leader(sim, next(iter(sim.cloud.agents)))
     sim.kill(name)
-    for after, id in zip((0.2, 2.4), CANCELLED, strict=True):
-        await trio.sleep(after)
+    for pause, id in zip((0.2, 2.4), CANCELLED, strict=True):
+        await trio.sleep(pause)
         sim.nursery.start_soon(sim.cancel, id, 1)
     await trio.sleep(1.2)
     revive(sim, name)
