--- a/tests/harness/message_scenarios.py
+++ b/tests/harness/message_scenarios.py
@@ -85,12 +85,12 @@
         sim.network.recorded_heartbeats = 0.6
         await trio.sleep(5)
         sim.network.recorded_heartbeats = 0.0
-        old = cluster_leader(sim)
-        sim.kill(old)
-        successor = await next_leader(sim, old)
+        old_leader = cluster_leader(sim)
+        sim.kill(old_leader)
+        successor = await next_leader(sim, old_leader)
         sim.network.replay_recorded(successor)
         await trio.sleep(3)
-        revive(sim, old)
+        revive(sim, old_leader)
         await trio.sleep(6)
 
 
@@ -102,10 +102,10 @@
         agent.restart()
     await trio.sleep(4)
     sim.network.recorded_heartbeats = 0.0
-    old = cluster_leader(sim)
-    sim.kill(old)
-    await next_leader(sim, old)
-    revive(sim, old)
+    old_leader = cluster_leader(sim)
+    sim.kill(old_leader)
+    await next_leader(sim, old_leader)
+    revive(sim, old_leader)
     sim.network.replay_recorded(*NODES)
     await trio.sleep(TIMES.lease_s)
 
@@ -135,8 +135,8 @@
 async def isolated_leader_and_duplicated_heartbeats(sim: Simulation) -> None:
     """The leader is isolated for a while; agent heartbeats arrive again."""
     sim.network.duplicated_heartbeats, sim.network.max_duplicate_delay = 0.4, TIMES.lease_s * 1.5
-    name = cluster_leader(sim)
-    isolate(sim, name)
+    leader = cluster_leader(sim)
+    isolate(sim, leader)
     await trio.sleep(TIMES.lease_s * 0.9)
     sim.network.partitions.clear()
     await trio.sleep(TIMES.lease_s)
