--- a/tests/harness/cluster_faults.py
+++ b/tests/harness/cluster_faults.py
@@ -46,12 +46,12 @@
         sim.start(name)
 
 
-async def next_leader(sim: Simulation, old: str) -> str:
+async def next_leader(sim: Simulation, old_leader: str) -> str:
     """Wait for another cluster leader than the old one, and return it."""
     with trio.fail_after(TIMES.lease_s * 3):
         while True:
             for name, controller in sim.controllers.items():
-                if name != old and controller.membership.cluster_leader_token is not None:
+                if name != old_leader and controller.membership.cluster_leader_token is not None:
                     return name
             await trio.sleep(0.02)
 
@@ -68,7 +68,7 @@
 
 def isolate_zone_with(sim: Simulation, controller: str, zone: str) -> None:
     """Partition a controller and a zone's machines from all others, but not from one another."""
-    inside = {controller} | {n for n, w in sim.cloud.agents.items() if w.zone == zone}
+    inside = {controller} | {name for name, agent in sim.cloud.agents.items() if agent.zone == zone}
     for name in inside:
-        for other in {*NODES, "state", "cloud", *sim.cloud.agents} - inside:
-            sim.network.partition(name, other)
+        for outside_host in {*NODES, "state", "cloud", *sim.cloud.agents} - inside:
+            sim.network.partition(name, outside_host)
