--- a/tests/harness/scenario_day.py
+++ b/tests/harness/scenario_day.py
@@ -11,7 +11,7 @@
 MAX_RECOVERY_S = 200  # in which every job must come to its end
 
 
-async def run_scenario_day(sim: Simulation, scenario: Scenario, after: float) -> None:
+async def run_scenario_day(sim: Simulation, scenario: Scenario, delay_s: float) -> None:
     """Play a day: the users' jobs, the scenario some seconds later, then no more faults.
 
     In the calm that follows every job must come to its end, and every invariant must hold.
@@ -20,7 +20,7 @@
     for spec in JOBS:
         sim.nursery.start_soon(sim.submit, spec)
     sim.nursery.start_soon(simulate_users, sim)
-    await trio.sleep(after)
+    await trio.sleep(delay_s)
     await scenario(sim)
     sim.state_store.refused_callers.clear()
     sim.state_store.down = False
