--- a/tests/harness/services.py
+++ b/tests/harness/services.py
@@ -13,10 +13,10 @@
 RECOVERY_TIMEOUT_S = TIMES.lease_s * 2 + TIMES.report_s * 5
 
 
-def service(number: int, **more: Any) -> dict[str, Any]:
+def service(number: int, **fields: Any) -> dict[str, Any]:
     """Return the submission of a service."""
-    fields = {"cut": "standing", "rank": "production", "rows": 3, "vcpus": 1.0, "ripenS": 0.0}
-    return job(number, **{**fields, **more})
+    defaults = {"cut": "standing", "rank": "production", "rows": 3, "vcpus": 1.0, "ripenS": 0.0}
+    return job(number, **{**defaults, **fields})
 
 
 def replicas_up(sim: Simulation, id: str) -> int:
@@ -24,13 +24,15 @@
     return sum(1 for task in sim.cloud.rules.placements if task.startswith(f"{id}/"))
 
 
-async def wait_until(check: Callable[[], bool], seconds: float) -> None:
+async def wait_until(condition: Callable[[], bool], seconds: float) -> None:
     """Wait until a check holds; fail after some seconds."""
     with trio.fail_after(seconds):
-        while not check():
+        while not condition():
             await trio.sleep(0.1)
 
 
 async def wait_until_up(sim: Simulation, *specs: dict[str, Any], within: float) -> None:
     """Wait until every replica of some services is on a machine."""
-    await wait_until(lambda: all(replicas_up(sim, s["ref"]) == s["rows"] for s in specs), within)
+    await wait_until(
+        lambda: all(replicas_up(sim, spec["ref"]) == spec["rows"] for spec in specs), within
+    )
