--- a/tests/harness/simulation.py
+++ b/tests/harness/simulation.py
@@ -101,7 +101,7 @@
     )
 
 
-def job(number: int, **more: object) -> dict[str, Any]:
+def job(number: int, **fields: object) -> dict[str, Any]:
     return {
         "ref": f"wk-{number:06d}",
         "vintage": "c",
@@ -124,7 +124,7 @@
         "bottleS": 0.0,
         "harvestS": None,
         "realS": 4.0,
-        **more,
+        **fields,
     }
 
 
