--- a/tests/harness/single_controller.py
+++ b/tests/harness/single_controller.py
@@ -37,7 +37,7 @@
 
 
 def heartbeat_request(
-    number: int, seq: int, token: int, tasks: list[dict[str, Any]], type: str = "big"
+    number: int, sequence: int, token: int, tasks: list[dict[str, Any]], type: str = "big"
 ) -> Request:
     """Return an agent's heartbeat, as its machine sends it."""
     body = {
@@ -47,7 +47,7 @@
         "parcel": "a",
         "gleaning": False,
         "shift": 1,
-        "tally": seq,
+        "tally": sequence,
         "seal": token,
         "recallS": None,
         "rows": tasks,
@@ -55,18 +55,18 @@
     return Request("POST", "/v1/report", {}, json.dumps(body).encode())
 
 
-def count_calls(body: Any) -> int:
+def count_calls(coroutine: Any) -> int:
     """Count the Python functions that a coroutine enters which runs to its end without waiting."""
     count = 0
 
-    def entered(frame: Any, event: str, arg: Any) -> None:
+    def count_call(frame: Any, event: str, arg: Any) -> None:
         nonlocal count
         count += event == "call"
 
-    sys.setprofile(entered)
+    sys.setprofile(count_call)
     try:
         with pytest.raises(StopIteration):
-            body.send(None)
+            coroutine.send(None)
     finally:
         sys.setprofile(None)
     return count
