--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that several test files share."""
+"""Fixtures that several test modules use."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @pytest.fixture(scope="session")
 def load_version(tmp_path_factory: pytest.TempPathFactory) -> LoadVersion:
-    """Load a released version by its commit, each once in a session."""
+    """Return a function that loads a released version by commit, once per test session."""
     loaded: dict[str, EarlierVersion] = {}
 
     def load(commit: str) -> EarlierVersion:
@@ -34,17 +34,17 @@
 
 @pytest.fixture(scope="session")
 def production(load_version: LoadVersion) -> EarlierVersion:
-    """The version in production, 0.5.1, which knows no feature gate."""
+    """Return the version in production, 0.5.1, which has no format gate."""
     return load_version(commit_in_production())
 
 
 @pytest.fixture(scope="session")
 def version_0_6_0(load_version: LoadVersion) -> EarlierVersion:
-    """The first version with the feature gate."""
+    """Return 0.6.0, the first version with the format gate."""
     return load_version(COMMIT_0_6_0)
 
 
 @pytest.fixture(scope="session", params=["0.5.1", "0.6.0"])
 def earlier(request: pytest.FixtureRequest, load_version: LoadVersion) -> EarlierVersion:
-    """Each of the released versions in turn."""
+    """Return each of the released versions in turn."""
     return load_version(commit_in_production() if request.param == "0.5.1" else COMMIT_0_6_0)
--- a/tests/harness/cluster_faults.py
+++ b/tests/harness/cluster_faults.py
@@ -1,4 +1,4 @@
-"""Finds the leaders of a simulated cluster, and brings single faults about."""
+"""Finds the leaders of a simulated cluster and injects single faults."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 async def restart(sim: Simulation, *names: str, after: float = 0.2) -> None:
-    """Crash controllers (all without a name) and start them again after some seconds."""
+    """Crash controllers, all if none is named, and restart them `after` that many seconds."""
     sim.kill(*names)
     await trio.sleep(after)
     for name in names or NODES:
@@ -41,13 +41,13 @@
 
 
 def revive(sim: Simulation, name: str) -> None:
-    """Start a crashed controller, unless another fault has started it meanwhile."""
+    """Start a crashed controller, unless another fault has restarted it meanwhile."""
     if name in sim.network.crashed:
         sim.start(name)
 
 
 async def next_leader(sim: Simulation, old_leader: str) -> str:
-    """Wait for another cluster leader than the old one, and return it."""
+    """Wait until a controller other than the old leader leads the cluster, and return it."""
     with trio.fail_after(TIMES.lease_s * 3):
         while True:
             for name, controller in sim.controllers.items():
@@ -57,7 +57,7 @@
 
 
 async def refuse_then_outage(sim: Simulation, seconds: float) -> None:
-    """Let the state store refuse the cluster leader, then everybody for some seconds."""
+    """Make the state store refuse the cluster leader, and fail for all callers a second later."""
     sim.state_store.refused_callers.add(cluster_leader(sim))
     await trio.sleep(1.0)
     sim.state_store.stop()
@@ -67,7 +67,7 @@
 
 
 def isolate_zone_with(sim: Simulation, controller: str, zone: str) -> None:
-    """Partition a controller and a zone's machines from all others, but not from one another."""
+    """Partition a controller and a zone's machines from all other hosts, not from each other."""
     inside = {controller} | {name for name, agent in sim.cloud.agents.items() if agent.zone == zone}
     for name in inside:
         for outside_host in {*NODES, "state", "cloud", *sim.cloud.agents} - inside:
--- a/tests/harness/earlier_version.py
+++ b/tests/harness/earlier_version.py
@@ -1,4 +1,4 @@
-"""Released versions, loaded from this repository's history beside the present one."""
+"""Loads released versions from the repository's history, next to the present version."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 
 
 class AliasingProxy:
-    """An object of an earlier version that answers to present names of its attributes."""
+    """Gives access to an object of an earlier version through the present attribute names."""
 
     def __init__(self, target: Any, **aliases: Any):
-        """`aliases`: by present name the earlier name, or an object to give out for it."""
+        """Map present attribute names to earlier names, or to the objects to return for them."""
         self._target = target
         self._aliases = aliases
 
@@ -38,12 +38,12 @@
 
 
 def original_controller(controller: Any) -> Any:
-    """A controller as its own version made it."""
+    """Return the controller itself if it is wrapped in an `AliasingProxy`."""
     return controller._target if isinstance(controller, AliasingProxy) else controller
 
 
 def with_present_names(controller: Any) -> AliasingProxy:
-    """A controller of 0.5.1 or 0.6.0 under the present tree's names."""
+    """Wrap a controller of 0.5.1 or 0.6.0 so that the present attribute names work."""
     return AliasingProxy(
         controller,
         replica=AliasingProxy(controller.replica, apply_committed="learn"),
@@ -64,28 +64,28 @@
 
 
 class HistoryMissing(Exception):
-    """The commit of a released version isn't in this clone."""
+    """Raised if the commit of a released version isn't in this clone."""
 
 
 def commit_in_production() -> str:
-    """The commit that `deploy/service.toml` names as the one in production."""
+    """Return the commit that `deploy/service.toml` names as the one in production."""
     return str(tomllib.loads((ROOT / "deploy" / "service.toml").read_text())["production"])
 
 
 def extract_commit(commit: str, folder: Path) -> None:
-    """Write the whole tree of a commit into a folder; raises HistoryMissing."""
+    """Write the source tree of a commit into a folder; raises HistoryMissing."""
     git_archive = subprocess.run(["git", "archive", commit], cwd=ROOT, capture_output=True)
     if git_archive.returncode:
         raise HistoryMissing(
-            f"commit {commit}, an earlier version that tests play, isn't in this clone: "
-            f"fetch the whole history (git fetch --unshallow). {git_archive.stderr.decode().strip()}"
+            f"commit {commit} of an earlier version that the tests run isn't in this clone; "
+            f"fetch the full history (git fetch --unshallow): {git_archive.stderr.decode().strip()}"
         )
     with tarfile.open(fileobj=io.BytesIO(git_archive.stdout)) as archive:
         archive.extractall(folder)
 
 
 class EarlierVersion:
-    """The modules of a released version, under a package name of their own."""
+    """The modules of a released version, imported under a separate package name."""
 
     def __init__(self, commit: str, folder: Path):
         extract_commit(commit, folder)
@@ -102,18 +102,18 @@
         spec.loader.exec_module(package)
 
     def module(self, name: str) -> ModuleType:
-        """One of its modules, such as `control.jobs`."""
+        """Import and return a module of that version, such as `control.jobs`."""
         return importlib.import_module(f"{self.package}.{name}")
 
     def controller(self, settings: Settings, policy: str) -> Any:
-        """A controller of that version; it ignores the settings that it doesn't know."""
+        """Return a controller of that version, which ignores settings that it doesn't support."""
         raw = msgspec.to_builtins(settings)
         config = msgspec.convert(raw, self.module("settings").Settings, strict=False)
         figures = self.module("policy").parse(policy, config)
         return self.module("control.service").Controller(config, figures)
 
     def install(self, monkeypatch: pytest.MonkeyPatch, network: Network, clock: Any) -> None:
-        """Let its clients and servers use a network of stand-ins, and a clock for its time."""
+        """Make that version use the simulated network, and the given clock as its `time`."""
         http = self.module("http")
 
         async def call(client: Any, address: Any, *arguments: Any, timeout: float) -> Any:
--- a/tests/harness/fault_scenarios.py
+++ b/tests/harness/fault_scenarios.py
@@ -40,7 +40,7 @@
 Scenario = Callable[[Simulation], Awaitable[None]]
 
 
-# --- the operators' list ---------------------------------------------------------------------
+# --- scenarios from the operators' list ------------------------------------------------------
 
 
 async def all_controllers_down_beyond_lease(sim: Simulation) -> None:
@@ -49,7 +49,7 @@
 
 
 async def agents_cannot_call(sim: Simulation) -> None:
-    """Agents can't call any controller; direct commands still reach them."""
+    """Lose all calls of the agents; direct commands still reach them."""
     sim.network.partitioned_outbound |= set(sim.cloud.agents)
     await trio.sleep(TIMES.lease_s * 1.6)
 
@@ -103,7 +103,7 @@
 
 
 async def failover_with_team_at_its_limit(sim: Simulation) -> None:
-    """Machines are isolated, and the job that fills the limit is cancelled."""
+    """Isolate machines of a job that fills its team's limit, crash the leader, cancel the job."""
     machines = {
         machine
         for task, (machine, _) in sim.cloud.rules.placements.items()
@@ -155,7 +155,7 @@
 
 
 async def zone_loses_machines(sim: Simulation) -> None:
-    """Machines of a zone end, to which jobs are bound; the cloud has others there."""
+    """Terminate machines of a zone that jobs are bound to; the cloud can launch others there."""
     for _ in range(3):
         zone_agents = [agent for agent in sim.cloud.agents.values() if agent.zone == "a"]
         if zone_agents:
@@ -183,7 +183,7 @@
 
 
 async def cancel_during_failover(sim: Simulation) -> None:
-    """Jobs of a controller are cancelled while it crashes and comes back."""
+    """Cancel jobs while the controller that commands a machine crashes and restarts."""
     name = shard_leader(sim, next(iter(sim.cloud.agents)))
     sim.kill(name)
     for pause, id in zip((0.2, 2.4), CANCELLED, strict=True):
--- a/tests/harness/http_stub.py
+++ b/tests/harness/http_stub.py
@@ -1,4 +1,4 @@
-"""A stand-in for everything that a controller calls, on the level of single HTTP calls."""
+"""Replaces everything that a controller calls, at the level of single HTTP calls."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Call(NamedTuple):
-    """One call as the client was asked to make it."""
+    """The arguments of one `Client.call`; the timeout is in seconds."""
 
     address: tuple[str, int]
     method: str
@@ -24,7 +24,7 @@
 
 
 def answer_calls(monkeypatch: pytest.MonkeyPatch, answer: Answer) -> None:
-    """Let a function answer every call of every client; it may raise HttpError."""
+    """Make a function answer every call of every client; it may raise HttpError."""
 
     async def call(
         _client: Client,
--- a/tests/harness/message_scenarios.py
+++ b/tests/harness/message_scenarios.py
@@ -1,6 +1,6 @@
 """Fault scenarios in which messages are delayed, duplicated, replayed or lost.
 
-As in `fault_scenarios`, each brings the faults about, waits, and returns.
+As in `fault_scenarios`, each scenario injects faults, waits, and returns.
 """
 
 from __future__ import annotations
@@ -57,7 +57,7 @@
 
 
 async def lost_commit_replies(sim: Simulation) -> None:
-    """Commits succeed unanswered, while other controllers read what was written."""
+    """Lose the replies to successful commits; other controllers read the written values."""
     sim.network.lost_commit_replies = 0.3
     for id in CANCELLED:
         sim.nursery.start_soon(sim.cancel, id)
@@ -67,7 +67,7 @@
 
 
 async def delayed_commands_of_deposed_leader(sim: Simulation) -> None:
-    """Direct commands arrive late, after those of the leader's successor."""
+    """Delay direct commands so that they arrive after those of their sender's successor."""
     sim.network.delayed_commands = 0.7
     for id in CANCELLED:
         sim.nursery.start_soon(sim.cancel, id)
@@ -80,7 +80,7 @@
 
 
 async def replayed_heartbeats_after_failover(sim: Simulation) -> None:
-    """Agent heartbeats to one leader arrive again at the next, in its first moments."""
+    """Replay agent heartbeats at a new cluster leader, immediately after the failover."""
     for _ in range(2):
         sim.network.recorded_heartbeats = 0.6
         await trio.sleep(5)
@@ -95,7 +95,7 @@
 
 
 async def replayed_heartbeats_at_every_controller(sim: Simulation) -> None:
-    """Agent heartbeats arrive again everywhere, some of earlier epochs and attempts."""
+    """Replay agent heartbeats at all controllers, some with earlier agent epochs and attempts."""
     sim.network.recorded_heartbeats = 0.4
     await trio.sleep(4)
     for agent in list(sim.cloud.agents.values())[:2]:
@@ -111,7 +111,7 @@
 
 
 async def scale_out_with_delayed_commits_and_failover(sim: Simulation) -> None:
-    """New machines get work at once, long before the cloud lists them."""
+    """Start tasks on new machines at once, long before the cloud lists these machines."""
     sim.network.delayed_commits = 0.3
     sim.cloud.list_lag_s = 4.0
     sim.cloud.capacity += 3
@@ -133,7 +133,7 @@
 
 
 async def isolated_leader_and_duplicated_heartbeats(sim: Simulation) -> None:
-    """The leader is isolated for a while; agent heartbeats arrive again."""
+    """Isolate the cluster leader temporarily while agent heartbeats are duplicated."""
     sim.network.duplicated_heartbeats, sim.network.max_duplicate_delay = 0.4, TIMES.lease_s * 1.5
     leader = cluster_leader(sim)
     isolate(sim, leader)
--- a/tests/harness/scenario_day.py
+++ b/tests/harness/scenario_day.py
@@ -1,4 +1,4 @@
-"""Plays a day of users' jobs with a fault scenario in it, and checks what must hold."""
+"""Runs the users' jobs during a fault scenario, and checks every invariant."""
 
 from __future__ import annotations
 
@@ -8,13 +8,14 @@
 from .simulation import TIMES, Simulation
 from .workload import CANCELLED, IDS, JOBS, simulate_users
 
-MAX_RECOVERY_S = 200  # in which every job must come to its end
+# Time after the last fault within which every job must finish.
+MAX_RECOVERY_S = 200
 
 
 async def run_scenario_day(sim: Simulation, scenario: Scenario, delay_s: float) -> None:
-    """Play a day: the users' jobs, the scenario some seconds later, then no more faults.
+    """Submit the users' jobs, run the scenario `delay_s` later, then end all faults.
 
-    In the calm that follows every job must come to its end, and every invariant must hold.
+    Every job must finish within `MAX_RECOVERY_S` of that, and every invariant must hold.
     """
     sim.probes_changes = True
     for spec in JOBS:
@@ -41,7 +42,7 @@
             break
     assert not [id for id in IDS if id not in sim.final_stages]
     assert [sim.final_stages[id] for id in CANCELLED] == ["withdrawn"] * 2
-    await trio.sleep(TIMES.cancel_s + 1)  # nothing of what was cancelled may be left
+    await trio.sleep(TIMES.cancel_s + 1)  # by then no task of a cancelled job may run
     for node in range(3):
         for id in IDS:
             await sim.poll(id, node)
--- a/tests/harness/single_controller.py
+++ b/tests/harness/single_controller.py
@@ -1,4 +1,4 @@
-"""One controller that leads a shard, without its loops, and requests that agents send to it."""
+"""A single shard leader without its background loops, and the agents' requests to it."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def leader_of_shard(shard: int, token: int) -> Controller:
-    """Return a controller that leads a shard, with none of its loops running."""
+    """Return a controller that leads a shard, with none of its background loops running."""
     config = settings("n0")
     controller = Controller(config, policy.parse("", config))
     controller.autoscaler.catalog.known = {"big": MACHINE_TYPE}
@@ -39,7 +39,7 @@
 def heartbeat_request(
     number: int, sequence: int, token: int, tasks: list[dict[str, Any]], type: str = "big"
 ) -> Request:
-    """Return an agent's heartbeat, as its machine sends it."""
+    """Return the request that carries an agent's heartbeat."""
     body = {
         "vat": f"i-{number:06d}",
         "address": "10.1.0.1:9000",
@@ -56,7 +56,7 @@
 
 
 def count_calls(coroutine: Any) -> int:
-    """Count the Python functions that a coroutine enters which runs to its end without waiting."""
+    """Count the Python function calls of a coroutine, which must finish without waiting."""
     count = 0
 
     def count_call(frame: Any, event: str, arg: Any) -> None:
@@ -73,5 +73,5 @@
 
 
 def job_spec(number: int, cpus: float) -> user_api.JobSpec:
-    """Return the specification of an array of 50 tasks."""
+    """Return the specification of a job array of 50 tasks."""
     return parse_job(json.dumps(job(number, rows=50, vcpus=cpus)).encode())
--- a/tests/harness/workload.py
+++ b/tests/harness/workload.py
@@ -1,4 +1,4 @@
-"""What the users of a simulated day submit, and how they behave."""
+"""The jobs that simulated users submit, and the requests that they send afterwards."""
 
 from __future__ import annotations
 
@@ -11,7 +11,8 @@
 
 LONG_RUNNING = {"realS": 900.0, "ripenS": 900.0}
 CANCELLED = ("wk-000007", "wk-000010")
-# The limited team fills its limit with work that lasts; cancelled, there is capacity for more.
+# Team `tight` reaches its limit with the long-running tasks of job 10; cancelling that job frees
+# CPUs for the team's other job.
 JOBS: list[dict[str, Any]] = [
     job(1),
     job(2, rows=10, crew="tight", vcpus=1.0),
@@ -29,7 +30,7 @@
 IDS = [spec["ref"] for spec in JOBS]
 
 
-# What every controller must refuse: a field is missing, or the job can never run.
+# Submissions that every controller must refuse: a field is missing, or the job can never run.
 INVALID_SUBMISSIONS: list[dict[str, Any]] = [
     *(
         {k: v for k, v in submission(job(888888)).items() if k != name}
@@ -43,7 +44,10 @@
 
 
 async def simulate_users(sim: Simulation) -> None:
-    """Poll every job; now and then repeat one, ask for an unknown one, submit an invalid one."""
+    """Poll every accepted job; at times repeat a submission, or send an invalid request.
+
+    Invalid requests poll an unknown job or submit one that must be refused.
+    """
     rng = random.Random(7)
     while True:
         for spec in [sim.cloud.rules.specs[id] for id in list(sim.invariants.accepted)]:
