--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -46,5 +46,5 @@
 
 @pytest.fixture(scope="session", params=["0.5.1", "0.6.0"])
 def earlier(request: pytest.FixtureRequest, load_version: LoadVersion) -> EarlierVersion:
-    """Return each of the released versions in turn."""
+    """Return a released version; a test that uses this runs once with each of them."""
     return load_version(commit_in_production() if request.param == "0.5.1" else COMMIT_0_6_0)
--- a/tests/harness/cluster_faults.py
+++ b/tests/harness/cluster_faults.py
@@ -33,7 +33,7 @@
 
 
 async def restart(sim: Simulation, *names: str, after: float = 0.2) -> None:
-    """Crash controllers, all if none is named, and restart them `after` that many seconds."""
+    """Crash controllers, all if none is named, and restart them `after` seconds later."""
     sim.kill(*names)
     await trio.sleep(after)
     for name in names or NODES:
@@ -67,8 +67,10 @@
 
 
 def isolate_zone_with(sim: Simulation, controller: str, zone: str) -> None:
-    """Partition a controller and a zone's machines from all other hosts, not from each other."""
-    inside = {controller} | {name for name, agent in sim.cloud.agents.items() if agent.zone == zone}
+    """Partition a controller and a zone's machines from all others, but not from each other."""
+    inside = {controller} | {
+        machine for machine, agent in sim.cloud.agents.items() if agent.zone == zone
+    }
     for name in inside:
         for outside_host in {*NODES, "state", "cloud", *sim.cloud.agents} - inside:
             sim.network.partition(name, outside_host)
--- a/tests/harness/earlier_version.py
+++ b/tests/harness/earlier_version.py
@@ -38,7 +38,7 @@
 
 
 def original_controller(controller: Any) -> Any:
-    """Return the controller itself if it is wrapped in an `AliasingProxy`."""
+    """Return a controller without its `AliasingProxy`, if it has one."""
     return controller._target if isinstance(controller, AliasingProxy) else controller
 
 
--- a/tests/harness/invariants.py
+++ b/tests/harness/invariants.py
@@ -122,6 +122,7 @@
                     self.violations.append(f"replica_missing {task}")
 
     def _could_start(self, id: str, cloud: World, used: dict[str, float]) -> bool:
+        """Return whether one more task of a job, or its whole gang, could start."""
         spec: dict[str, Any] = self.rules.specs[id]
         placed = {task for task in self.rules.placements if job_of(task) == id}
         if self._count_done(id) + len(placed) >= spec["rows"]:
--- a/tests/harness/scenario_day.py
+++ b/tests/harness/scenario_day.py
@@ -42,7 +42,8 @@
             break
     assert not [id for id in IDS if id not in sim.final_stages]
     assert [sim.final_stages[id] for id in CANCELLED] == ["withdrawn"] * 2
-    await trio.sleep(TIMES.cancel_s + 1)  # by then no task of a cancelled job may run
+    # After `cancel_s` no task of a cancelled job may run.
+    await trio.sleep(TIMES.cancel_s + 1)
     for node in range(3):
         for id in IDS:
             await sim.poll(id, node)
--- a/tests/harness/simulation.py
+++ b/tests/harness/simulation.py
@@ -81,6 +81,7 @@
     teams: list[Team] | None = None,
     state: StateLimits = STATE_LIMITS,
 ) -> Settings:
+    """Return a node's settings in a deployment of three controllers."""
     return Settings(
         name=node,
         public_addr=f"10.0.0.{NODES.index(node)}:8080",
@@ -102,6 +103,7 @@
 
 
 def job(number: int, **fields: object) -> dict[str, Any]:
+    """Return a job of 6 short tasks, with the given fields added or replaced."""
     return {
         "ref": f"wk-{number:06d}",
         "vintage": "c",
@@ -167,7 +169,7 @@
         self.network.hosts[("10.2.0.1", 2379)] = ("state", self.state_store.handle)
         self.network.hosts[("10.2.0.2", 8443)] = ("cloud", self.cloud.handle)
         self.cancel_scopes: dict[str, trio.CancelScope] = {}
-        self.controllers: dict[str, Any] = {}  # of the present or an earlier version
+        self.controllers: dict[str, Any] = {}  # the present version's or `earlier`'s
         self.nursery: trio.Nursery
         self.invariants = InvariantChecker(self.cloud.rules)
         self.final_stages = self.invariants.final_stages
