--- a/tests/cluster/test_rolling_upgrade.py
+++ b/tests/cluster/test_rolling_upgrade.py
@@ -180,7 +180,7 @@
         await trio.sleep(1.0)
         now = trio.current_time()
         sim.invariants.check_replicas_return(now, services_due_at, RECOVERY_TIMEOUT_S)
-        sim.invariants.check_jobs_answer(now, ended_at)
+        sim.invariants.check_jobs_are_answered(now, ended_at)
         sim.invariants.check_startable_jobs_start(now, sim.cloud)
         sim.check()
         if now > services_due_at and all(id in sim.final_stages for id in ids):
--- a/tests/cluster/test_services_under_faults.py
+++ b/tests/cluster/test_services_under_faults.py
@@ -98,7 +98,7 @@
         now = trio.current_time()
         sim.invariants.check_replicas_return(now, ended_at, bound)
         sim.invariants.check_startable_jobs_start(now, sim.cloud)
-        sim.invariants.check_jobs_answer(now, ended_at)
+        sim.invariants.check_jobs_are_answered(now, ended_at)
         sim.check()
     assert all(sim.final_stages.get(spec["ref"]) == "done" for spec in OTHER_JOBS)
     assert not any(replicas_up(sim, id) for id in CANCELLED)
--- a/tests/harness/invariants.py
+++ b/tests/harness/invariants.py
@@ -78,7 +78,9 @@
     def _count_done(self, id: str) -> int:
         return sum(1 for task in self.rules.done if job_of(task) == id)
 
-    def check_jobs_answer(self, now: float, faults_ended_at: float, limit: float = 75.0) -> None:
+    def check_jobs_are_answered(
+        self, now: float, faults_ended_at: float, limit: float = 75.0
+    ) -> None:
         """Check that each accepted job had a successful answer in the last `limit` seconds.
 
         Time before the end of the last fault doesn't count.
--- a/tests/harness/scenario_day.py
+++ b/tests/harness/scenario_day.py
@@ -35,7 +35,7 @@
     while trio.current_time() - faults_ended_at < MAX_RECOVERY_S:
         await trio.sleep(1.0)
         now = trio.current_time()
-        sim.invariants.check_jobs_answer(now, faults_ended_at)
+        sim.invariants.check_jobs_are_answered(now, faults_ended_at)
         sim.invariants.check_startable_jobs_start(now, sim.cloud)
         sim.check()
         if all(id in sim.final_stages for id in IDS):
--- a/tests/harness/test_invariants.py
+++ b/tests/harness/test_invariants.py
@@ -110,7 +110,7 @@
 
 async def job_without_answers(invariants: InvariantChecker) -> None:
     accept_job(invariants)
-    invariants.check_jobs_answer(100.0, faults_ended_at=20.0)
+    invariants.check_jobs_are_answered(100.0, faults_ended_at=20.0)
 
 
 async def job_never_submitted(invariants: InvariantChecker) -> None:
@@ -199,7 +199,7 @@
         rules.done |= {f"{id}/0", f"{id}/1"}
         invariants.observe(5.0, 6.0, id, 200, "done")
         invariants.observe(5.5, 6.5, id, 200, "running")
-        invariants.check_jobs_answer(60.0, faults_ended_at=20.0)
+        invariants.check_jobs_are_answered(60.0, faults_ended_at=20.0)
         invariants.observe(0.0, 7.0, "wk-000009", 404, "")
         invariants.check()
 
