--- a/tests/formats/test_golden.py
+++ b/tests/formats/test_golden.py
@@ -455,7 +455,7 @@
         controller = controller_of(gate_open)
         catalog = controller.autoscaler.catalog
         controller.replica.apply_committed("pt/types", page(names), 10)
-        assert stored(catalog.lay_out(list(catalog.known.values()))) == expected
+        assert stored(catalog.lay_out(list(catalog.types_by_name.values()))) == expected
 
     run_on_mock_clock(body)
 
