--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -13,8 +13,8 @@
 import trio
 
 from .agents.manager import AgentManager
-from .api.routes import HEARTBEATS, Api, ApiListeners, ApiSchedulerView
-from .api.submission_batcher import CONCURRENT_COMMITS
+from .api.routes import AGENT_HEARTBEATS_PATH, Api, ApiListeners, ApiSchedulerView
+from .api.submission_batcher import MAX_CONCURRENT_COMMITS
 from .autoscaling.autoscaler import Autoscaler
 from .autoscaling.catalog import CatalogStore, MachineCatalog
 from .autoscaling.cloud_client import CloudClient
@@ -85,7 +85,7 @@
 
     def cancellation_received(self, cancellation: Cancellation) -> None:
         """Apply a committed cancellation received from a peer."""
-        self._job_index.learn_cancelled(
+        self._job_index.apply_peer_cancellation(
             cancellation.job, cancellation.version, cancellation.tasks, cancellation.done
         )
 
@@ -99,7 +99,7 @@
         heartbeat.cancellations = [
             Cancellation(*entry) for entry in self._job_index.cancelled_after(revision)
         ]
-        heartbeat.shards = self._scheduler.statuses.own()
+        heartbeat.shards = self._scheduler.statuses.led_statuses()
         heartbeat.terminated = self._autoscaler.terminated_machines()
         heartbeat.draining = self._autoscaler.draining_machines()
 
@@ -110,7 +110,7 @@
 
     async def serve_forwarded(self, request: Request) -> Response:
         """Handle a user's request that a peer has forwarded."""
-        return await self._api.local(request)
+        return await self._api.serve_locally(request)
 
 
 class Controller:
@@ -133,7 +133,7 @@
             self.layout,
             self.migration,
             policy.period,
-            lambda: self.api.admission_queue.occupied,
+            lambda: self.api.admission_queue.expects_retries,
             self.decisions.on_decision,
         )
         self.agents = AgentManager(
@@ -296,7 +296,7 @@
             max_connections=int(connections * (1 - OUTBOUND_SHARE - PEER_SHARE)),
             idle_timeout=agent_times.lease_s * USER_IDLE_TIMEOUT_LEASES,
             request_timeout=agent_times.report_s * USER_REQUEST_TIMEOUT_HEARTBEATS,
-            priority_paths=frozenset({HEARTBEATS}),
+            priority_paths=frozenset({AGENT_HEARTBEATS_PATH}),
         )
         peers = Server(
             self.membership.serve,
@@ -344,5 +344,5 @@
             ("read_barrier", self.api.read_barrier.run),
             ("drains", self.autoscaler.run_local_drains),
             ("decisions", lambda: self.decisions.run(self.policy.period)),
-            *[batcher] * CONCURRENT_COMMITS,
+            *[batcher] * MAX_CONCURRENT_COMMITS,
         ]
--- a/pitchtally/jobs/progress_writer.py
+++ b/pitchtally/jobs/progress_writer.py
@@ -1,8 +1,8 @@
-"""Finished tasks and ended jobs, made durable in batches.
+"""Batched writes of finished tasks and completed jobs to the state store.
 
-Progress is written at most once a period, unless users or other shards wait for it; the
-write that completes a job goes at once. A job whose write the store refuses for its size is
-tried again a period later: nothing is lost, since agents report exits until they are durable.
+A job's progress is written at most once a period, unless users or other shards wait for it; the
+write that completes a job is sent at once. A job whose write the store rejects for its size is
+retried a period later: nothing is lost, since agents report exits until these are durable.
 """
 
 from __future__ import annotations
@@ -28,24 +28,24 @@
 log = logging.getLogger(__name__)
 
 CHECK_INTERVAL_S = 0.25
-# Several completions often come together: a moment's wait batches them.
-BATCHING_S = 0.02
-# Progress that nobody waits for is written after that many periods at the latest.
-MAX_DELAY_PERIODS = 12
+# Several completions often arrive together: after this delay they share a transaction.
+BATCHING_DELAY_S = 0.02
+# After this many periods without a write, routine progress is written with the urgent progress.
+MAX_WRITE_DELAY_PERIODS = 12
 
 
 @dataclass(frozen=True, slots=True)
 class JobWrites:
-    """Writes of one job that share a transaction; one too small for all has several of these."""
+    """Writes of a job that share a transaction; a job with too many for one has several groups."""
 
     job: Job
     changes: list[Write]
-    last: bool
+    is_last: bool  # whether no further changes of the job follow
 
 
 @dataclass(frozen=True, slots=True)
 class DueJobs:
-    """Jobs whose progress is to be written now, by urgency."""
+    """Jobs whose progress has to be written now, by urgency."""
 
     complete: list[Job] = field(default_factory=list)
     urgent: list[Job] = field(default_factory=list)  # users or other shards wait for it
@@ -53,7 +53,7 @@
 
 
 class ProgressWriter:
-    """The loop that writes what is known here of finished tasks."""
+    """Writes the finished tasks that agents have reported to this node."""
 
     def __init__(
         self,
@@ -67,8 +67,8 @@
     ):
         """Eight parameters, one for each component that a write passes through.
 
-        `period`: seconds between two writes of a job's progress that nobody waits for.
-        `submissions_queued`: whether users wait whose submissions were refused.
+        `period`: seconds between two routine writes of a job's progress.
+        `submissions_queued`: returns whether any refused submission is expected to be retried.
         """
         self.job_index = job_index
         self.commits = commits
@@ -77,14 +77,14 @@
         self.period = period
         self._submissions_queued = submissions_queued
         self._on_decision = on_decision
-        # Jobs whose write the store refused, and until when they aren't tried again.
+        # Jobs whose write the store rejected, and the time before which they aren't retried.
         self._refused_until: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Write what is due, again and again."""
+        """Write due progress at regular intervals, or earlier if a write is requested."""
         while True:
             await self.job_index.unwritten.wait(CHECK_INTERVAL_S)
-            await trio.sleep(BATCHING_S)
+            await trio.sleep(BATCHING_DELAY_S)
             try:
                 await self._flush()
             except StoreUnavailable as error:
@@ -96,17 +96,17 @@
         due = DueJobs()
         for id in self.job_index.unwritten.jobs():
             job = self.job_index.jobs[id]
-            if not job.open or not (job.local or job.complete):
+            if not job.open or not (job.unwritten_tasks or job.complete):
                 self.job_index.unwritten.discard(id)
             elif self.commits.writable_shard(job) is None or self._is_refused(id, now):
-                # Another leader will learn of these tasks from agent heartbeats.
+                # If the shard has another leader, it gets these tasks from agent heartbeats.
                 continue
             elif job.complete:
                 due.complete.append(job)
-            elif job.awaited or now - job.flushed_at >= self.period * MAX_DELAY_PERIODS:
-                # Under a flood progress comes last, but not never: agents go on reporting
-                # exited tasks until these are durable, to a new leader too. So nothing is
-                # lost meanwhile, but heartbeats grow.
+            elif job.write_urgent or now - job.flushed_at >= self.period * MAX_WRITE_DELAY_PERIODS:
+                # Under overload, progress is written last, but the delay is bounded: agents
+                # keep reporting exited tasks until these are durable, also to a new leader.
+                # So nothing is lost meanwhile, but heartbeats grow.
                 due.urgent.append(job)
             elif now - job.flushed_at >= self.period:
                 due.routine.append(job)
@@ -120,28 +120,28 @@
         burst = self.commits.write_burst
         completion_priority, completion_burst = Priority.COMPLETIONS, burst
         if self._submissions_queued():
-            # After an outage completions have piled up as well. They are late already, while
-            # users whose submissions are refused give up before long: both get their share.
+            # After an outage, completions have accumulated as well. They are late already, while
+            # users whose submissions are refused soon stop retrying: both get a share.
             completion_priority, completion_burst = Priority.SUBMISSIONS, burst / 2
         await self._write_all(due.complete, completion_priority, completion_burst)
         await self._write_all(due.urgent, Priority.SUBMISSIONS, burst / 2)
-        # Progress takes no more at once than leaves the next submission its permits.
+        # Routine progress takes only as many permits at once as leave some to the next submission.
         await self._write_all(due.routine, Priority.PROGRESS, burst / 2)
 
     async def _write_all(self, jobs: list[Job], priority: Priority, burst: float) -> None:
-        """Write jobs in transactions of at most so many changes."""
-        most = min(self.commits.max_writes, burst)
+        """Write jobs in transactions of at most `burst` changes, within the store's limit."""
+        max_writes = min(self.commits.max_writes, burst)
         batch: list[JobWrites] = []
         size = 0
         for job in jobs:
             if not job.complete and self.layout.needs_conversion(job):
                 await self.migration.convert(job, priority)
                 continue
-            if batch and size + self._cost(job) > most:
+            if batch and size + self._count_writes(job) > max_writes:
                 await self._write(batch, priority)
                 batch, size = [], 0
             for writes in self._writes_of(job):
-                if batch and size + len(writes.changes) > most:
+                if batch and size + len(writes.changes) > max_writes:
                     await self._write(batch, priority)
                     batch, size = [], 0
                 batch.append(writes)
@@ -149,25 +149,25 @@
         if batch:
             await self._write(batch, priority)
 
-    def _cost(self, job: Job) -> int:
+    def _count_writes(self, job: Job) -> int:
         return sum(len(writes.changes) for writes in self._writes_of(job))
 
     def _writes_of(self, job: Job) -> list[JobWrites]:
-        """The writes that make this job's local knowledge durable."""
+        """Return the writes that make a job's unwritten tasks durable, by transaction."""
         if not job.open:
-            return []  # it ended while others were written
+            return []  # the job ended while other jobs were written
         if job.complete:
             final = JobRecord(DONE, job.record.tasks)
-            # Its other keys are removed later (`jobs.cleanup`): they mean nothing now.
-            return [JobWrites(job, [Write(keys.job(job.id), encode(final))], last=True)]
+            # The job's other keys are obsolete after this write; `jobs.cleanup` removes them later.
+            return [JobWrites(job, [Write(keys.job(job.id), encode(final))], is_last=True)]
         joined = TaskBitmap(job.record.tasks)
         joined.add_bytes(bytes(job.finished.data))
-        for task in job.local:
+        for task in job.unwritten_tasks:
             joined.add(task)
-        changes = self.layout.progress(job, joined)
-        most = self.commits.max_writes
-        groups = [changes[i : i + most] for i in range(0, len(changes), most)]
-        return [JobWrites(job, group, last=group is groups[-1]) for group in groups]
+        changes = self.layout.progress_writes(job, joined)
+        max_writes = self.commits.max_writes
+        groups = [changes[i : i + max_writes] for i in range(0, len(changes), max_writes)]
+        return [JobWrites(job, group, is_last=group is groups[-1]) for group in groups]
 
     async def _write(self, writes: list[JobWrites], priority: Priority) -> None:
         try:
@@ -182,32 +182,32 @@
             self._refused_until[job.id] = trio.current_time() + self.period
 
     async def _commit(self, writes: list[JobWrites], priority: Priority) -> None:
-        conditions: dict[str, int] = {}
+        preconditions: dict[str, int] = {}
         changes: list[Write] = []
-        kept: list[JobWrites] = []
+        included: list[JobWrites] = []
         for write in writes:
             job = write.job
             shard = self.commits.writable_shard(job)
             if shard is None or not job.open:
                 continue
-            conditions[keys.shard(shard.shard)] = shard.token
-            conditions[keys.job(job.id)] = job.version
+            preconditions[keys.shard(shard.shard)] = shard.token
+            preconditions[keys.job(job.id)] = job.version
             for change in write.changes:
-                # Chunks are written by several leaders: each must join the latest.
-                conditions[change.key] = self.commits.replica.version(change.key)
+                # Several shard leaders write to a chunk: each must add to its latest version.
+                preconditions[change.key] = self.commits.replica.version(change.key)
             changes += write.changes
-            kept.append(write)
-        if not kept:
+            included.append(write)
+        if not included:
             return
-        if not await self.commits.commit(conditions, changes, priority=priority):
-            return  # whoever waits for it still does
+        if not await self.commits.commit(preconditions, changes, priority=priority):
+            return  # the jobs stay due, with the same urgency
         now = trio.current_time()
-        for write in kept:
-            if not write.last:
+        for write in included:
+            if not write.is_last:
                 continue
             job = write.job
             job.flushed_at = now
-            job.awaited = False
+            job.write_urgent = False
             self._refused_until.pop(job.id, None)
             if job.record.stage == DONE:
                 self._on_decision(Decision.DONE, job.id, DecisionReason(version=job.version))
--- a/pitchtally/scheduling/gangs/range_return.py
+++ b/pitchtally/scheduling/gangs/range_return.py
@@ -5,7 +5,7 @@
 import trio
 
 from ...jobs.index import Job
-from ...jobs.job_record import TaskRange, merge
+from ...jobs.job_record import TaskRange, merge_ranges
 from ...membership.membership import Membership
 from ...state_store import keys
 from ...state_store.errors import StoreUnavailable
@@ -76,7 +76,7 @@
     def _stop_if_incomplete(self, allocation: ShardAllocation) -> None:
         """Stop the tasks of an attempt that another shard has returned."""
         job = allocation.job
-        has_finished_tasks = bool(job.finished.count or job.local)
+        has_finished_tasks = bool(job.finished.count or job.unwritten_tasks)
         if job.record.attempt and not is_fully_assigned(job) and not has_finished_tasks:
             for placement in list(allocation.placed.values()):
                 self.agents.stop(placement, job.spec.checkpoint_grace)
@@ -84,7 +84,7 @@
     def _should_return(self, state: ShardState, allocation: ShardAllocation) -> bool:
         """Return whether a job has been pending here for too long, or its attempt has failed."""
         job = allocation.job
-        has_finished_tasks = bool(job.finished.count or job.local)
+        has_finished_tasks = bool(job.finished.count or job.unwritten_tasks)
         shared_attempt = job.record.attempt
         if (
             not has_finished_tasks
@@ -98,7 +98,7 @@
         elif (
             allocation.gang
             and not has_finished_tasks
-            and not self.deadlines.is_late(job)
+            and not self.deadlines.is_reservation_due(job)
             and job.id not in state.ready_gangs
             and self.quotas.limit_left(job.spec) >= job.spec.tasks
         ):
@@ -120,12 +120,12 @@
                 # Finished tasks stay with the shard that ran them.
                 finished = (task for task in range(first, end) if job.is_finished(task))
                 kept.extend((task, task + 1, shard) for task in finished)
-        remaining = merge(kept)
+        remaining = merge_ranges(kept)
         if len(remaining) <= MAX_RANGES_PER_JOB:
             return remaining
         # Too many ranges for a record: remove all of the shard's ranges, but only once its
         # finished tasks are durable.
-        if job.local:
+        if job.unwritten_tasks:
             return None
         return [task_range for task_range in job.record.ranges if task_range.shard != shard]
 
@@ -151,4 +151,4 @@
             allocation.moving = False
             if job.open:
                 self.shard_states.update_allocation(job, shard)
-                allocation.rebuild()
+                allocation.rebuild_pending()
--- a/pitchtally/scheduling/gangs/reservations.py
+++ b/pitchtally/scheduling/gangs/reservations.py
@@ -138,7 +138,9 @@
         self, current: _ShardReservations, allocation: ShardAllocation, task_count: int
     ) -> bool:
         """Return whether a job may reserve machines in addition to the present reservations."""
-        if task_count > 1 and (current.has_wide_gang or not self.deadlines.is_late(allocation.job)):
+        if task_count > 1 and (
+            current.has_wide_gang or not self.deadlines.is_reservation_due(allocation.job)
+        ):
             return False
         # Of aged jobs that aren't gangs, only one reserves machines at a time, within its team's
         # limit: while jobs beyond the limit are queued, every array becomes aged.
--- a/pitchtally/scheduling/gangs/starter.py
+++ b/pitchtally/scheduling/gangs/starter.py
@@ -13,7 +13,7 @@
 from ..context import SchedulingContext
 from ..priorities import PriorityOrder
 from ..quotas.quotas import Quotas
-from ..shards.allocations import ShardAllocation, ShardState, most_in_zone
+from ..shards.allocations import ShardAllocation, ShardState, max_tasks_in_zone
 from ..shards.eligibility import is_ready, machine_allowed
 from ..shards.shard_statuses import ShardStatuses
 from ..shards.task_start import next_attempt, place_task
@@ -66,7 +66,7 @@
                 state.ready_gangs.discard(id)
                 continue
             job = allocation.job
-            shared_attempt = 0 if job.finished.count or job.local else job.record.attempt
+            shared_attempt = 0 if job.finished.count or job.unwritten_tasks else job.record.attempt
             if shared_attempt and not self._all_shards_ready(state, allocation, machines, now):
                 continue
             attempt = shared_attempt or next_attempt(self.agents, shard)
@@ -78,13 +78,15 @@
         job = allocation.job
         if allocation.placed or not is_ready(state, job.id, allocation, now):
             return False
-        if job.finished.count or job.local:
+        if job.finished.count or job.unwritten_tasks:
             # If one task has finished, all have. A task whose machine was lost afterwards has its
             # result saved, so a new start of it ends at once.
             return True
         if job.record.attempt:
             return allocation.last_shared_attempt != job.record.attempt and is_fully_assigned(job)
-        return allocation.pending.count >= job.spec.tasks - job.finished.count - len(job.local)
+        return allocation.pending.count >= job.spec.tasks - job.finished.count - len(
+            job.unwritten_tasks
+        )
 
     def _place(self, allocation: ShardAllocation, machines: list[Machine], attempt: int) -> None:
         allocation.last_shared_attempt = attempt
@@ -148,7 +150,7 @@
             zone: cap for cap_shard, zone, cap in job.record.zone_caps if cap_shard == shard
         }
         zone_limit = (
-            most_in_zone(job.spec) if job.spec.spread and job.spec.tasks > 1 else task_count
+            max_tasks_in_zone(job.spec) if job.spec.spread and job.spec.tasks > 1 else task_count
         )
         chosen: list[Machine] = []
         tasks_by_zone: dict[str, int] = {}
--- a/pitchtally/scheduling/placement/status_publisher.py
+++ b/pitchtally/scheduling/placement/status_publisher.py
@@ -1,4 +1,4 @@
-"""The statuses of the shards that this controller leads, for its peers and its own planning."""
+"""Statuses of the shards that this controller leads, for its peers and its own planning."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class StatusPublisher:
-    """Refreshes the statuses of our shards; their availability matrices only once a period."""
+    """Refreshes the statuses of led shards; their availability matrices only once per period."""
 
     def __init__(
         self,
@@ -39,15 +39,15 @@
         self.shards = shards
         self.statuses = statuses
         self.quotas = quotas
-        self.matrix_at = LONG_AGO
+        self.matrices_refreshed_at = LONG_AGO
 
     def refresh(self) -> float:
-        """Refresh the statuses of our shards; the seconds that it took."""
+        """Refresh the statuses of all led shards; return the seconds that it took."""
         now = trio.current_time()
         self.statuses.drop_reported_allocations(now)
-        matrices_due = now - self.matrix_at >= self.policy.period
+        matrices_due = now - self.matrices_refreshed_at >= self.policy.period
         if matrices_due:
-            self.matrix_at = now
+            self.matrices_refreshed_at = now
         over_guarantee: set[str] = set()
         if len(self.quotas.teams) > 1:
             over_guarantee = {
@@ -68,21 +68,23 @@
         matrices_due: bool,
         now: float,
     ) -> None:
-        """Replace the status of one shard; without new matrices it keeps those of the last."""
+        """Replace the status of one shard; keep the previous matrices if no new ones are due."""
         old = self.statuses.newest.get(shard)
-        status = self._state_of_shard(shard, state, over_guarantee, now)
+        status = self._shard_status(shard, state, over_guarantee, now)
         if matrices_due or old is None or not old.matrix:
-            status.stretch = min((g.level for g in state.machine_groups.values()), default=0.0)
+            status.stretch = min(
+                (g.least_stretch for g in state.machine_groups.values()), default=0.0
+            )
             status.matrix = self._matrices(state, now)
             self.statuses.unreported.pop(shard, None)
         else:
             status.matrix, status.stretch = old.matrix, old.stretch
         self.statuses.put(status)
 
-    def _state_of_shard(
+    def _shard_status(
         self, shard: int, state: ShardState, over_guarantee: set[str], now: float
     ) -> ShardStatus:
-        """The status of a shard without its matrices and its least stretch."""
+        """Return the status of a shard without its matrices and its least stretch."""
         machines = self.agents.of_shard(shard)
         reserved = [m for m in machines if m.reservation and m.reservation.until >= now]
         pending = _pending_tasks(state)
@@ -103,7 +105,7 @@
             usage={
                 team: self.quotas.use(shard, team)
                 for team in self.quotas.teams
-                if self.quotas.limited(team)
+                if self.quotas.has_limit(team)
             },
         )
 
@@ -122,12 +124,12 @@
             Resources(*machine.used_by_rank[-1]),
             len(machine.placements),
             now - machine.idle_since,
-            self._flag(machine, now),
+            self._machine_flag(machine, now),
             over_guarantee=self._used_over_guarantee(machine, over_guarantee),
         )
 
     def _queued_seconds(self, state: ShardState, pending: dict[str, int]) -> float:
-        """The work of pending tasks, in CPU-seconds."""
+        """Return the work of pending tasks, in CPU-seconds."""
         queued = 0.0
         for id, count in pending.items():
             allocation = state.allocations[id]
@@ -137,7 +139,7 @@
         return queued
 
     def _matrices(self, state: ShardState, now: float) -> list[GroupMatrix]:
-        """The paper's availability matrices, one for each machine group."""
+        """Return the paper's availability matrices, one for each machine group."""
         matrices = []
         for key, group in state.machine_groups.items():
             queue = machine_queue(state, group, len(user_api.RANKS))
@@ -153,9 +155,10 @@
         return matrices
 
     def _used_over_guarantee(self, machine: Machine, over_guarantee: set[str]) -> Resources:
-        """What teams over their guarantee use, except the lowest rank and gangs.
+        """Return the resources that teams over their guarantee use, without some tasks.
 
-        The lowest rank is preemptible anyway, and gangs aren't preempted for a guarantee.
+        Tasks of the lowest rank are left out, since they are preemptible anyway, and so are
+        gangs, since they aren't preempted for a guarantee.
         """
         used = NO_RESOURCES
         if over_guarantee:
@@ -170,35 +173,37 @@
         return used
 
     def _log_load(self, shard: int, state: ShardState) -> None:
-        """Log what is available and what is pending in a shard."""
+        """Log the free resources, pending tasks and quota usage of a shard."""
         capacities: dict[str, list[float]] = {}
         for machine in self.agents.of_shard(shard):
             if machine.schedulable and machine.machine_type is not None:
                 free = machine.available()
-                row = capacities.setdefault(
+                totals = capacities.setdefault(
                     f"{machine.type}{'*' if machine.spot else ''}", [0, 0, 0]
                 )
-                row[0] += 1
-                row[1] += free[0]
-                row[2] += free[1]
+                totals[0] += 1
+                totals[1] += free[0]
+                totals[2] += free[1]
         pending: dict[str, int] = {}
         for allocation in state.allocations.values():
             if allocation.pending.count:
                 name = allocation.job.spec.job_class
                 pending[name] = pending.get(name, 0) + allocation.pending.count
-        text = " ".join(
+        free_text = " ".join(
             f"{t}:{int(n)}x,{c:g}c,{g:g}g" for t, (n, c, g) in sorted(capacities.items())
         )
         quotas = self.quotas
-        teams = " ".join(
+        quota_text = " ".join(
             f"{t}:{quotas.use(shard, t)[0]:g}/{quotas.share(shard, t)[0]:g}"
             for t in quotas.teams
-            if quotas.limited(t)
+            if quotas.has_limit(t)
+        )
+        log.info(
+            "load shard=%d free=[%s] pending=%s quota=[%s]", shard, free_text, pending, quota_text
         )
-        log.info("load shard=%d free=[%s] pending=%s quota=[%s]", shard, text, pending, teams)
 
-    def _flag(self, machine: Machine, now: float) -> MachineFlag:
-        """Why tasks may not start on a machine, the most lasting reason first."""
+    def _machine_flag(self, machine: Machine, now: float) -> MachineFlag:
+        """Return why tasks may not start on a machine; of several reasons the most lasting."""
         if machine.lost:
             return MachineFlag.LOST if machine.confirmed else MachineFlag.SUSPECT
         if machine.preemption_at is not None:
@@ -213,7 +218,7 @@
 
 
 def _pending_tasks(state: ShardState) -> dict[str, int]:
-    """Pending tasks by job; one of a faulty job, since a single machine is enough to retry it."""
+    """Return pending tasks by job; 1 for a faulty job, which one machine is enough to retry."""
     return {
         id: 1 if allocation.faulty and not allocation.gang else allocation.pending.count
         for id, allocation in state.allocations.items()
@@ -222,7 +227,7 @@
 
 
 def _ready_gangs(state: ShardState) -> set[str]:
-    """The ready gangs that the shard still has, and that still are over several shards."""
+    """Return the ready gangs that the shard still has and that still span several shards."""
     return {
         id
         for id in state.ready_gangs
--- a/pitchtally/scheduling/priorities.py
+++ b/pitchtally/scheduling/priorities.py
@@ -44,7 +44,7 @@
             for objective in self.deadlines.objectives.get(spec.job_class, ())
             if objective.within_s is not None
         )
-        if spec.kind == user_api.GANG and self.quotas.guaranteed(spec.team):
+        if spec.kind == user_api.GANG and self.quotas.has_guarantee(spec.team):
             # An array starts task by task as capacity becomes available. A gang within its team's
             # guarantee starts in time only if machines for all its tasks are already running.
             limits_s.extend(
@@ -68,5 +68,5 @@
         return (
             allocation.rank,
             not self.quotas.within_guarantee(allocation.spec),
-            self.deadlines.allocation_due(allocation, level),
+            self.deadlines.allocation_deadline(allocation, level),
         )
--- a/pitchtally/scheduling/rebalancing/service_migration.py
+++ b/pitchtally/scheduling/rebalancing/service_migration.py
@@ -23,7 +23,7 @@
 from ..gangs.free_capacity import FreeCapacity
 from ..gangs.single_shard_planner import SingleShardPlanner
 from ..quotas.quotas import Quotas
-from ..shards.allocations import ShardAllocation, ShardState, most_in_zone
+from ..shards.allocations import ShardAllocation, ShardState, max_tasks_in_zone
 from ..shards.eligibility import is_ready
 from ..shards.shard_statuses import ShardStatuses
 from .task_migration import TaskMigration
@@ -144,7 +144,9 @@
             return {}
         placed = self._placed_by_zone(allocation)
         if capped:
-            return {zone: allocation.most_in_zone(zone) - count for zone, count in placed.items()}
+            return {
+                zone: allocation.max_tasks_in_zone(zone) - count for zone, count in placed.items()
+            }
         return remaining_by_zone(allocation.job, placed, allocation.shard)
 
     async def _migrate(self, allocation: ShardAllocation, target: ReplicaMigration) -> None:
@@ -192,7 +194,7 @@
     for cap_shard, zone, cap in job.record.zone_caps:
         if cap_shard != shard:
             counted[zone] += cap
-    max_per_zone = most_in_zone(job.spec)
+    max_per_zone = max_tasks_in_zone(job.spec)
     return {zone: max(0, max_per_zone - counted[zone]) for zone in placed}
 
 
--- a/pitchtally/scheduling/shards/failure_tracker.py
+++ b/pitchtally/scheduling/shards/failure_tracker.py
@@ -1,4 +1,4 @@
-"""Acts on failure attribution: back-off of faulty jobs, quarantine of unhealthy machines."""
+"""Back-off of faulty jobs and quarantine of unhealthy machines, after failure attribution."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 log = logging.getLogger(__name__)
 
-# Agent heartbeat intervals: the cap of the exponential back-off.
+# Upper bound of the exponential back-off, in agent heartbeat intervals.
 MAX_BACKOFF_INTERVALS = 16.0
 
 
 class FailureTracker:
-    """Attributes failures to jobs or machines; backs off the one, quarantines the other."""
+    """Attributes failures to jobs, which it backs off, or machines, which it quarantines."""
 
     def __init__(
         self,
@@ -39,27 +39,29 @@
             return
         ran_s = now - placement.running_since if placement.running_since is not None else 0.0
         if ran_s >= self.policy.unhealthy_rest:
-            # Whatever the cause, neither the job nor the machine fails each start.
-            allocation.short_runs = 0
+            # After a long run, neither the job nor the machine is failing at each start.
+            allocation.consecutive_short_runs = 0
             allocation.failed_on.clear()
-            allocation.failed_after = 0.0
+            allocation.longest_failed_run_s = 0.0
         elif cause == agent_api.DONE:
-            allocation.short_runs += 1
+            allocation.consecutive_short_runs += 1
             backoff_s = self.agent_heartbeat_s * min(
-                2.0**allocation.short_runs, MAX_BACKOFF_INTERVALS
+                2.0**allocation.consecutive_short_runs, MAX_BACKOFF_INTERVALS
             )
-            if allocation.short_runs > 1:
+            if allocation.consecutive_short_runs > 1:
                 allocation.not_before = now + backoff_s
 
     def task_failed(
         self, state: ShardState, allocation: ShardAllocation, placement: Placement
     ) -> None:
-        """Attribute the failure of a task: back off its job, or quarantine its machine."""
+        """Back off the job of a failed task, or quarantine the machine, whichever is at fault."""
         now = trio.current_time()
         machine = placement.machine
         allocation.failed_on[machine.name] = now
         if placement.running_since is not None:
-            allocation.failed_after = max(allocation.failed_after, now - placement.running_since)
+            allocation.longest_failed_run_s = max(
+                allocation.longest_failed_run_s, now - placement.running_since
+            )
         self.reclassify(allocation)
         if not allocation.faulty:
             self._quarantine_if_unhealthy(state, machine)
@@ -78,27 +80,32 @@
                 backoff_s,
             )
         for name in allocation.failed_on:
-            other = self.agents.machines.get(name)
-            if other is not None and other.failures_by_job.pop(allocation.job.id, None) is not None:
-                other.last_failure_at.pop(allocation.job.id, None)
-                if other.quarantined_until > now and not self._is_unhealthy(state, other):
-                    other.quarantined_until = LONG_AGO
+            failed_machine = self.agents.machines.get(name)
+            if (
+                failed_machine is not None
+                and failed_machine.failures_by_job.pop(allocation.job.id, None) is not None
+            ):
+                failed_machine.last_failure_at.pop(allocation.job.id, None)
+                if failed_machine.quarantined_until > now and not self._is_unhealthy(
+                    state, failed_machine
+                ):
+                    failed_machine.quarantined_until = LONG_AGO
 
     def reclassify(self, allocation: ShardAllocation) -> None:
-        """Update whether the job counts as faulty; it can't be while it has never failed."""
+        """Update whether the job is faulty; a job without any failure never is."""
         if allocation.failed_on:
             allocation.faulty = self._classify(allocation) is JobHealth.FAULTY
 
     def _classify(self, allocation: ShardAllocation) -> JobHealth:
         now = trio.current_time()
         return classify_job(
-            bool(allocation.job.finished.count or allocation.job.local),
+            bool(allocation.job.finished.count or allocation.job.unwritten_tasks),
             len(allocation.failed_on),
-            allocation.failed_after,
+            allocation.longest_failed_run_s,
             [
-                now - p.running_since
-                for p in allocation.placed.values()
-                if p.running_since is not None
+                now - running_placement.running_since
+                for running_placement in allocation.placed.values()
+                if running_placement.running_since is not None
             ],
             self.agent_heartbeat_s * 2,
         )
@@ -109,12 +116,12 @@
         for id, count in machine.failures_by_job.items():
             job, allocation = self.job_index.jobs.get(id), state.allocations.get(id)
             if job is None or (not job.open and job.record.stage != DONE):
-                continue  # cancelled, as users do with a job that has a mistake
+                continue  # probably cancelled by its user because of a mistake in the job
             failures[id] = count
             if allocation is not None:
                 health[id] = self._classify(allocation)
             else:
-                done = not job.open or bool(job.finished.count or job.local)
+                done = not job.open or bool(job.finished.count or job.unwritten_tasks)
                 health[id] = JobHealth.GOOD if done else JobHealth.UNKNOWN
         return is_unhealthy(failures, health)
 
--- a/tests/formats/test_golden.py
+++ b/tests/formats/test_golden.py
@@ -395,8 +395,8 @@
     bits = TaskBitmap(20)
     for task in (0, 2, 9, 19):
         bits.add(task)
-    assert bits.text() == "BQII"
-    assert bits.text(1, 1) == "Ag=="
+    assert bits.to_base64() == "BQII"
+    assert bits.to_base64(1, 1) == "Ag=="
 
 
 @pytest.mark.parametrize(("gate_open", "chunk"), [(False, 12), (True, 7000000017)])
@@ -569,9 +569,9 @@
         job_ = controller.job_index.jobs["wk-000001"]
         joined = TaskBitmap(tasks)
         for task in (1, 5):
-            job_.local.add(task)
+            job_.unwritten_tasks.add(task)
             joined.add(task)
-        assert stored(controller.layout.progress(job_, joined)) == [expected]
+        assert stored(controller.layout.progress_writes(job_, joined)) == [expected]
 
     run_on_mock_clock(body)
 
@@ -583,7 +583,7 @@
         for number, key in enumerate(keys):
             controller.replica.apply_committed(key, b'"AA=="', 10 + number)
         controller.replica.apply_committed("pt/jobs/wk-000001", b'{"stage":"done","tasks":6}', 20)
-        assert controller.cleanup.left_over(10) == keys
+        assert controller.cleanup.leftover_keys(10) == keys
 
     run_on_mock_clock(body)
 
@@ -593,7 +593,7 @@
         controller = controller_of(True)
         values: list[tuple[str, bytes | None, int]] = []
         controller.replica.listen("", lambda *change: values.append(change))
-        controller.job_index.learn_cancelled("wk-000001", 12, 6, 2)
+        controller.job_index.apply_peer_cancellation("wk-000001", 12, 6, 2)
         assert values == [
             ("jobs/wk-000001", b'{"stage":"withdrawn","tasks":6,"count":2}', 12),
         ]
