--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -1,6 +1,6 @@
-"""`python -m standins`: state store, cloud and agents on loopback, for trying controllers.
+"""`python -m standins [FOLDER]`: a state store, a cloud and agents on loopback, for trials.
 
-Writes a settings file for each controller into a folder, then serves until ended.
+Writes a settings file for each controller into the folder, then serves until interrupted.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from .network import Network
 from .state_store import StateStore
 
-TYPES: dict[str, dict[str, Any]] = {
+MACHINE_TYPES: dict[str, dict[str, Any]] = {
     "small": {
         "vcpus": 8.0,
         "memGb": 32.0,
@@ -41,14 +41,16 @@
     },
 }
 STATE_PORT, CLOUD_PORT = 7001, 7002
-FIRST_CONTROLLER_PORT = 7010  # each has one for users and agents, and one for peers
+FIRST_CONTROLLER_PORT = 7010  # each controller has one port for users and agents, one for peers
 CONTROLLERS = 3
 HOST = "127.0.0.1"
 ZONES = ("a", "b")
 
-TIMES = AgentTimes(report_s=1.0, lease_s=10.0, gang_wait_s=12.0, gang_peer_s=3.0, cancel_s=25.0)
+AGENT_TIMES = AgentTimes(
+    report_s=1.0, lease_s=10.0, gang_wait_s=12.0, gang_peer_s=3.0, cancel_s=25.0
+)
 
-SETTINGS = """\
+SETTINGS_TEMPLATE = """\
 node_name = "node-{n}"
 domain = "a"
 public_addr = "127.0.0.1:{public}"
@@ -88,7 +90,7 @@
 
 
 class LoopbackNetwork(Network):
-    """Carries the calls of the stand-ins over real sockets."""
+    """Sends the requests of the agents over real sockets, without faults."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -108,14 +110,14 @@
 
 
 class JobSpecs(dict[str, dict[str, Any]]):
-    """Job specifications, which agents fetch on their own: here, from the jobs' records."""
+    """Job specifications, which agents fetch themselves: here from the stored job records."""
 
     def __init__(self, state_store: StateStore) -> None:
         super().__init__()
         self.state_store = state_store
 
     def get(self, key: str, default: Any = None) -> Any:
-        """Return a job's specification, or the default if there is no such job."""
+        """Return the specification of a job, or the default if there is no such job."""
         return self[key] if key in self or f"pt/jobs/{key}" in self.state_store.items else default
 
     def __missing__(self, key: str) -> dict[str, Any]:
@@ -127,7 +129,7 @@
 
 
 def write_settings(folder: Path) -> None:
-    """Write a settings file for each controller."""
+    """Write the settings file of each controller."""
     folder.mkdir(parents=True, exist_ok=True)
     for n in range(CONTROLLERS):
         members = "\n".join(
@@ -135,7 +137,7 @@
             for m in range(CONTROLLERS)
             if m != n
         )
-        text = SETTINGS.format(
+        text = SETTINGS_TEMPLATE.format(
             n=n,
             public=controller_port(n),
             peer=peer_port(n),
@@ -143,13 +145,13 @@
             members=members,
             cloud=CLOUD_PORT,
             state=STATE_PORT,
-            times=TIMES,
+            times=AGENT_TIMES,
         )
         (folder / f"node-{n}.toml").write_text(text)
 
 
 async def main(folder: Path) -> None:
-    """Serve the stand-ins until ended."""
+    """Write the settings files and serve the stand-ins until cancelled."""
     write_settings(folder)
     network, state_store = LoopbackNetwork(), StateStore()
     controllers = [
@@ -158,8 +160,8 @@
     world = World(
         network,
         controllers,
-        TYPES,
-        TIMES,
+        MACHINE_TYPES,
+        AGENT_TIMES,
         capacity=12,
     )
     world.rules.specs = JobSpecs(state_store)
--- a/tests/cluster/test_services.py
+++ b/tests/cluster/test_services.py
@@ -29,7 +29,7 @@
         await sim.cancel(spec["ref"])
         await trio.sleep(TIMES.cancel_s + 1)
         assert not replicas_up(sim, spec["ref"])
-        assert sim.cloud.rules.started == 3
+        assert sim.cloud.rules.start_count == 3
         sim.check()
 
     run(monkeypatch, day)
@@ -112,7 +112,7 @@
         await wait_until_up(sim, spec, within=5.0)
         await trio.sleep(120)
         assert sim.cloud.terminated  # those without replicas
-        assert sim.cloud.rules.started == 4
+        assert sim.cloud.rules.start_count == 4
 
     run(monkeypatch, day)
 
@@ -128,7 +128,7 @@
 
 async def preempted(sim: Simulation, agent: Any) -> None:
     agent.preemption_at = trio.current_time() + 6.0
-    agent.changed.set()
+    agent.status_changed.set()
     await trio.sleep(6.0)
     if agent.name in sim.cloud.agents:  # not terminated before that
         sim.cloud.agents.pop(agent.name).terminate()
--- a/tests/harness/invariants.py
+++ b/tests/harness/invariants.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from standins.cloud import World
-from standins.rules import TOLERANCE, Rules, job_of
+from standins.rules import CPU_TOLERANCE, Rules, job_of
 
 FINAL_STAGES = ("done", "withdrawn")
 
@@ -69,14 +69,14 @@
             self.final_stages.setdefault(id, stage)
             self.finished_at.setdefault(id, answered_at)
         if stage == "withdrawn":
-            self.rules.cancelled.setdefault(id, answered_at)
+            self.rules.cancelled_at.setdefault(id, answered_at)
         if stage == "done" and self.rules.specs[id]["cut"] == "standing":
             self.violations.append(f"not_done {id}: a service is never done")
         if stage == "done" and self._count_done(id) < self.rules.specs[id]["rows"]:
             self.violations.append(f"not_done {id}: tasks are still unfinished")
 
     def _count_done(self, id: str) -> int:
-        return sum(1 for task in self.rules.done if job_of(task) == id)
+        return sum(1 for task in self.rules.completed_tasks if job_of(task) == id)
 
     def check_jobs_are_answered(
         self, now: float, faults_ended_at: float, limit: float = 75.0
@@ -134,7 +134,10 @@
             return False
         limit = self.rules.limits.get(spec["crew"], 0.0)
         min_tasks = spec["rows"] if gang else 1
-        if limit and used.get(spec["crew"], 0.0) + min_tasks * spec["vcpus"] > limit + TOLERANCE:
+        if (
+            limit
+            and used.get(spec["crew"], 0.0) + min_tasks * spec["vcpus"] > limit + CPU_TOLERANCE
+        ):
             return False
         free_slots = self._free_slots(spec, cloud, placed)
         if spec["oneZone"]:
@@ -156,7 +159,7 @@
                 continue
             if spec["oneZone"] and zones and agent.zone not in zones:
                 continue
-            slots = int((agent.free_cpus() + TOLERANCE) / spec["vcpus"])
+            slots = int((agent.free_cpus() + CPU_TOLERANCE) / spec["vcpus"])
             free_slots[agent.zone] = free_slots.get(agent.zone, 0) + slots
         if spec["spread"]:
             max_per_zone = (spec["rows"] + 1) // 2
--- a/tests/harness/simulation.py
+++ b/tests/harness/simulation.py
@@ -30,7 +30,7 @@
 from pitchtally.http import HttpError, Response
 from pitchtally.scheduling.shards import deadlines
 from standins.cloud import ControllerAddress, World
-from standins.network import HERE, Network
+from standins.network import CURRENT_HOST, Network
 from standins.state_store import StateStore
 
 from .deterministic_trio import schedule_deterministically
@@ -180,7 +180,7 @@
         self._probed_stages: set[tuple[str, str]] = set()
 
     async def _run_controller(self, name: str) -> None:
-        HERE.set(name)
+        CURRENT_HOST.set(name)
         with trio.CancelScope() as scope:
             self.cancel_scopes[name] = scope
             config = settings(name, self.times, self.teams, self.state_limits)
--- a/tests/harness/test_invariants.py
+++ b/tests/harness/test_invariants.py
@@ -123,7 +123,7 @@
 
 async def stage_went_back(invariants: InvariantChecker) -> None:
     id = accept_job(invariants, rows=1)
-    invariants.rules.done.add(f"{id}/0")
+    invariants.rules.completed_tasks.add(f"{id}/0")
     invariants.observe(5.0, 5.1, id, 200, "done")
     invariants.observe(6.0, 6.1, id, 200, "running")
 
@@ -196,7 +196,7 @@
         cloud: Any = SimpleNamespace(types=MACHINE_TYPES, agents={"i-1": make_agent("i-1")})
         invariants.check_startable_jobs_start(0.0, cloud)
         invariants.check_startable_jobs_start(91.0, cloud)
-        rules.done |= {f"{id}/0", f"{id}/1"}
+        rules.completed_tasks |= {f"{id}/0", f"{id}/1"}
         invariants.observe(5.0, 6.0, id, 200, "done")
         invariants.observe(5.5, 6.5, id, 200, "running")
         invariants.check_jobs_are_answered(60.0, faults_ended_at=20.0)
