--- a/pitchtally/controller.py
+++ b/pitchtally/controller.py
@@ -91,7 +91,7 @@
 
     def heartbeat_received(self, heartbeat: PeerHeartbeat) -> None:
         """Apply the latest heartbeat of a peer."""
-        self._scheduler.statuses.take_heartbeat(heartbeat)
+        self._scheduler.statuses.apply_peer_heartbeat(heartbeat)
         self._autoscaler.apply_peer_heartbeat(heartbeat)
 
     def add_updates(self, heartbeat: PeerHeartbeat, revision: int) -> None:
--- a/pitchtally/scheduling/shards/shard_statuses.py
+++ b/pitchtally/scheduling/shards/shard_statuses.py
@@ -73,7 +73,7 @@
         self.newest[status.shard] = status
         self._invalidate(status.shard)
 
-    def take_heartbeat(self, heartbeat: PeerHeartbeat) -> None:
+    def apply_peer_heartbeat(self, heartbeat: PeerHeartbeat) -> None:
         """Store the statuses of shards that the sending peer leads; ignore all others."""
         for status in heartbeat.shards:
             leader = self.membership.leader(status.shard)
