--- a/pitchtally/scheduling/gangs/range_return.py
+++ b/pitchtally/scheduling/gangs/range_return.py
@@ -59,7 +59,11 @@
                 continue
             for allocation in list(state.allocations.values()):
                 job = allocation.job
-                if not job.open or not stays_in_one_shard(job.spec) or allocation.moving:
+                if (
+                    not job.open
+                    or not stays_in_one_shard(job.spec)
+                    or allocation.range_write_in_flight
+                ):
                     continue
                 if allocation.placed:
                     self._stop_if_incomplete(allocation)
@@ -135,7 +139,7 @@
         if remaining is None:
             return
         allocation.pending_since = trio.current_time()
-        allocation.moving = True
+        allocation.range_write_in_flight = True
         version = job.version
         state.ready_gangs.discard(job.id)
         try:
@@ -148,7 +152,7 @@
         except StoreUnavailable as error:
             await self.range_writer.resolve_job_outcome(error, job, version, shard, token)
         finally:
-            allocation.moving = False
+            allocation.range_write_in_flight = False
             if job.open:
                 self.shard_states.update_allocation(job, shard)
                 allocation.rebuild_pending()
--- a/pitchtally/scheduling/rebalancing/task_migration.py
+++ b/pitchtally/scheduling/rebalancing/task_migration.py
@@ -48,7 +48,7 @@
         if token is None:
             return
         moved = allocation.pending.split_off(count)
-        allocation.moving = True
+        allocation.range_write_in_flight = True
         version = job.version
         try:
             ranges = _migrated(job.record.ranges, shard, target, moved)
@@ -65,7 +65,7 @@
             # this shard until the outcome is resolved.
             await self.range_writer.resolve_job_outcome(error, job, version, shard, token)
         finally:
-            allocation.moving = False
+            allocation.range_write_in_flight = False
             if job.open:
                 allocation.rebuild_pending()
 
--- a/pitchtally/scheduling/shards/__init__.py
+++ b/pitchtally/scheduling/shards/__init__.py
@@ -8,5 +8,5 @@
 
 Invariant: an unfinished task of a led shard's ranges is either pending or placed, never both,
 except while the outcome of a write that moves it to another shard is unknown
-(`ShardAllocation.moving`).
+(`ShardAllocation.range_write_in_flight`).
 """
--- a/pitchtally/scheduling/shards/allocations.py
+++ b/pitchtally/scheduling/shards/allocations.py
@@ -93,7 +93,8 @@
         self.placed: dict[int, Placement] = {}
         self.ranges: list[tuple[int, int]] = []
         self.pending_since = trio.current_time()  # the last start, or when tasks became pending
-        self.moving = False  # a write that moves tasks to another shard has no known outcome yet
+        # Whether the outcome of a write that takes tasks from this shard is still unknown.
+        self.range_write_in_flight = False
         self.allotted_at = LONG_AGO  # time at which tasks were last added to machine queues
         self.not_before = LONG_AGO  # end of the back-off after failures; no task starts earlier
         self.failed_on: dict[str, float] = {}  # machine -> when a task of the job last failed there
--- a/pitchtally/scheduling/shards/eligibility.py
+++ b/pitchtally/scheduling/shards/eligibility.py
@@ -14,7 +14,7 @@
     """Return whether pending tasks of the job may start now on any machine."""
     return (
         allocation.pending.count > 0
-        and not allocation.moving
+        and not allocation.range_write_in_flight
         and id not in state.blocked
         and allocation.not_before <= now
         and allocation.job.open
--- a/pitchtally/scheduling/shards/shard_states.py
+++ b/pitchtally/scheduling/shards/shard_states.py
@@ -179,7 +179,7 @@
                 state.gangs[job.id] = allocation
             self.deadlines.refresh(allocation)
             allocation.rebuild_pending()
-        elif allocation.ranges != ranges and not allocation.moving:
+        elif allocation.ranges != ranges and not allocation.range_write_in_flight:
             allocation.rebuild_pending()
         state.lower_smallest_request(allocation.resources)
         if not ranges and not allocation.placed:
