--- a/pitchtally/agents/listener.py
+++ b/pitchtally/agents/listener.py
@@ -47,8 +47,8 @@
         `cause` is the exit cause that the agent reported, or a `LossCause`.
         """
 
-    def task_completed(self, placement: Placement, ran: float) -> None:
-        """Handle a task that succeeded after `ran` seconds (negative if unknown)."""
+    def task_completed(self, placement: Placement, run_s: float) -> None:
+        """Handle a task that succeeded after `run_s` seconds (negative if unknown)."""
 
 
 class TaskStarter(Protocol):
@@ -113,7 +113,7 @@
     def placement_lost(self, placement: Placement, cause: str) -> None:
         """Do nothing."""
 
-    def task_completed(self, placement: Placement, ran: float) -> None:
+    def task_completed(self, placement: Placement, run_s: float) -> None:
         """Do nothing."""
 
 
--- a/pitchtally/scheduling/shards/shard_states.py
+++ b/pitchtally/scheduling/shards/shard_states.py
@@ -210,9 +210,9 @@
         allocation.rebuild_pending()
         return True
 
-    def task_completed(self, placement: Placement, ran: float) -> None:
-        """Record that a task in a led shard finished after running for `ran` seconds."""
-        self.estimates.record_run_time(placement.spec, ran)
+    def task_completed(self, placement: Placement, run_s: float) -> None:
+        """Record that a task in a led shard finished after running for `run_s` seconds."""
+        self.estimates.record_run_time(placement.spec, run_s)
         state = self.states.get(placement.machine.shard)
         allocation = state.allocations.get(placement.job.id) if state else None
         is_last_task = (
