--- a/pitchtally/scheduling/priorities.py
+++ b/pitchtally/scheduling/priorities.py
@@ -56,8 +56,8 @@
         default_s = self.agent_heartbeat_s if spec.is_service else run_s * DEFAULT_SLACK_TASKS
         return max(MIN_SLACK_S, min(limits_s, default=default_s))
 
-    def key(self, allocation: ShardAllocation, level: float) -> PriorityKey:
-        """Return the sort key of an allocation, with deadlines at the stretch `level`.
+    def key(self, allocation: ShardAllocation, target_stretch: float) -> PriorityKey:
+        """Return the sort key of an allocation, with deadlines at `target_stretch`.
 
         Since rank comes before the deadline, jobs of a low rank could starve. Aging prevents
         that: jobs pending for most of `start_within` precede all others until their next start;
@@ -68,5 +68,5 @@
         return (
             allocation.rank,
             not self.quotas.within_guarantee(allocation.spec),
-            self.deadlines.allocation_deadline(allocation, level),
+            self.deadlines.allocation_deadline(allocation, target_stretch),
         )
