--- a/pitchtally/scheduling/assignment/local_assignment.py
+++ b/pitchtally/scheduling/assignment/local_assignment.py
@@ -102,7 +102,7 @@
     def plan_as_leader(self, spec: user_api.JobSpec) -> Plan:
         """Plan a job that its accepting controller doesn't keep.
 
-        Returns UNASSIGNED for gangs, and if this controller isn't the cluster leader or has no
+        Returns UNASSIGNED for gangs, and if this controller isn't the cluster leader or finds no
         plan.
         """
         if self.membership.cluster_leader_token is None or spec.kind == user_api.GANG:
--- a/pitchtally/scheduling/assignment/proportional_split.py
+++ b/pitchtally/scheduling/assignment/proportional_split.py
@@ -21,7 +21,7 @@
 
 
 class ProportionalSplit:
-    """Splits jobs in proportion to the availability of shards (Algorithm 4 of the paper)."""
+    """Splits jobs in proportion to the availability of shards (algorithm 4 of the paper)."""
 
     def __init__(
         self,
@@ -70,7 +70,7 @@
     ) -> int | None:
         """Return the index of the least stretch sample at which these shards cover the job.
 
-        None if they don't cover it at any sample.
+        Returns None if they don't cover it at any sample.
         """
         totals = [
             sum(self.availability(status, spec, stretch_index) for status in statuses)
@@ -79,10 +79,10 @@
         return stretch.first_covering_index(totals, spec.tasks)
 
     def split(self, spec: user_api.JobSpec) -> list[TaskRange]:
-        """Return task ranges in proportion to availability at the least stretch that covers all.
+        """Return task ranges in proportion to availability at the least stretch that covers a job.
 
         If no stretch sample covers the job, the largest one is used, and tasks beyond the
-        availability there stay unassigned. Empty if no shard has any availability.
+        availability there stay unassigned. Returns no ranges if no shard has any availability.
         """
         if stays_in_one_shard(spec):
             best = self.single_shard_planner.best_shard(spec)
--- a/pitchtally/scheduling/gangs/free_capacity.py
+++ b/pitchtally/scheduling/gangs/free_capacity.py
@@ -103,7 +103,7 @@
     status: ShardStatus,
     source: CapacitySource,
 ) -> Resources:
-    """Return what a gang may use of a machine: of a reserved one, only what is free."""
+    """Return the resources that a gang may use; of a reserved machine, only the free ones."""
     available = machine.free
     if source is CapacitySource.RESERVED and machine.name not in status.reserved_machines:
         available = capacity_of(machine_type)
--- a/pitchtally/scheduling/gangs/range_return.py
+++ b/pitchtally/scheduling/gangs/range_return.py
@@ -114,7 +114,7 @@
     def _ranges_without(job: Job, shard: int) -> list[TaskRange] | None:
         """Return a job's ranges without the unfinished tasks of a shard.
 
-        None if the shard can't return them yet.
+        Returns None if the shard can't return them yet.
         """
         kept: list[tuple[int, int, int]] = []
         for first, end, owner in job.record.ranges:
--- a/pitchtally/scheduling/gangs/reservations.py
+++ b/pitchtally/scheduling/gangs/reservations.py
@@ -19,7 +19,7 @@
 
 log = logging.getLogger(__name__)
 
-# A gang over several machines reserves none if it would wait for longer than this share of
+# A gang of several tasks reserves no machines if it would wait for longer than this share of
 # `start_within`.
 _MAX_WAIT_SHARE = 1 / 8
 # A reservation lasts for the expected wait times this ratio, plus some agent heartbeats.
@@ -79,8 +79,8 @@
 
         Arrays take capacity task by task as tasks end; without reservations a gang of equal rank
         would wait until the arrays are done. Reserved machines start no other tasks, so only one
-        gang over several machines has reservations at a time, and none whose capacity becomes
-        available late. A gang that fits on one machine isn't limited in this way.
+        gang of several tasks has reservations at a time, and none whose capacity becomes
+        available late. A gang of one task, which needs one machine, isn't limited in this way.
         """
         state = self.shards[shard]
         now = trio.current_time()
@@ -194,7 +194,7 @@
     def _seconds_until(self, machine: Machine, request: Resources, now: float) -> float | None:
         """Return in how many seconds a machine can hold the request if nothing more starts there.
 
-        None if it never can.
+        Returns None if it never can.
         """
         available = machine.available()
         if fits(request, available):
--- a/pitchtally/scheduling/gangs/single_shard_planner.py
+++ b/pitchtally/scheduling/gangs/single_shard_planner.py
@@ -66,7 +66,7 @@
     def plan_service(self, spec: user_api.JobSpec, shards: Iterable[int]) -> Plan | None:
         """Plan a service in one of these shards with capacity for all replicas.
 
-        Capacity that needs preemption is used only if no shard has enough without. Returns None
+        Capacity that needs preemption is used only if no shard has enough without it. Returns None
         if no shard has the capacity; the replicas are then placed wherever some of them fit.
         """
         now = trio.current_time()
@@ -141,7 +141,7 @@
     def best_shard(self, spec: user_api.JobSpec) -> int | None:
         """Return the shard with capacity now, else by preemption, else with the shortest queue.
 
-        None if no shard's machines could hold the job even when empty.
+        Returns None if no shard's machines could hold the job even when empty.
         """
         candidates = []
         for status in self.statuses.newest.values():
--- a/pitchtally/scheduling/placement/allotment.py
+++ b/pitchtally/scheduling/placement/allotment.py
@@ -116,8 +116,8 @@
     ) -> list[int]:
         """Return each group's available tasks at the least stretch sample that covers `count`.
 
-        This is the paper's algorithm 4, on availability by algorithm 3. If no sample covers the
-        tasks, the largest is used. `costs`: machine-seconds of a task on each group (a of the
+        This is the paper's algorithm 4, with availability after algorithm 3. If no sample covers
+        the tasks, the largest is used. `costs`: machine-seconds of a task on each group (a of the
         paper).
         """
         now = trio.current_time()
--- a/pitchtally/scheduling/placement/placer.py
+++ b/pitchtally/scheduling/placement/placer.py
@@ -204,7 +204,7 @@
     def _capacity_in(
         self, state: ShardState, allocation: ShardAllocation, group: MachineGroupKey
     ) -> TaskCapacity:
-        """Return the tasks of a job that fit on a group: at the last survey, less later starts."""
+        """Return how many tasks of a job fit on a group: at the last survey, less later starts."""
         capacity = allocation.capacity_by_group.get(group)
         if capacity is None:
             capacities = state.capacities.get(group)
--- a/pitchtally/scheduling/placement/status_publisher.py
+++ b/pitchtally/scheduling/placement/status_publisher.py
@@ -155,7 +155,7 @@
         return matrices
 
     def _used_over_guarantee(self, machine: Machine, over_guarantee: set[str]) -> Resources:
-        """Return the resources that teams over their guarantee use, without some tasks.
+        """Return the resources that teams over their guarantee use, except lowest rank and gangs.
 
         Tasks of the lowest rank are left out, since they are preemptible anyway, and so are
         gangs, since they aren't preempted for a guarantee.
--- a/pitchtally/scheduling/placement/survey.py
+++ b/pitchtally/scheduling/placement/survey.py
@@ -17,7 +17,8 @@
 from ..shards.lower_price_capacity import list_capacities
 from ..shards.machine_queues import add_to_queue, machine_queue
 
-LEAST_STRETCH_TOLERANCE_RATIO = 0.05  # relative tolerance of the search for the least stretch
+# Relative tolerance of the search for the least stretch.
+LEAST_STRETCH_TOLERANCE_RATIO = 0.05
 # Agent heartbeat intervals without a heartbeat after which a machine isn't expected to start a
 # task soon.
 HEARTBEAT_TIMEOUT_INTERVALS = 1.5
--- a/pitchtally/scheduling/priorities.py
+++ b/pitchtally/scheduling/priorities.py
@@ -33,10 +33,7 @@
         self.quotas = quotas
 
     def slack(self, spec: user_api.JobSpec) -> float:
-        """Return how long a job may be pending and still meet its class's tightest objective.
-
-        In seconds.
-        """
+        """Return the seconds that a job may be pending and still meet its tightest objective."""
         run_s = self.estimates.expected_run_s(spec)
         limits_s = [] if spec.deadline is None else [spec.deadline - run_s]
         limits_s.extend(
--- a/pitchtally/scheduling/quotas/quota_transfer.py
+++ b/pitchtally/scheduling/quotas/quota_transfer.py
@@ -100,7 +100,8 @@
                 and not self.quotas.yields_to_gang(spec)
             ):
                 count = self._startable(self.statuses.newest[shard], spec, allocation.pending.count)
-                # A remainder too small for another task here may be enough for one elsewhere.
+                # A remainder too small for another task here may complete the quota for one in
+                # another shard.
                 count = min(count, count_fitting(limited_request(spec), Resources(cpus, gpus, 0.0)))
                 cpus -= spec.cpus * count
                 gpus -= spec.gpus * count
--- a/pitchtally/scheduling/quotas/quotas.py
+++ b/pitchtally/scheduling/quotas/quotas.py
@@ -23,7 +23,7 @@
 NO_SHARE = ShardQuotaShare(0.0, 0.0)
 # Number of tasks that a team without a limit may start at once: more than fit into any shard.
 _UNLIMITED_TASKS = 1_000_000
-# Stands for the shard of a gang that isn't assigned to any shard yet.
+# Shard number in the entry of a gang that isn't assigned to any shard yet.
 _NO_SHARD = -1
 # Agent heartbeat intervals after which a pending gang that is short of quota takes precedence
 # over all arrays of its team.
@@ -140,9 +140,9 @@
     def _unreconciled_use(self, shard: int) -> ResourceUse | None:
         """Return the maximum that a team may use on machines not reconciled since the failover.
 
-        Each of them may be full of this team's tasks, so its whole capacity counts. Return None
+        Each of them may be full of this team's tasks, so its total capacity counts. Return None
         if the machines or their capacity are unknown. Machines that have responded don't count,
-        so that a zone that is cut off during a failover doesn't stop every limited team on them.
+        so limited teams can start tasks there while a zone is unreachable during a failover.
         """
         machines_with_orphans = self.agents.machines_with_orphans.get(shard)
         if self.shards[shard].reconciled and not machines_with_orphans:
--- a/pitchtally/scheduling/range_writer.py
+++ b/pitchtally/scheduling/range_writer.py
@@ -98,11 +98,11 @@
             return False
 
     def _tokens_of_led_shards(self, ranges: Iterable[TaskRange]) -> dict[str, int]:
-        """Return preconditions that this controller still leads those of the shards it leads now.
+        """Return, as preconditions, the fencing tokens of those shards that this controller leads.
 
         The replica applies this controller's own writes before the watch delivers them. If
-        another controller had acquired one of these shards in the meantime, both would start the
-        tasks that are assigned to it.
+        another controller had acquired one of these shards in the meantime, both controllers would
+        start the tasks that are assigned to it.
         """
         tokens: dict[str, int] = {}
         for _, _, shard in ranges:
@@ -145,8 +145,8 @@
         """Return once a commit that failed with `error` can't take effect any more.
 
         A read can't show that: the store may execute a transaction seconds after the client's
-        request timed out. So the key's present value is written under the same preconditions;
-        `present_value` returns it, encoded. Whichever of the two commits is executed first, the
+        request timed out. So the key's present value, which `present_value` returns encoded, is
+        written under the same preconditions. Whichever of the two commits is executed first, the
         preconditions of the other then fail. Also returns when this controller loses the shard,
         since resolving the outcome is then left to the shard's next leader.
 
--- a/pitchtally/scheduling/rebalancing/queue_balancing.py
+++ b/pitchtally/scheduling/rebalancing/queue_balancing.py
@@ -31,7 +31,7 @@
 
 
 class QueueDuration(NamedTuple):
-    """The time that a shard takes to run its queue, in GPUs for GPU jobs, else in CPUs."""
+    """The time that a shard takes to run its queue on the machines that may run a job."""
 
     seconds: float  # infinite if no machine of the shard may run the job
     capacity: float  # GPUs or CPUs of the machines that may run the job
@@ -95,7 +95,7 @@
         return [id for _, id in sorted(candidates, reverse=True)[:_MAX_JOBS_PER_ROUND]]
 
     async def _migrate_excess(self, allocation: ShardAllocation, status: ShardStatus) -> bool:
-        """Migrate enough tasks to make the two queues equally long; False if none need to move."""
+        """Migrate enough tasks to make the two queues equally long; return False if none had to."""
         spec = allocation.job.spec
         own_seconds, capacity = self.queue_duration(status, spec)
         shortest = self._shortest_queue(allocation.shard, spec)
@@ -134,8 +134,8 @@
     def queue_duration(self, status: ShardStatus, spec: user_api.JobSpec) -> QueueDuration:
         """Return how long a shard takes to run the tasks queued ahead of such a job.
 
-        Counted in GPUs for jobs that request some, else in CPUs, over the machines that may
-        run the job.
+        Work and capacity are counted in GPUs for jobs that request some, else in CPUs, over the
+        machines that may run the job.
         """
         by_gpus = spec.gpus > 0
         capacity = self._capacity(status, spec, by_gpus=by_gpus)
--- a/pitchtally/scheduling/rebalancing/service_migration.py
+++ b/pitchtally/scheduling/rebalancing/service_migration.py
@@ -59,7 +59,11 @@
         single_shard_planner: SingleShardPlanner,
         migration: TaskMigration,
     ) -> None:
-        """Take planners for single replicas (`free_capacity`) and for a whole service."""
+        """Store the components.
+
+        `free_capacity` gives the capacity for single replicas; `single_shard_planner` plans all
+        replicas of a service together.
+        """
         self.settings = context.settings
         self.policy = context.policy
         self.agents = context.agents
@@ -111,8 +115,9 @@
     ) -> ReplicaMigration | None:
         """Return the first of these shards with capacity for all missing replicas, or None.
 
-        Capacity that needs preemption is used only if no shard has enough without. `capped`
-        keeps to the present caps in the job's record; otherwise caps may rise to the zones' limits.
+        Capacity that needs preemption is used only if no shard has enough without it. With
+        `capped`, the present caps in the job's record apply; otherwise caps may rise to the zones'
+        limits.
         """
         spec, missing = allocation.spec, allocation.pending.count
         zone = allocation.job.record.zone if allocation.one_zone else None
@@ -138,7 +143,7 @@
     def _remaining_by_zone(self, allocation: ShardAllocation, *, capped: bool) -> ZoneCounts:
         """Return how many more replicas of a spread service may be in each zone.
 
-        Empty if any number may.
+        Returns an empty dict if any number may.
         """
         if not allocation.spec.spread or allocation.spec.tasks == 1:
             return {}
--- a/pitchtally/scheduling/shards/deadlines.py
+++ b/pitchtally/scheduling/shards/deadlines.py
@@ -93,7 +93,10 @@
         return max(0.0, min(delays_s))
 
     def refresh(self, allocation: ShardAllocation) -> None:
-        """Update the fields of an allocation that the priority order reads; once per survey."""
+        """Update the fields of an allocation that depend on the time and on estimates.
+
+        Called when the allocation is created and on each survey.
+        """
         now = trio.current_time()
         job = allocation.job
         allocation.size = self.job_size(allocation.spec)
@@ -109,7 +112,7 @@
         allocation.aged = now - pending_since > self.policy.start_within * AGING_START_WITHIN_SHARE
 
     def allocation_deadline(self, allocation: ShardAllocation, target_stretch: float) -> float:
-        """Return the same as `deadline`, from the fields that the last `refresh` stored."""
+        """Return the value of `deadline`, from the fields that the last `refresh` stored."""
         deadline = stretch.deadline(allocation.release, allocation.size, target_stretch)
         return (
             min(deadline, allocation.release + allocation.max_start_delay)
--- a/pitchtally/scheduling/shards/failure_attribution.py
+++ b/pitchtally/scheduling/shards/failure_attribution.py
@@ -2,7 +2,7 @@
 
 Tasks of any job fail on a faulty machine, and tasks of a faulty job fail on any machine, so a
 single failure can't be attributed. A job that has finished a task anywhere, or has run one for
-longer than its failed runs took, is good. A job that failed on several machines and has done
+longer than its failed runs lasted, is good. A job that failed on several machines and has done
 neither is faulty, and its failures don't count against the machines.
 """
 
@@ -54,7 +54,8 @@
 def is_unhealthy(failures: Mapping[str, int], health: Mapping[str, JobHealth]) -> bool:
     """Return whether a machine is at fault.
 
-    `failures`: by job, the failures there since a task last succeeded; `health`: by job.
+    `failures`: job ID -> failures on the machine since a task last succeeded there; `health`: job
+    ID -> health of the job.
     """
     good_failures = [count for id, count in failures.items() if health[id] is JobHealth.GOOD]
     unknown_jobs = sum(1 for id in failures if health[id] is JobHealth.UNKNOWN)
--- a/pitchtally/scheduling/shards/machine_queues.py
+++ b/pitchtally/scheduling/shards/machine_queues.py
@@ -27,7 +27,7 @@
 def machine_queue(
     state: ShardState, machine_group: MachineGroup, rank: int
 ) -> list[stretch.QueueEntry]:
-    """Return the queue of one machine of the group, without ranks that `rank` can preempt.
+    """Return the queue of one machine of the group, without jobs that `rank` can preempt.
 
     Each job's work is divided evenly over the capacity that services leave free.
     """
--- a/pitchtally/scheduling/shards/shard_statuses.py
+++ b/pitchtally/scheduling/shards/shard_statuses.py
@@ -62,11 +62,13 @@
         self.received_at: dict[int, float] = {}  # shard -> receipt time; peers' shards only
         # Shard -> tasks that its newest status may not include yet.
         self.unreported: dict[int, list[UnreportedAllocation]] = {}
-        # The following three are caches, by shard.
-        self.capacities: dict[int, dict[CapacityKey, int]] = {}  # see `free_capacity`
-        # See `FreeCapacity`.
+        # Three caches by shard, dropped when the shard's status changes.
+        # Filled by `free_capacity`.
+        self.capacities: dict[int, dict[CapacityKey, int]] = {}
+        # Filled by `gangs.free_capacity.FreeCapacity`.
         self.capacities_by_zone: dict[int, dict[tuple[object, ...], dict[str, int]]] = {}
-        self.groups: dict[int, dict[MachineGroupKey, list[MachineStatus]]] = {}  # see `groups_of`
+        # Filled by `groups_of`.
+        self.groups: dict[int, dict[MachineGroupKey, list[MachineStatus]]] = {}
 
     def put(self, status: ShardStatus) -> None:
         """Store a status as the newest of its shard."""
@@ -93,7 +95,10 @@
         self.groups.pop(shard, None)
 
     def groups_of(self, status: ShardStatus) -> dict[MachineGroupKey, list[MachineStatus]]:
-        """Return the machines of a status by group; a job allows all or none of a group."""
+        """Return the machines of a status by group.
+
+        A job allows all machines of a group, or none.
+        """
         groups = self.groups.get(status.shard)
         if groups is None:
             groups = self.groups[status.shard] = {}
@@ -119,7 +124,7 @@
     def free_capacity(
         self, status: ShardStatus, spec: user_api.JobSpec, *, by_preemption: bool
     ) -> int:
-        """Return how many tasks fit on the shard's machines now, or with preemption."""
+        """Return how many tasks fit on the shard's machines now, or after preemption."""
         resources = resource_request(spec)
         # A status is replaced a few times per second, and this method is called far more often.
         task_counts = self.capacities.setdefault(status.shard, {})
--- a/pitchtally/scheduling/shards/task_start.py
+++ b/pitchtally/scheduling/shards/task_start.py
@@ -1,4 +1,4 @@
-"""Placement of tasks on machines, under attempt numbers that are never reused."""
+"""Placement of tasks on machines, with attempt numbers that are never reused."""
 
 from __future__ import annotations
 
--- a/pitchtally/scheduling/stretch.py
+++ b/pitchtally/scheduling/stretch.py
@@ -16,7 +16,7 @@
 
 # Bounds of the search for the least stretch.
 MIN_STRETCH, MAX_STRETCH = 1e-9, 1e12
-# A quotient of floats that is less than this below a whole number counts as that number.
+# A quotient less than this below an integer is rounded up to it, against floating-point error.
 ROUNDING_TOLERANCE = 1e-9
 
 
@@ -24,7 +24,7 @@
     """The tasks of one job in a machine's queue."""
 
     release: float  # r: when the job was released
-    size: float  # w: the size of the whole job, in task-seconds
+    size: float  # w: the size of all tasks of the job, in task-seconds
     work: float  # N^u a: machine-seconds left to run on this machine
 
 
@@ -209,7 +209,7 @@
 
 
 def proportional_shares(weights: Sequence[float], total: int) -> list[int]:
-    """Divide `total` in proportion to weights into whole numbers, by largest remainders."""
+    """Divide `total` into integers in proportion to weights, by the largest remainder method."""
     total_weight = sum(weights)
     if total_weight <= 0:
         return [0] * len(weights)
--- a/tests/scheduling/test_failure_attribution.py
+++ b/tests/scheduling/test_failure_attribution.py
@@ -12,8 +12,8 @@
 GOOD, UNKNOWN, FAULTY = JobHealth.GOOD, JobHealth.UNKNOWN, JobHealth.FAULTY
 
 JOB_HEALTH: list[tuple[bool, int, list[float], JobHealth]] = [
-    # (whether a task has finished, machines on which the job failed, seconds that its tasks have
-    # run, health); the failed runs took 3 s
+    # (whether a task has finished, number of machines on which the job failed, seconds that its
+    # running tasks have run, health); its longest failed run took 3 s.
     (False, 0, [], UNKNOWN),
     (False, 1, [], UNKNOWN),
     (False, 2, [], FAULTY),
--- a/tests/scheduling/test_stretch.py
+++ b/tests/scheduling/test_stretch.py
@@ -116,8 +116,8 @@
 def test_fewer_samples_are_coarser_not_shorter(count: int) -> None:
     """A series with fewer samples must still end at the same value.
 
-    With 8 samples of S instead of 16, a truncated series ended at 2^-5, and no real queue was
-    covered.
+    With 8 samples of the stretch instead of 16, a truncated series once ended at 2^-5, where no
+    real queue had availability.
     """
     series = stretch.geometric_series(2.0**-12, 8.0, count)
     assert len(series) == count
