--- a/pitchtally/scheduling/gangs/reservations.py
+++ b/pitchtally/scheduling/gangs/reservations.py
@@ -97,7 +97,7 @@
             for id, allocation in state.allocations.items()
             if allocation.gang or allocation.aged
         ]
-        for _, id, allocation in sorted(candidates, key=lambda row: row[:2]):
+        for _, id, allocation in sorted(candidates, key=lambda candidate: candidate[:2]):
             if id in current.job_ids or not self._may_reserve(state, allocation, now):
                 continue
             task_count = allocation.pending.count if allocation.gang else 1
@@ -203,10 +203,10 @@
         for placement in machine.placements.values():
             if placement.spec.is_service:
                 continue  # a service replica never ends by itself
-            run_s = now - (placement.running_since or now)
+            ran_s = now - (placement.running_since or now)
             expected_ends.append(
                 (
-                    max(1.0, self.estimates.expected_run_s(placement.spec) - run_s),
+                    max(1.0, self.estimates.expected_run_s(placement.spec) - ran_s),
                     placement.resources,
                 )
             )
--- a/pitchtally/scheduling/gangs/starter.py
+++ b/pitchtally/scheduling/gangs/starter.py
@@ -108,7 +108,7 @@
         job_id = allocation.job.id
         state.ready_gangs.add(job_id)
         for other_shard in {
-            shard for _, _, shard in allocation.job.record.ranges if shard != allocation.shard
+            owner for _, _, owner in allocation.job.record.ranges if owner != allocation.shard
         }:
             if not self._is_shard_ready(other_shard, job_id, now):
                 until = now + self.policy.heartbeat_interval * _MAX_STATUS_AGE_INTERVALS
--- a/pitchtally/scheduling/placement/status_publisher.py
+++ b/pitchtally/scheduling/placement/status_publisher.py
@@ -187,16 +187,17 @@
         pending: dict[str, int] = {}
         for allocation in state.allocations.values():
             if allocation.pending.count:
-                name = allocation.job.spec.job_class
-                pending[name] = pending.get(name, 0) + allocation.pending.count
+                job_class = allocation.job.spec.job_class
+                pending[job_class] = pending.get(job_class, 0) + allocation.pending.count
         free_text = " ".join(
-            f"{t}:{int(n)}x,{c:g}c,{g:g}g" for t, (n, c, g) in sorted(capacities.items())
+            f"{name}:{int(machines)}x,{cpus:g}c,{gpus:g}g"
+            for name, (machines, cpus, gpus) in sorted(capacities.items())
         )
         quotas = self.quotas
         quota_text = " ".join(
-            f"{t}:{quotas.use(shard, t)[0]:g}/{quotas.share(shard, t)[0]:g}"
-            for t in quotas.teams
-            if quotas.has_limit(t)
+            f"{team}:{quotas.use(shard, team)[0]:g}/{quotas.share(shard, team)[0]:g}"
+            for team in quotas.teams
+            if quotas.has_limit(team)
         )
         log.info(
             "load shard=%d free=[%s] pending=%s quota=[%s]", shard, free_text, pending, quota_text
--- a/pitchtally/scheduling/range_writer.py
+++ b/pitchtally/scheduling/range_writer.py
@@ -31,8 +31,8 @@
 
 def _same_assignment(job: Job, before: JobRecord) -> bool:
     """Return whether a job's record assigns its tasks to shards as `before` does."""
-    record = job.record
-    return (record.stage, record.ranges, record.zone, record.attempt, record.zone_caps) == (
+    after = job.record
+    return (after.stage, after.ranges, after.zone, after.attempt, after.zone_caps) == (
         before.stage,
         before.ranges,
         before.zone,
--- a/pitchtally/scheduling/shards/deadlines.py
+++ b/pitchtally/scheduling/shards/deadlines.py
@@ -68,10 +68,10 @@
         `max_start_delay` bounds it from above; `lateness_penalty` is then added.
         """
         release = self.release_time(job)
-        deadline = stretch.deadline(release, self.job_size(job.spec), target_stretch)
-        return min(deadline, release + self.max_start_delay(job.spec)) + self.lateness_penalty(
-            job, release
-        )
+        stretch_deadline = stretch.deadline(release, self.job_size(job.spec), target_stretch)
+        return min(
+            stretch_deadline, release + self.max_start_delay(job.spec)
+        ) + self.lateness_penalty(job, release)
 
     def max_start_delay(self, spec: user_api.JobSpec) -> float:
         """Return the seconds from release by which tasks must have started at any stretch.
@@ -113,9 +113,9 @@
 
     def allocation_deadline(self, allocation: ShardAllocation, target_stretch: float) -> float:
         """Return the value of `deadline`, from the fields that the last `refresh` stored."""
-        deadline = stretch.deadline(allocation.release, allocation.size, target_stretch)
+        stretch_deadline = stretch.deadline(allocation.release, allocation.size, target_stretch)
         return (
-            min(deadline, allocation.release + allocation.max_start_delay)
+            min(stretch_deadline, allocation.release + allocation.max_start_delay)
             + allocation.lateness_penalty
         )
 
--- a/pitchtally/scheduling/shards/failure_tracker.py
+++ b/pitchtally/scheduling/shards/failure_tracker.py
@@ -121,8 +121,8 @@
             if allocation is not None:
                 health[id] = self._classify(allocation)
             else:
-                done = not job.open or bool(job.finished.count or job.unwritten_tasks)
-                health[id] = JobHealth.GOOD if done else JobHealth.UNKNOWN
+                has_finished_task = not job.open or bool(job.finished.count or job.unwritten_tasks)
+                health[id] = JobHealth.GOOD if has_finished_task else JobHealth.UNKNOWN
         return is_unhealthy(failures, health)
 
     def _quarantine_if_unhealthy(self, state: ShardState, machine: Machine) -> None:
--- a/pitchtally/scheduling/shards/shard_statuses.py
+++ b/pitchtally/scheduling/shards/shard_statuses.py
@@ -99,13 +99,13 @@
 
         A job allows all machines of a group, or none.
         """
-        groups = self.groups.get(status.shard)
-        if groups is None:
-            groups = self.groups[status.shard] = {}
+        by_group = self.groups.get(status.shard)
+        if by_group is None:
+            by_group = self.groups[status.shard] = {}
             for machine in status.machines:
                 group = MachineGroupKey(machine.type, machine.zone, machine.spot)
-                groups.setdefault(group, []).append(machine)
-        return groups
+                by_group.setdefault(group, []).append(machine)
+        return by_group
 
     def drop_reported_allocations(self, now: float) -> None:
         """Drop allocations old enough to be included in the shard's status."""
@@ -133,8 +133,8 @@
         if count is not None:
             return count
         total = 0
-        for (type_, zone, spot), machines in self.groups_of(status).items():
-            machine_type = self.machine_types().get(type_)
+        for (type_name, zone, spot), machines in self.groups_of(status).items():
+            machine_type = self.machine_types().get(type_name)
             if machine_type is None or not allows_machine_type(spec, machine_type, zone, spot):
                 continue
             for machine in machines:
--- a/tests/scheduling/test_failure_attribution.py
+++ b/tests/scheduling/test_failure_attribution.py
@@ -23,11 +23,11 @@
 ]
 
 
-@pytest.mark.parametrize(("done", "machines", "running", "expected"), JOB_HEALTH)
+@pytest.mark.parametrize(("has_finished_task", "machines", "running_s", "expected"), JOB_HEALTH)
 def test_health_of_a_job(
-    done: bool, machines: int, running: list[float], expected: JobHealth
+    has_finished_task: bool, machines: int, running_s: list[float], expected: JobHealth
 ) -> None:
-    assert classify_job(done, machines, 3.0, running, 2.0) is expected
+    assert classify_job(has_finished_task, machines, 3.0, running_s, 2.0) is expected
 
 
 MACHINE_HEALTH: list[tuple[dict[str, tuple[int, JobHealth]], bool]] = [
@@ -43,8 +43,8 @@
 
 @pytest.mark.parametrize(("failures", "expected"), MACHINE_HEALTH)
 def test_health_of_a_machine(failures: dict[str, tuple[int, JobHealth]], expected: bool) -> None:
-    counts = {id: n for id, (n, _) in failures.items()}
-    assert is_unhealthy(counts, {id: s for id, (_, s) in failures.items()}) is expected
+    counts = {id: count for id, (count, _) in failures.items()}
+    assert is_unhealthy(counts, {id: health for id, (_, health) in failures.items()}) is expected
 
 
 def test_faulty_jobs_cause_no_retry_flood_and_no_quarantine(
--- a/tests/scheduling/test_preemption.py
+++ b/tests/scheduling/test_preemption.py
@@ -12,10 +12,10 @@
 FREE, TAKEN = 0, 1
 
 
-def _steps(*rows: tuple[str, int]) -> list[Step]:
+def _steps(*zones_and_victims: tuple[str, int]) -> list[Step]:
     """Return one step for each pair of a zone and a number of victims."""
     steps: list[Step] = []
-    for number, (zone, victims) in enumerate(rows):
+    for number, (zone, victims) in enumerate(zones_and_victims):
         machine: Any = SimpleNamespace(zone=zone)
         victim: Any = SimpleNamespace(key=f"wk-9/{number}")
         steps.append(Step(float(victims), f"i-{number}", machine, [victim] * victims))
--- a/tests/scheduling/test_stretch.py
+++ b/tests/scheduling/test_stretch.py
@@ -19,13 +19,15 @@
 ]
 
 
-def any_order_meets_all_deadlines(queue: list[QueueEntry], level: float, now: float) -> bool:
+def any_order_meets_all_deadlines(
+    queue: list[QueueEntry], target_stretch: float, now: float
+) -> bool:
     """Return whether some order, not only EDF, meets every deadline."""
     for order in itertools.permutations(queue):
         end, on_time = now, True
         for entry in order:
             end += entry.work
-            on_time = on_time and end <= entry.release + level * entry.size
+            on_time = on_time and end <= entry.release + target_stretch * entry.size
         if on_time:
             return True
     return False
@@ -43,49 +45,49 @@
 
 
 @pytest.mark.parametrize("queue", QUEUES + random_queues(12))
-@pytest.mark.parametrize("level", [0.1, 0.5, 1.0, 3.0])
+@pytest.mark.parametrize("target_stretch", [0.1, 0.5, 1.0, 3.0])
 def test_edf_meets_all_deadlines_exactly_if_any_order_does(
-    queue: list[QueueEntry], level: float
+    queue: list[QueueEntry], target_stretch: float
 ) -> None:
-    assert stretch.meets_all_deadlines(queue, level, 0.0) == any_order_meets_all_deadlines(
-        queue, level, 0.0
+    assert stretch.meets_all_deadlines(queue, target_stretch, 0.0) == any_order_meets_all_deadlines(
+        queue, target_stretch, 0.0
     )
 
 
 @pytest.mark.parametrize("queue", QUEUES[1:] + random_queues(12))
 def test_least_stretch_is_least(queue: list[QueueEntry]) -> None:
-    least = stretch.least_stretch(queue, 0.0, 0.001)
-    assert stretch.meets_all_deadlines(queue, least, 0.0)
-    assert not stretch.meets_all_deadlines(queue, least * 0.99, 0.0)
+    lowest = stretch.least_stretch(queue, 0.0, 0.001)
+    assert stretch.meets_all_deadlines(queue, lowest, 0.0)
+    assert not stretch.meets_all_deadlines(queue, lowest * 0.99, 0.0)
 
 
 @pytest.mark.parametrize("queue", QUEUES + random_queues(12))
-@pytest.mark.parametrize("level", [0.5, 2.0, 8.0])
+@pytest.mark.parametrize("target_stretch", [0.5, 2.0, 8.0])
 @pytest.mark.parametrize("size", [1.0, 12.0, 60.0])
 def test_gap_is_the_largest_work_that_makes_no_job_late(
-    queue: list[QueueEntry], level: float, size: float
+    queue: list[QueueEntry], target_stretch: float, size: float
 ) -> None:
-    gap = stretch.gap(queue, level, 0.0, size, 0.0)
-    assert gap >= 0
-    if gap > 0:
+    gap_work = stretch.gap(queue, target_stretch, 0.0, size, 0.0)
+    assert gap_work >= 0
+    if gap_work > 0:
         assert any_order_meets_all_deadlines(
-            [*queue, QueueEntry(0.0, size, gap * 0.999)], level, 0.0
+            [*queue, QueueEntry(0.0, size, gap_work * 0.999)], target_stretch, 0.0
         )
-    if stretch.meets_all_deadlines(queue, level, 0.0):
+    if stretch.meets_all_deadlines(queue, target_stretch, 0.0):
         assert not any_order_meets_all_deadlines(
-            [*queue, QueueEntry(0.0, size, gap + 0.01)], level, 0.0
+            [*queue, QueueEntry(0.0, size, gap_work + 0.01)], target_stretch, 0.0
         )
     else:
-        assert gap == 0
+        assert gap_work == 0
 
 
 def test_availability_never_falls_with_stretch_or_size() -> None:
     """Propositions 1 and 2 of the paper, which the binary search of algorithm 4 relies on."""
-    levels, sizes = [0.1, 0.3, 1.0, 3.0, 9.0], [1.0, 5.0, 25.0, 100.0]
+    stretches, sizes = [0.1, 0.3, 1.0, 3.0, 9.0], [1.0, 5.0, 25.0, 100.0]
     for queue in random_queues(20):
-        cells = stretch.availability_matrix([queue], levels, sizes, [0.5, 2.0], 0.0)
+        cells = stretch.availability_matrix([queue], stretches, sizes, [0.5, 2.0], 0.0)
         for a in range(2):
-            for s, w in itertools.product(range(len(levels) - 1), range(len(sizes) - 1)):
+            for s, w in itertools.product(range(len(stretches) - 1), range(len(sizes) - 1)):
                 assert cells[s][w][a] <= cells[s + 1][w][a]
                 assert cells[s][w][a] <= cells[s][w + 1][a]
 
