--- a/pitchtally/scheduling/gangs/range_return.py
+++ b/pitchtally/scheduling/gangs/range_return.py
@@ -52,7 +52,7 @@
         self.range_writer = range_writer
 
     async def return_unstartable(self) -> None:
-        """Return the ranges of every such job that can't start in a shard led here."""
+        """Return the ranges of jobs bound to one shard, or started together, that can't start."""
         for shard, state in list(self.shard_states.states.items()):
             token = self.membership.token(shard)
             if not state.reconciled or token is None:
--- a/pitchtally/scheduling/gangs/starter.py
+++ b/pitchtally/scheduling/gangs/starter.py
@@ -80,7 +80,7 @@
             return False
         if job.finished.count or job.unwritten_tasks:
             # If one task has finished, all have. A task whose machine was lost afterwards has its
-            # result saved, so a new start of it ends at once.
+            # result saved, so it ends at once when it is started again.
             return True
         if job.record.attempt:
             return allocation.last_shared_attempt != job.record.attempt and is_fully_assigned(job)
--- a/pitchtally/scheduling/placement/preemption.py
+++ b/pitchtally/scheduling/placement/preemption.py
@@ -225,7 +225,10 @@
         )
 
     def _loss(self, placement: Placement, now: float) -> float:
-        """Return the work lost by a stop: task-seconds since the last checkpoint, times CPUs."""
+        """Return the work that a stop loses, in task-seconds weighted by CPUs.
+
+        For a task with checkpoints, at most the time to write one (`checkpoint_grace`) is lost.
+        """
         if placement.running_since is None or not placement.observed:
             return 0.0
         spec = placement.spec
--- a/pitchtally/scheduling/rebalancing/service_migration.py
+++ b/pitchtally/scheduling/rebalancing/service_migration.py
@@ -76,7 +76,7 @@
         self.migration = migration
 
     async def migrate(self) -> None:
-        """Migrate or restart every such service that lacks capacity in a shard led here."""
+        """Migrate or restart each one-zone or spread service that lacks capacity in a led shard."""
         for shard, state in list(self.shards.items()):
             if not state.reconciled or not self.migration.leads(shard):
                 continue
