--- a/tests/scheduling/test_estimates.py
+++ b/tests/scheduling/test_estimates.py
@@ -18,7 +18,7 @@
     It would otherwise be smaller than any task, in queues and for scale out.
     """
     spec = parse_job(json.dumps(submission(service(1))).encode())
-    figures = policy.parse("", settings("n0"))
-    estimates = Estimates(figures.start_within)
+    default_policy = policy.parse("", settings("n0"))
+    estimates = Estimates(default_policy.start_within)
     estimates.record_run_time(spec, 0.5)  # the end of a replica gives no run time
-    assert estimates.expected_run_s(spec) == figures.start_within
+    assert estimates.expected_run_s(spec) == default_policy.start_within
