--- a/pitchtally/membership/peers/requests.py
+++ b/pitchtally/membership/peers/requests.py
@@ -44,10 +44,10 @@
         self._peers = peers
         self._leadership = leadership
         self._schedule_timeout = call_timeout * _SCHEDULE_TIMEOUT_SHARE
-        # Forwarded requests must leave connections free for heartbeats: without the limit, a
-        # flood of them made peers refuse each other's connections until they detected that all
-        # of them are partitioned.
-        self._forwarding = trio.CapacityLimiter(
+        # Forwarded requests must leave connections free for heartbeats. Without the limit, a
+        # flood of them made peers refuse each other's connections until the peers detected that
+        # all nodes were partitioned from the state store.
+        self._forward_limiter = trio.CapacityLimiter(
             max(_MIN_FORWARDED_REQUESTS, int(max_connections * _FORWARDED_CONNECTION_SHARE))
         )
 
@@ -56,12 +56,12 @@
 
         None if no such peer is available, or if it does not reply.
         """
-        peer = self._peers.with_state_store()
+        peer = self._peers.find_peer_with_state_store()
         if peer is None:
             return None
-        if self._forwarding.available_tokens < 1:
+        if self._forward_limiter.available_tokens < 1:
             return Response(503, b'{"error":"too many requests to pass on"}', list(RETRY_SOON))
-        async with self._forwarding:
+        async with self._forward_limiter:
             reply = await self._transport.send(
                 peer, Forward(request.method, request.path, request.body)
             )
