--- a/pitchtally/scheduling/shards/shard_statuses.py
+++ b/pitchtally/scheduling/shards/shard_statuses.py
@@ -62,18 +62,20 @@
         self.received_at: dict[int, float] = {}  # shard -> receipt time; peers' shards only
         # Shard -> tasks that its newest status may not include yet.
         self.unreported: dict[int, list[UnreportedAllocation]] = {}
-        # The following three are caches, by shard.
-        self.capacities: dict[int, dict[CapacityKey, int]] = {}  # see `free_capacity`
-        # See `FreeCapacity`.
+        # Three caches by shard, dropped when the shard's status changes.
+        # Filled by `free_capacity`.
+        self.capacities: dict[int, dict[CapacityKey, int]] = {}
+        # Filled by `gangs.free_capacity.FreeCapacity`.
         self.capacities_by_zone: dict[int, dict[tuple[object, ...], dict[str, int]]] = {}
-        self.groups: dict[int, dict[MachineGroupKey, list[MachineStatus]]] = {}  # see `groups_of`
+        # Filled by `groups_of`.
+        self.groups: dict[int, dict[MachineGroupKey, list[MachineStatus]]] = {}
 
     def put(self, status: ShardStatus) -> None:
         """Store a status as the newest of its shard."""
         self.newest[status.shard] = status
         self._invalidate(status.shard)
 
-    def take_heartbeat(self, heartbeat: PeerHeartbeat) -> None:
+    def apply_peer_heartbeat(self, heartbeat: PeerHeartbeat) -> None:
         """Store the statuses of shards that the sending peer leads; ignore all others."""
         for status in heartbeat.shards:
             leader = self.membership.leader(status.shard)
@@ -93,14 +95,17 @@
         self.groups.pop(shard, None)
 
     def groups_of(self, status: ShardStatus) -> dict[MachineGroupKey, list[MachineStatus]]:
-        """Return the machines of a status by group; a job allows all or none of a group."""
-        groups = self.groups.get(status.shard)
-        if groups is None:
-            groups = self.groups[status.shard] = {}
+        """Return the machines of a status by group.
+
+        A job allows all machines of a group, or none.
+        """
+        by_group = self.groups.get(status.shard)
+        if by_group is None:
+            by_group = self.groups[status.shard] = {}
             for machine in status.machines:
                 group = MachineGroupKey(machine.type, machine.zone, machine.spot)
-                groups.setdefault(group, []).append(machine)
-        return groups
+                by_group.setdefault(group, []).append(machine)
+        return by_group
 
     def drop_reported_allocations(self, now: float) -> None:
         """Drop allocations old enough to be included in the shard's status."""
@@ -119,7 +124,7 @@
     def free_capacity(
         self, status: ShardStatus, spec: user_api.JobSpec, *, by_preemption: bool
     ) -> int:
-        """Return how many tasks fit on the shard's machines now, or with preemption."""
+        """Return how many tasks fit on the shard's machines now, or after preemption."""
         resources = resource_request(spec)
         # A status is replaced a few times per second, and this method is called far more often.
         task_counts = self.capacities.setdefault(status.shard, {})
@@ -128,8 +133,8 @@
         if count is not None:
             return count
         total = 0
-        for (type_, zone, spot), machines in self.groups_of(status).items():
-            machine_type = self.machine_types().get(type_)
+        for (type_name, zone, spot), machines in self.groups_of(status).items():
+            machine_type = self.machine_types().get(type_name)
             if machine_type is None or not allows_machine_type(spec, machine_type, zone, spot):
                 continue
             for machine in machines:
