--- a/pitchtally/scheduling/gangs/range_return.py
+++ b/pitchtally/scheduling/gangs/range_return.py
@@ -52,14 +52,18 @@
         self.range_writer = range_writer
 
     async def return_unstartable(self) -> None:
-        """Return the ranges of every such job that can't start in a shard led here."""
+        """Return the ranges of jobs bound to one shard, or started together, that can't start."""
         for shard, state in list(self.shard_states.states.items()):
             token = self.membership.token(shard)
             if not state.reconciled or token is None:
                 continue
             for allocation in list(state.allocations.values()):
                 job = allocation.job
-                if not job.open or not stays_in_one_shard(job.spec) or allocation.moving:
+                if (
+                    not job.open
+                    or not stays_in_one_shard(job.spec)
+                    or allocation.range_write_in_flight
+                ):
                     continue
                 if allocation.placed:
                     self._stop_if_incomplete(allocation)
@@ -110,7 +114,7 @@
     def _ranges_without(job: Job, shard: int) -> list[TaskRange] | None:
         """Return a job's ranges without the unfinished tasks of a shard.
 
-        None if the shard can't return them yet.
+        Returns None if the shard can't return them yet.
         """
         kept: list[tuple[int, int, int]] = []
         for first, end, owner in job.record.ranges:
@@ -135,7 +139,7 @@
         if remaining is None:
             return
         allocation.pending_since = trio.current_time()
-        allocation.moving = True
+        allocation.range_write_in_flight = True
         version = job.version
         state.ready_gangs.discard(job.id)
         try:
@@ -148,7 +152,7 @@
         except StoreUnavailable as error:
             await self.range_writer.resolve_job_outcome(error, job, version, shard, token)
         finally:
-            allocation.moving = False
+            allocation.range_write_in_flight = False
             if job.open:
                 self.shard_states.update_allocation(job, shard)
                 allocation.rebuild_pending()
--- a/pitchtally/scheduling/priorities.py
+++ b/pitchtally/scheduling/priorities.py
@@ -33,10 +33,7 @@
         self.quotas = quotas
 
     def slack(self, spec: user_api.JobSpec) -> float:
-        """Return how long a job may be pending and still meet its class's tightest objective.
-
-        In seconds.
-        """
+        """Return the seconds that a job may be pending and still meet its tightest objective."""
         run_s = self.estimates.expected_run_s(spec)
         limits_s = [] if spec.deadline is None else [spec.deadline - run_s]
         limits_s.extend(
@@ -56,8 +53,8 @@
         default_s = self.agent_heartbeat_s if spec.is_service else run_s * DEFAULT_SLACK_TASKS
         return max(MIN_SLACK_S, min(limits_s, default=default_s))
 
-    def key(self, allocation: ShardAllocation, level: float) -> PriorityKey:
-        """Return the sort key of an allocation, with deadlines at the stretch `level`.
+    def key(self, allocation: ShardAllocation, target_stretch: float) -> PriorityKey:
+        """Return the sort key of an allocation, with deadlines at `target_stretch`.
 
         Since rank comes before the deadline, jobs of a low rank could starve. Aging prevents
         that: jobs pending for most of `start_within` precede all others until their next start;
@@ -68,5 +65,5 @@
         return (
             allocation.rank,
             not self.quotas.within_guarantee(allocation.spec),
-            self.deadlines.allocation_deadline(allocation, level),
+            self.deadlines.allocation_deadline(allocation, target_stretch),
         )
