--- a/tests/cluster/test_rolling_upgrade.py
+++ b/tests/cluster/test_rolling_upgrade.py
@@ -13,10 +13,10 @@
 from pitchtally.formats.gate import KEY
 
 from ..harness.cluster_faults import cluster_leader, restart
-from ..harness.earlier_version import EarlierVersion, as_built
-from ..harness.services import BACK_WITHIN_S, service
+from ..harness.earlier_version import EarlierVersion, original_controller
+from ..harness.services import RECOVERY_TIMEOUT_S, service
 from ..harness.simulation import NODES, TIMES, Simulation, job, run
-from ..harness.workload import CANCELLED, IDS, JOBS, users
+from ..harness.workload import CANCELLED, IDS, JOBS, simulate_users
 
 Fault = Callable[[Simulation], Awaitable[None]]
 
@@ -114,7 +114,7 @@
 
 
 async def cancellations_and_isolated_machines(sim: Simulation) -> None:
-    for agent in list(sim.world.agents)[::2]:
+    for agent in list(sim.cloud.agents)[::2]:
         sim.network.partition(agent, "*")
         sim.network.partition("*", agent)
     for id in CANCELLED:
@@ -124,7 +124,7 @@
 
 
 async def zone_partitioned_from_two_controllers(sim: Simulation) -> None:
-    for agent in list(sim.world.agents.values()):
+    for agent in list(sim.cloud.agents.values()):
         if agent.zone == "a":
             for node in NODES[1:]:
                 sim.network.partition(agent.name, node)
@@ -158,7 +158,7 @@
     specs = [*JOBS, *WIDE]
     for spec in specs:
         sim.nursery.start_soon(sim.submit, spec)
-    sim.nursery.start_soon(users, sim)
+    sim.nursery.start_soon(simulate_users, sim)
     await trio.sleep(5.0)
     assert KEY not in sim.state_store.items
     await replace_controllers(sim, fault)
@@ -175,13 +175,13 @@
         if id not in sim.invariants.cancel_requested:
             sim.nursery.start_soon(sim.cancel, id)
     ids = [*IDS, *(spec["ref"] for spec in WIDE)]
-    services_due_at = trio.current_time() + BACK_WITHIN_S
+    services_due_at = trio.current_time() + RECOVERY_TIMEOUT_S
     while trio.current_time() - ended_at < 240:
         await trio.sleep(1.0)
         now = trio.current_time()
-        sim.invariants.check_replicas_return(now, services_due_at, BACK_WITHIN_S)
-        sim.invariants.check_jobs_answer(now, ended_at)
-        sim.invariants.check_startable_jobs_start(now, sim.world)
+        sim.invariants.check_replicas_return(now, services_due_at, RECOVERY_TIMEOUT_S)
+        sim.invariants.check_jobs_are_answered(now, ended_at)
+        sim.invariants.check_startable_jobs_start(now, sim.cloud)
         sim.check()
         if now > services_due_at and all(id in sim.final_stages for id in ids):
             break
@@ -246,7 +246,7 @@
         await trio.sleep(5)
         lower_limits(sim)
         assert not any(spec["ref"] in sim.final_stages for spec in WIDE)
-        await sim.finish([spec["ref"] for spec in [*WIDE, *JOBS[:6]]], limit=180)
+        await sim.wait_until_finished([spec["ref"] for spec in [*WIDE, *JOBS[:6]]], limit=180)
         assert sim.state_store.oversized == []
 
     run(monkeypatch, day, earlier=production, state=STATE)
@@ -280,7 +280,7 @@
         specs: list[dict[str, Any]] = JOBS[:4]
         for spec in specs:
             await sim.submit(spec)
-        await sim.finish([spec["ref"] for spec in specs])
+        await sim.wait_until_finished([spec["ref"] for spec in specs])
 
     run(monkeypatch, day, earlier=production, state=STATE)
 
@@ -304,7 +304,7 @@
 
 def versions_serving(sim: Simulation) -> set[str]:
     return {
-        type(as_built(controller)).__module__.split(".")[0]
+        type(original_controller(controller)).__module__.split(".")[0]
         for controller in sim.controllers.values()
     }
 
@@ -324,7 +324,7 @@
         while KEY not in sim.state_store.items:
             await trio.sleep(0.1)
     gate_record = sim.state_store.items[KEY][0]
-    sim.nursery.start_soon(users, sim)
+    sim.nursery.start_soon(simulate_users, sim)
     lower_limits(sim)
     for back, during, jobs_then in (
         (False, jobs_forwards, jobs_after),
@@ -350,7 +350,7 @@
         if id not in sim.invariants.cancel_requested:
             sim.nursery.start_soon(sim.cancel, id)
     ids = [*IDS, *(spec["ref"] for spec in WIDE)]
-    await sim.finish(ids)
+    await sim.wait_until_finished(ids)
     assert not [id for id in ids if id not in sim.final_stages]
     assert [sim.final_stages[id] for id in CANCELLED] == ["withdrawn"] * len(CANCELLED)
     await sim.wait_until_known([*ids, *(spec["ref"] for spec in SERVICES)], 20)
--- a/tests/scheduling/test_failure_attribution.py
+++ b/tests/scheduling/test_failure_attribution.py
@@ -61,7 +61,7 @@
         good = [job(n, rows=6, vcpus=1.0) for n in range(4, 8)]
         for spec in good:
             await sim.submit(spec)
-        await sim.finish([spec["ref"] for spec in good], limit=60)
+        await sim.wait_until_finished([spec["ref"] for spec in good], limit=60)
         await trio.sleep(60)
         assert not any(
             m.quarantined_until > 0
@@ -70,10 +70,10 @@
         )
         # Failures on two machines of a shard classify a job as faulty; each machine fails as many
         # tasks as fit on it at once.
-        assert sim.world.rules.failures <= 3 * (6 * 8 + 3 * 8)
-        before = sim.world.rules.failures
+        assert sim.cloud.rules.failures <= 3 * (6 * 8 + 3 * 8)
+        before = sim.cloud.rules.failures
         await trio.sleep(60)
-        assert 0 < sim.world.rules.failures - before <= 3 * 3 * 8  # still retried, but rarely
+        assert 0 < sim.cloud.rules.failures - before <= 3 * 3 * 8  # still retried, but rarely
         for number in (1, 2, 3):
             await sim.cancel(f"wk-{number:06d}")
         sim.check()
@@ -85,13 +85,13 @@
     """A job that failed on every machine runs after its fault has been corrected."""
 
     async def day(sim: Simulation) -> None:
-        sim.world.capacity = len(sim.world.agents)  # the cloud has no other machine
+        sim.cloud.capacity = len(sim.cloud.agents)  # the cloud has no other machine
         spec = job(1, rows=10, vcpus=1.0, broken=True)
         await sim.submit(spec)
         await trio.sleep(40)
-        assert sim.world.rules.failures > 0
+        assert sim.cloud.rules.failures > 0
         spec["broken"] = False
-        await sim.finish([spec["ref"]], limit=90)
+        await sim.wait_until_finished([spec["ref"]], limit=90)
         assert sim.final_stages[spec["ref"]] == "done"
 
     run(monkeypatch, day)
