--- a/pitchtally/scheduling/gangs/starter.py
+++ b/pitchtally/scheduling/gangs/starter.py
@@ -80,7 +80,7 @@
             return False
         if job.finished.count or job.unwritten_tasks:
             # If one task has finished, all have. A task whose machine was lost afterwards has its
-            # result saved, so a new start of it ends at once.
+            # result saved, so it ends at once when it is started again.
             return True
         if job.record.attempt:
             return allocation.last_shared_attempt != job.record.attempt and is_fully_assigned(job)
@@ -108,7 +108,7 @@
         job_id = allocation.job.id
         state.ready_gangs.add(job_id)
         for other_shard in {
-            shard for _, _, shard in allocation.job.record.ranges if shard != allocation.shard
+            owner for _, _, owner in allocation.job.record.ranges if owner != allocation.shard
         }:
             if not self._is_shard_ready(other_shard, job_id, now):
                 until = now + self.policy.heartbeat_interval * _MAX_STATUS_AGE_INTERVALS
--- a/tests/scheduling/test_failure_attribution.py
+++ b/tests/scheduling/test_failure_attribution.py
@@ -12,8 +12,8 @@
 GOOD, UNKNOWN, FAULTY = JobHealth.GOOD, JobHealth.UNKNOWN, JobHealth.FAULTY
 
 JOB_HEALTH: list[tuple[bool, int, list[float], JobHealth]] = [
-    # (whether a task has finished, machines on which the job failed, seconds that its tasks have
-    # run, health); the failed runs took 3 s
+    # (whether a task has finished, number of machines on which the job failed, seconds that its
+    # running tasks have run, health); its longest failed run took 3 s.
     (False, 0, [], UNKNOWN),
     (False, 1, [], UNKNOWN),
     (False, 2, [], FAULTY),
@@ -23,11 +23,11 @@
 ]
 
 
-@pytest.mark.parametrize(("done", "machines", "running", "expected"), JOB_HEALTH)
+@pytest.mark.parametrize(("has_finished_task", "machines", "running_s", "expected"), JOB_HEALTH)
 def test_health_of_a_job(
-    done: bool, machines: int, running: list[float], expected: JobHealth
+    has_finished_task: bool, machines: int, running_s: list[float], expected: JobHealth
 ) -> None:
-    assert classify_job(done, machines, 3.0, running, 2.0) is expected
+    assert classify_job(has_finished_task, machines, 3.0, running_s, 2.0) is expected
 
 
 MACHINE_HEALTH: list[tuple[dict[str, tuple[int, JobHealth]], bool]] = [
@@ -43,8 +43,8 @@
 
 @pytest.mark.parametrize(("failures", "expected"), MACHINE_HEALTH)
 def test_health_of_a_machine(failures: dict[str, tuple[int, JobHealth]], expected: bool) -> None:
-    counts = {id: n for id, (n, _) in failures.items()}
-    assert is_unhealthy(counts, {id: s for id, (_, s) in failures.items()}) is expected
+    counts = {id: count for id, (count, _) in failures.items()}
+    assert is_unhealthy(counts, {id: health for id, (_, health) in failures.items()}) is expected
 
 
 def test_faulty_jobs_cause_no_retry_flood_and_no_quarantine(
@@ -61,7 +61,7 @@
         good = [job(n, rows=6, vcpus=1.0) for n in range(4, 8)]
         for spec in good:
             await sim.submit(spec)
-        await sim.finish([spec["ref"] for spec in good], limit=60)
+        await sim.wait_until_finished([spec["ref"] for spec in good], limit=60)
         await trio.sleep(60)
         assert not any(
             m.quarantined_until > 0
@@ -70,10 +70,10 @@
         )
         # Failures on two machines of a shard classify a job as faulty; each machine fails as many
         # tasks as fit on it at once.
-        assert sim.world.rules.failures <= 3 * (6 * 8 + 3 * 8)
-        before = sim.world.rules.failures
+        assert sim.cloud.rules.failures <= 3 * (6 * 8 + 3 * 8)
+        before = sim.cloud.rules.failures
         await trio.sleep(60)
-        assert 0 < sim.world.rules.failures - before <= 3 * 3 * 8  # still retried, but rarely
+        assert 0 < sim.cloud.rules.failures - before <= 3 * 3 * 8  # still retried, but rarely
         for number in (1, 2, 3):
             await sim.cancel(f"wk-{number:06d}")
         sim.check()
@@ -85,13 +85,13 @@
     """A job that failed on every machine runs after its fault has been corrected."""
 
     async def day(sim: Simulation) -> None:
-        sim.world.capacity = len(sim.world.agents)  # the cloud has no other machine
+        sim.cloud.capacity = len(sim.cloud.agents)  # the cloud has no other machine
         spec = job(1, rows=10, vcpus=1.0, broken=True)
         await sim.submit(spec)
         await trio.sleep(40)
-        assert sim.world.rules.failures > 0
+        assert sim.cloud.rules.failures > 0
         spec["broken"] = False
-        await sim.finish([spec["ref"]], limit=90)
+        await sim.wait_until_finished([spec["ref"]], limit=90)
         assert sim.final_stages[spec["ref"]] == "done"
 
     run(monkeypatch, day)
