--- a/pitchtally/autoscaling/cloud_client.py
+++ b/pitchtally/autoscaling/cloud_client.py
@@ -68,7 +68,7 @@
 
     async def machines(self) -> dict[str, cloud_api.ListedMachine]:
         """Return all machines that the cloud lists, by name."""
-        machines: dict[str, cloud_api.ListedMachine] = {}
+        machines_by_name: dict[str, cloud_api.ListedMachine] = {}
         last_name = ""
         while True:
             start = f"since={last_name}&" if last_name else ""
@@ -76,9 +76,9 @@
                 "GET", f"/machines?{start}limit={cloud_api.MACHINES_PER_LIST_PAGE}"
             )
             page = _decode(body, cloud_api.MachineList)
-            machines.update((machine.name, machine) for machine in page.machines)
+            machines_by_name.update((machine.name, machine) for machine in page.machines)
             if not page.more or not page.machines:
-                return machines
+                return machines_by_name
             last_name = page.machines[-1].name
 
     async def launch(self, request: cloud_api.LaunchRequest) -> list[str]:
--- a/pitchtally/autoscaling/scale_out.py
+++ b/pitchtally/autoscaling/scale_out.py
@@ -183,7 +183,7 @@
         spec = demand.spec
         types = self._machine_types()
         resources = resource_request(spec)
-        slots = free = preemptible = 0
+        slots = free = preemptible_slots = 0
         for machine in machines:
             group = MachineGroupKey(machine.type, machine.zone, machine.spot)
             machine_slots = tasks_per_machine(spec, group, types)
@@ -192,7 +192,7 @@
             if machine.flag == MachineFlag.USABLE and machine_slots:
                 free += count_fitting(resources, machine.free)
                 if spec.is_service:
-                    preemptible += count_fitting(resources, machine.preemptible)
+                    preemptible_slots += count_fitting(resources, machine.preemptible)
         booting = sum(
             tasks_per_machine(spec, machine.group, types) for machine in self._booting.values()
         )
@@ -200,7 +200,7 @@
         allowed = self._scheduler.tasks_within_limit(spec) - free - booting
         if spec.is_service:
             # Service tasks don't end, so each pending one needs a slot of its own.
-            return min(demand.tasks - free - preemptible - booting, allowed)
+            return min(demand.tasks - free - preemptible_slots - booting, allowed)
         # Tasks that the present machines finish before a new one has booted need no launch.
         max_queue_seconds = self._max_queue_slack_share * self._scheduler.slack(spec)
         if slots and demand.task_seconds / slots <= max_queue_seconds:
