--- a/pitchtally/api/routes.py
+++ b/pitchtally/api/routes.py
@@ -93,9 +93,10 @@
         serve_agent: Handler,
         listeners: ApiListeners,
     ):
-        """Twelve parameters: all that this package takes from others.
+        """Build the components from twelve parameters: all that this package takes from others.
 
-        The constructor only passes each on to the components that use it, hence its length.
+        The constructor only passes each parameter on to the components that use it, hence its
+        length.
         """
         self._replica = replica
         self._peers = peers
@@ -154,7 +155,7 @@
             return Response(200 if self._is_ready() else 503, b"{}")
         if (
             path.startswith(JOBS_PATH)
-            and self._reachability.is_store_lost_here_only()
+            and self._reachability.is_store_lost_by_this_node_only()
             and not self._is_final(path)
         ):
             response = await self._peers.forward(request)
@@ -190,7 +191,7 @@
         return (
             self._replica.revision >= 0
             and bool(self._machine_types())
-            and not self._reachability.is_store_lost_here_only()
+            and not self._reachability.is_store_lost_by_this_node_only()
             and not self._reachability.is_isolated()
         )
 
--- a/pitchtally/jobs/index.py
+++ b/pitchtally/jobs/index.py
@@ -52,7 +52,7 @@
         self.finished = TaskBitmap(record.tasks if record.stage == OPEN else 0)  # durable
         self.unwritten_tasks: set[int] = set()  # reported finished to this node, not durable yet
         self.flushed_at = trio.current_time()
-        self.write_urgent = False  # users or other shards wait for the unwritten tasks
+        self.write_urgent = False  # whether users or other shards wait for them
 
     @property
     def spec(self) -> user_api.JobSpec:
@@ -66,8 +66,8 @@
         return self.record.stage == OPEN
 
     @property
-    def service(self) -> bool:
-        """Whether the tasks run until the user cancels the job: none of them ever finishes."""
+    def is_open_service(self) -> bool:
+        """Whether the job is an open service, whose tasks run until the user cancels the job."""
         return self.open and self.spec.is_service
 
     @property
@@ -75,27 +75,27 @@
         """Number of tasks in each key of the task bitmap; 0 if the bitmap is in the record."""
         if self.record.chunk_tasks:
             return self.record.chunk_tasks
-        if self.service or self.record.tasks <= self.legacy_chunk_tasks:
+        if self.is_open_service or self.record.tasks <= self.legacy_chunk_tasks:
             return 0
         return self.legacy_chunk_tasks
 
     @property
     def complete(self) -> bool:
         """Whether every task is finished, including those not durable yet."""
-        if not self.open or self.service:
+        if not self.open or self.is_open_service:
             return False
         return self.finished.count + len(self.unwritten_tasks) >= self.record.tasks
 
     def is_finished(self, task: int) -> bool:
         """Return whether a task is finished, durable or not, or its job is over.
 
-        A replica of an open service never is.
+        The replicas of an open service are never finished.
         """
         return not self.open or task in self.finished or task in self.unwritten_tasks
 
     def current_record(self) -> JobRecord:
         """Return the record with all durable progress, for a rewrite of the record."""
-        if not self.open or self.chunk_tasks or self.service:
+        if not self.open or self.chunk_tasks or self.is_open_service:
             return self.record
         return msgspec.structs.replace(self.record, finished=self.finished.to_base64())
 
@@ -134,7 +134,7 @@
     id: str
     version: int
     tasks: int
-    done: int  # number of tasks that were finished before
+    finished_tasks: int  # number of tasks that were finished at the cancellation
 
 
 class JobIndex:
@@ -153,7 +153,7 @@
         # Data that a full read delivers before the rest of the job, by job id.
         self._early_bitmaps: dict[str, list[StoredBitmap]] = {}
         self._records_without_spec: dict[str, StoredRecord] = {}
-        # Chunks of a job's spec, by the digest of the whole text and the chunk's number.
+        # By job id: the text chunks of its spec, by digest of the complete text and chunk number.
         self._texts: dict[str, dict[ChunkId, str]] = {}
         replica.listen(keys.JOB_PREFIX, self._on_record)
         replica.listen(keys.LEGACY_FINISHED_PREFIX, self._on_legacy_bitmap)
@@ -206,7 +206,7 @@
 
     def _update_open(self, job: Job) -> None:
         self.open[job.id] = job
-        if job.record.finished and not job.service:
+        if job.record.finished and not job.is_open_service:
             job.finished.add_base64(job.record.finished)
         for bitmap in self._early_bitmaps.pop(job.id, ()):
             self._join_bitmap(job, bitmap)
@@ -287,13 +287,15 @@
             if (record := self.jobs[id].record).stage == CANCELLED
         ]
 
-    def apply_peer_cancellation(self, id: str, version: int, tasks: int, done: int) -> None:
+    def apply_peer_cancellation(
+        self, id: str, version: int, tasks: int, finished_tasks: int
+    ) -> None:
         """Apply a committed cancellation from a peer, perhaps before the watch delivers it.
 
         It is applied to the replica in the same way as by the watch, so that every later lookup
         finds the job over, also for a shard that is loaded or reconciled later.
         """
-        final = JobRecord(CANCELLED, tasks, finished_when_cancelled=done)
+        final = JobRecord(CANCELLED, tasks, finished_when_cancelled=finished_tasks)
         self.replica.apply_committed(keys.job(id), encode(final), version)
 
     def mark_task_finished(self, job: Job, task: int, urgent: bool) -> None:
