--- a/pitchtally/scheduling/gangs/free_capacity.py
+++ b/pitchtally/scheduling/gangs/free_capacity.py
@@ -114,12 +114,12 @@
     return available
 
 
-def _tasks_displaced(booking: _Booking, request: Resources) -> int:
+def _tasks_displaced(booking: _Booking, task_request: Resources) -> int:
     """Return how many tasks with this request the booked tasks displace."""
     ratio = max(
         (
             booked / requested
-            for booked, requested in zip(booking.task_request, request, strict=True)
+            for booked, requested in zip(booking.task_request, task_request, strict=True)
             if requested
         ),
         default=0,
--- a/pitchtally/scheduling/gangs/range_return.py
+++ b/pitchtally/scheduling/gangs/range_return.py
@@ -89,11 +89,11 @@
         """Return whether a job has been pending here for too long, or its attempt has failed."""
         job = allocation.job
         has_finished_tasks = bool(job.finished.count or job.unwritten_tasks)
-        shared_attempt = job.record.attempt
+        attempt = job.record.attempt
         if (
             not has_finished_tasks
-            and shared_attempt
-            and (allocation.last_shared_attempt == shared_attempt or not is_fully_assigned(job))
+            and attempt
+            and (allocation.last_shared_attempt == attempt or not is_fully_assigned(job))
         ):
             return True
         max_pending_s = self.settings.deployment.workers.gang_wait_s * _MAX_PENDING_SHARE
--- a/pitchtally/scheduling/gangs/reservations.py
+++ b/pitchtally/scheduling/gangs/reservations.py
@@ -93,9 +93,9 @@
         # Aged jobs are candidates as well: a task may be so large that small tasks always take
         # released capacity first.
         candidates = [
-            (allocation.release, id, allocation)
-            for id, allocation in state.allocations.items()
-            if allocation.gang or allocation.aged
+            (shard_allocation.release, id, shard_allocation)
+            for id, shard_allocation in state.allocations.items()
+            if shard_allocation.gang or shard_allocation.aged
         ]
         for _, id, allocation in sorted(candidates, key=lambda candidate: candidate[:2]):
             if id in current.job_ids or not self._may_reserve(state, allocation, now):
--- a/pitchtally/scheduling/priorities.py
+++ b/pitchtally/scheduling/priorities.py
@@ -34,10 +34,10 @@
 
     def slack(self, spec: user_api.JobSpec) -> float:
         """Return the seconds that a job may be pending and still meet its tightest objective."""
-        run_s = self.estimates.expected_run_s(spec)
-        limits_s = [] if spec.deadline is None else [spec.deadline - run_s]
+        expected_run_s = self.estimates.expected_run_s(spec)
+        limits_s = [] if spec.deadline is None else [spec.deadline - expected_run_s]
         limits_s.extend(
-            objective.within_s - (0.0 if objective.kind == "wait" else run_s)
+            objective.within_s - (0.0 if objective.kind == "wait" else expected_run_s)
             for objective in self.deadlines.objectives.get(spec.job_class, ())
             if objective.within_s is not None
         )
@@ -50,8 +50,10 @@
                 if objective.kind == "guarantee" and objective.within_s is not None
             )
         # A missing replica affects the users of a service from the first second.
-        default_s = self.agent_heartbeat_s if spec.is_service else run_s * DEFAULT_SLACK_TASKS
-        return max(MIN_SLACK_S, min(limits_s, default=default_s))
+        default = (
+            self.agent_heartbeat_s if spec.is_service else expected_run_s * DEFAULT_SLACK_TASKS
+        )
+        return max(MIN_SLACK_S, min(limits_s, default=default))
 
     def key(self, allocation: ShardAllocation, target_stretch: float) -> PriorityKey:
         """Return the sort key of an allocation, with deadlines at `target_stretch`.
--- a/pitchtally/scheduling/rebalancing/task_migration.py
+++ b/pitchtally/scheduling/rebalancing/task_migration.py
@@ -84,8 +84,8 @@
             for moved_first, moved_end in moved
             if moved_first < end and moved_end > first
         )
-        for moved_first, moved_end in overlaps:
-            migrated += [(first, moved_first, source), (moved_first, moved_end, target)]
-            first = moved_end
+        for overlap_first, overlap_end in overlaps:
+            migrated += [(first, overlap_first, source), (overlap_first, overlap_end, target)]
+            first = overlap_end
         migrated.append((first, end, source))
     return merge_ranges(migrated)
--- a/pitchtally/scheduling/shards/deadlines.py
+++ b/pitchtally/scheduling/shards/deadlines.py
@@ -81,10 +81,10 @@
         and those jobs would miss a strict objective. An objective that many jobs may miss is
         ignored here: the order by stretch serves it best.
         """
-        task_s = self.estimates.expected_run_s(spec)
+        expected_run_s = self.estimates.expected_run_s(spec)
         delays_s = [math.inf if spec.deadline is None else spec.deadline]
         delays_s.extend(
-            objective.within_s - task_s
+            objective.within_s - expected_run_s
             for objective in self.objectives.get(spec.job_class, ())
             if objective.kind == "finished"
             and objective.within_s is not None
@@ -122,7 +122,7 @@
     def lateness_penalty(self, job: Job, release: float) -> float:
         """Return the seconds added to a deadline for objectives that a job can no longer meet."""
         spec = job.spec
-        task_s = self.estimates.expected_run_s(spec)
+        expected_run_s = self.estimates.expected_run_s(spec)
         now = trio.current_time()
         missed_objectives = 0
         for objective in self.objectives.get(spec.job_class, ()):
@@ -131,7 +131,7 @@
             limit_s = objective.within_s
             if limit_s is None and spec.deadline is not None:
                 limit_s = spec.deadline * (objective.times or 1.0)
-            if limit_s is not None and now + task_s > release + limit_s:
+            if limit_s is not None and now + expected_run_s > release + limit_s:
                 missed_objectives += 1
         return missed_objectives * MISSED_OBJECTIVE_PENALTY_S
 
--- a/pitchtally/scheduling/shards/shard_statuses.py
+++ b/pitchtally/scheduling/shards/shard_statuses.py
@@ -157,8 +157,8 @@
         ]
         if suitable_types:
             share = min(
-                dominant_share(resource_request(spec), machine_type)
-                for machine_type in suitable_types
+                dominant_share(resource_request(spec), suitable_type)
+                for suitable_type in suitable_types
             )
             machine_seconds = count * self.estimates.expected_run_s(spec) * share
             allocation = UnreportedAllocation(trio.current_time(), machine_seconds)
--- a/standins/machine_tasks.py
+++ b/standins/machine_tasks.py
@@ -120,9 +120,13 @@
     def _wait_for_gang(self, name: str, task: TaskAttempt) -> None:
         job = job_of(name)
         present = len(self.world.active_gang_tasks(job, task.attempt))
-        completed = sum(1 for other in self.world.rules.completed_tasks if job_of(other) == job)
+        completed_tasks = sum(
+            1
+            for completed_task in self.world.rules.completed_tasks
+            if job_of(completed_task) == job
+        )
         now = trio.current_time()
-        if present + completed >= self.world.rules.specs[job]["rows"]:
+        if present + completed_tasks >= self.world.rules.specs[job]["rows"]:
             task.state, task.state_since = RUNNING, now
             self.agent.status_changed.set()
         elif now - task.state_since > self.world.times.gang_wait_s:
--- a/standins/network.py
+++ b/standins/network.py
@@ -114,7 +114,9 @@
 
     def replay_recorded(self, *names: str) -> None:
         """Deliver the recorded agent heartbeats in order, each to all of the given hosts."""
-        addresses = [address for address, (name, _) in self.hosts.items() if name in names]
+        addresses = [
+            host_address for host_address, (name, _) in self.hosts.items() if name in names
+        ]
         recorded, self.recorded = self.recorded, []
         self._deliver_in_order(
             [
--- a/standins/rules.py
+++ b/standins/rules.py
@@ -78,8 +78,8 @@
         """Check that no task runs longer than `cancel_s` after the cancellation of its job."""
         now = trio.current_time()
         for task in self.placements:
-            cancelled_at = self.cancelled_at.get(job_of(task))
-            if cancelled_at is not None and now - cancelled_at > self.cancel_s:
+            cancellation_time = self.cancelled_at.get(job_of(task))
+            if cancellation_time is not None and now - cancellation_time > self.cancel_s:
                 self.violations.append(f"ran_cancelled {task}")
 
     def _check_placement(self, agent: Agent, task: str) -> None:
