--- a/pitchtally/scheduling/shards/failure_attribution.py
+++ b/pitchtally/scheduling/shards/failure_attribution.py
@@ -16,7 +16,7 @@
 # A machine is unhealthy once any of these is reached: the number of good jobs that failed
 # there, of failures of good jobs there, and of jobs of unknown health that failed there.
 UNHEALTHY_GOOD_JOBS = 2
-UNHEALTHY_GOOD_FAILURES = 3
+UNHEALTHY_GOOD_JOB_FAILURES = 3
 UNHEALTHY_UNKNOWN_JOBS = 3
 
 
@@ -61,6 +61,6 @@
     unknown_jobs = sum(1 for id in failures if health[id] is JobHealth.UNKNOWN)
     return (
         len(good_failures) >= UNHEALTHY_GOOD_JOBS
-        or sum(good_failures) >= UNHEALTHY_GOOD_FAILURES
+        or sum(good_failures) >= UNHEALTHY_GOOD_JOB_FAILURES
         or unknown_jobs >= UNHEALTHY_UNKNOWN_JOBS
     )
