--- a/pitchtally/scheduling/stretch.py
+++ b/pitchtally/scheduling/stretch.py
@@ -17,7 +17,7 @@
 # Bounds of the search for the least stretch.
 MIN_STRETCH, MAX_STRETCH = 1e-9, 1e12
 # A quotient less than this below an integer is rounded up to it, against floating-point error.
-ROUNDING_TOLERANCE = 1e-9
+ROUNDING_TOLERANCE_TASKS = 1e-9
 
 
 class QueueEntry(NamedTuple):
@@ -126,7 +126,7 @@
     """
     if cost <= 0:
         return 0
-    return int(gap_work / cost + ROUNDING_TOLERANCE)
+    return int(gap_work / cost + ROUNDING_TOLERANCE_TASKS)
 
 
 def geometric_series(first: float, last: float, count: int) -> list[float]:
