--- a/pitchtally/scheduling/placement/placer.py
+++ b/pitchtally/scheduling/placement/placer.py
@@ -23,8 +23,8 @@
 LOWER_PRICE_RATIO, SIMILAR_PRICE_RATIO = 0.8, 1.2
 # Number of machines of a group that are checked to decide whether a job may use the group.
 GROUP_SAMPLE_MACHINES = 3
-# A smaller amount of a resource counts as none.
-MIN_AVAILABLE_AMOUNT = 1e-6
+# A smaller number of CPUs or GiB of memory counts as none.
+MIN_AVAILABLE_CPUS_OR_GIB = 1e-6
 
 
 class Placer:
@@ -67,11 +67,11 @@
     def _start_pending(self, state: ShardState, machine: Machine, now: float) -> None:
         available = machine.available()
         if (
-            available[0] + MIN_AVAILABLE_AMOUNT < state.smallest_request[0]
-            or available[2] + MIN_AVAILABLE_AMOUNT < state.smallest_request[1]
+            available[0] + MIN_AVAILABLE_CPUS_OR_GIB < state.smallest_request[0]
+            or available[2] + MIN_AVAILABLE_CPUS_OR_GIB < state.smallest_request[1]
         ):
             return
-        if min(available[0], available[2]) <= MIN_AVAILABLE_AMOUNT:
+        if min(available[0], available[2]) <= MIN_AVAILABLE_CPUS_OR_GIB:
             return
         for id in self._startable_jobs(state, machine, available, now):
             allocation = state.allocations[id]
