--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -42,7 +42,7 @@
 }
 STATE_PORT, CLOUD_PORT = 7001, 7002
 FIRST_CONTROLLER_PORT = 7010  # each controller has one port for users and agents, one for peers
-CONTROLLERS = 3
+CONTROLLER_COUNT = 3
 HOST = "127.0.0.1"
 ZONES = ("a", "b")
 
@@ -131,17 +131,17 @@
 def write_settings(folder: Path) -> None:
     """Write the settings file of each controller."""
     folder.mkdir(parents=True, exist_ok=True)
-    for n in range(CONTROLLERS):
+    for n in range(CONTROLLER_COUNT):
         members = "\n".join(
             f'[[members]]\nnode_name = "node-{m}"\naddress = "{HOST}:{peer_port(m)}"'
-            for m in range(CONTROLLERS)
+            for m in range(CONTROLLER_COUNT)
             if m != n
         )
         text = SETTINGS_TEMPLATE.format(
             n=n,
             public=controller_port(n),
             peer=peer_port(n),
-            count=CONTROLLERS,
+            count=CONTROLLER_COUNT,
             members=members,
             cloud=CLOUD_PORT,
             state=STATE_PORT,
@@ -155,7 +155,7 @@
     write_settings(folder)
     network, state_store = LoopbackNetwork(), StateStore()
     controllers = [
-        ControllerAddress(f"node-{n}", (HOST, controller_port(n))) for n in range(CONTROLLERS)
+        ControllerAddress(f"node-{n}", (HOST, controller_port(n))) for n in range(CONTROLLER_COUNT)
     ]
     world = World(
         network,
--- a/tests/cluster/test_rolling_upgrade_processes.py
+++ b/tests/cluster/test_rolling_upgrade_processes.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from standins.__main__ import CONTROLLERS, STATE_PORT, controller_port
+from standins.__main__ import CONTROLLER_COUNT, STATE_PORT, controller_port
 
 from ..harness.earlier_version import ROOT, EarlierVersion
 from ..harness.simulation import job, submission
@@ -52,7 +52,7 @@
         self.trees = {"old": old, "new": ROOT}
         self.environment = {**os.environ, "LOG_LEVEL": "error"}
         self.world = subprocess.Popen([sys.executable, "-m", "standins", str(folder)], cwd=ROOT)
-        self.nodes: list[subprocess.Popen[bytes] | None] = [None] * CONTROLLERS
+        self.nodes: list[subprocess.Popen[bytes] | None] = [None] * CONTROLLER_COUNT
 
     def start(self, node: int, version: str) -> None:
         settings = str(self.folder / f"node-{node}.toml")
@@ -67,7 +67,7 @@
             self.nodes[node] = None
 
     def stop_all(self) -> None:
-        for node in range(CONTROLLERS):
+        for node in range(CONTROLLER_COUNT):
             self.stop(node)
         self.world.kill()
         self.world.wait()
@@ -80,7 +80,7 @@
 def cluster(production: EarlierVersion, tmp_path: Path) -> Iterator[Cluster]:
     processes = Cluster(tmp_path, production.folder.parent)
     try:
-        wait_for("settings", (tmp_path / f"node-{CONTROLLERS - 1}.toml").exists)
+        wait_for("settings", (tmp_path / f"node-{CONTROLLER_COUNT - 1}.toml").exists)
         yield processes
     finally:
         processes.stop_all()
@@ -103,13 +103,13 @@
     def accepted(spec: dict[str, Any], node: int) -> bool:
         return send_request(controller_port(node), "/api/jobs", spec)[0] in (200, 201)
 
-    for node in range(CONTROLLERS):
+    for node in range(CONTROLLER_COUNT):
         cluster.start(node, "old")
-    for node in range(CONTROLLERS):
+    for node in range(CONTROLLER_COUNT):
         wait_for(f"node {node}", cluster.ready, node)
-    for node in range(CONTROLLERS):
+    for node in range(CONTROLLER_COUNT):
         assert not gate_is_open()
-        wait_for("acceptance", accepted, desk_job(node + 1), (node + 1) % CONTROLLERS)
+        wait_for("acceptance", accepted, desk_job(node + 1), (node + 1) % CONTROLLER_COUNT)
         cluster.stop(node)
         cluster.start(node, "new")
         wait_for(f"node {node}", cluster.ready, node)
