--- a/pitchtally/membership/peers/transport.py
+++ b/pitchtally/membership/peers/transport.py
@@ -15,7 +15,7 @@
 PEER_PATH = "/peer"
 
 _CONNECTIONS_PER_PEER = 2
-_LOGGED_CAUSE_LENGTH = 80
+_LOGGED_CAUSE_CHARS = 80
 
 
 class PeerTransport:
@@ -38,7 +38,7 @@
                 log.info(
                     "peer call failed peer=%s cause=%s",
                     peer.name,
-                    str(error)[:_LOGGED_CAUSE_LENGTH],
+                    str(error)[:_LOGGED_CAUSE_CHARS],
                 )
             peer.failure = str(error)
             return None
