--- a/pitchtally/scheduling/gangs/range_return.py
+++ b/pitchtally/scheduling/gangs/range_return.py
@@ -20,7 +20,7 @@
 
 # Share of `gang_wait_s` for which a job stays pending in a shard before it is returned.
 _MAX_PENDING_SHARE = 1 / 2
-# Factor on that time if machines are reserved for the job.
+# Factor on the time given by `_MAX_PENDING_SHARE` if machines are reserved for the job.
 _RESERVED_MAX_PENDING_FACTOR = 4
 # A gang whose planned machines went to other jobs is returned after this many agent heartbeats.
 _LOST_PLAN_MAX_PENDING_HEARTBEATS = 2
--- a/pitchtally/scheduling/gangs/single_shard_planner.py
+++ b/pitchtally/scheduling/gangs/single_shard_planner.py
@@ -18,7 +18,7 @@
 
 # Machines that are expected to take tasks, whether or not agent heartbeats arrive at present.
 _EXPECTED_USABLE_FLAGS = frozenset({MachineFlag.USABLE, MachineFlag.LOST, MachineFlag.SUSPECT})
-# Those, and machines whose first agent heartbeat is still outstanding.
+# The same, and machines whose first agent heartbeat is still outstanding.
 _EXPECTED_USABLE_OR_NEW_FLAGS = _EXPECTED_USABLE_FLAGS | {MachineFlag.NEW}
 
 
--- a/pitchtally/scheduling/gangs/starter.py
+++ b/pitchtally/scheduling/gangs/starter.py
@@ -18,8 +18,8 @@
 from ..shards.shard_statuses import ShardStatuses
 from ..shards.task_start import next_attempt, place_task
 
-# Peer heartbeat intervals after which a gang no longer waits for a shard whose status is that old,
-# and for which a gang's machines stay reserved while other shards make theirs available.
+# Peer heartbeat intervals: a gang doesn't wait for a shard whose status is older than this, and its
+# machines stay reserved for this long while other shards make theirs available.
 _MAX_STATUS_AGE_INTERVALS = 4
 
 
--- a/pitchtally/scheduling/rebalancing/queue_balancing.py
+++ b/pitchtally/scheduling/rebalancing/queue_balancing.py
@@ -95,7 +95,7 @@
         return [id for _, id in sorted(candidates, reverse=True)[:_MAX_JOBS_PER_ROUND]]
 
     async def _migrate_excess(self, allocation: ShardAllocation, status: ShardStatus) -> bool:
-        """Migrate enough tasks to make the two queues equally long; return False if none had to."""
+        """Migrate enough tasks to make two queues equally long; return whether any had to move."""
         spec = allocation.job.spec
         own_seconds, capacity = self.queue_duration(status, spec)
         shortest = self._shortest_queue(allocation.shard, spec)
--- a/pitchtally/scheduling/rebalancing/rebalancing.py
+++ b/pitchtally/scheduling/rebalancing/rebalancing.py
@@ -42,7 +42,7 @@
         self._last_round_at = LONG_AGO
 
     async def rebalance(self) -> None:
-        """Migrate pending tasks to a shard that could start them and its own ones now."""
+        """Migrate pending tasks to shards that could start them now besides their own tasks."""
         now = trio.current_time()
         if now - self._last_round_at < self.policy.heartbeat_interval:
             return  # the peers have sent no newer statuses yet
