--- a/pitchtally/scheduling/gangs/starter.py
+++ b/pitchtally/scheduling/gangs/starter.py
@@ -154,9 +154,9 @@
         )
         chosen: list[Machine] = []
         tasks_by_zone: dict[str, int] = {}
-        for machine, fitting_tasks in candidates:
+        for machine, tasks in candidates:
             max_tasks = zone_caps.get(machine.zone, 0) if job.record.zone_caps else zone_limit
-            for _ in range(fitting_tasks):
+            for _ in range(tasks):
                 if len(chosen) == task_count or tasks_by_zone.get(machine.zone, 0) >= max_tasks:
                     break
                 tasks_by_zone[machine.zone] = tasks_by_zone.get(machine.zone, 0) + 1
