--- a/pitchtally/scheduling/gangs/range_return.py
+++ b/pitchtally/scheduling/gangs/range_return.py
@@ -20,7 +20,7 @@
 
 # Share of `gang_wait_s` for which a job stays pending in a shard before it is returned.
 _MAX_PENDING_SHARE = 1 / 2
-# Factor on that time if machines are reserved for the job.
+# Factor on the time given by `_MAX_PENDING_SHARE` if machines are reserved for the job.
 _RESERVED_MAX_PENDING_FACTOR = 4
 # A gang whose planned machines went to other jobs is returned after this many agent heartbeats.
 _LOST_PLAN_MAX_PENDING_HEARTBEATS = 2
@@ -89,11 +89,11 @@
         """Return whether a job has been pending here for too long, or its attempt has failed."""
         job = allocation.job
         has_finished_tasks = bool(job.finished.count or job.unwritten_tasks)
-        shared_attempt = job.record.attempt
+        attempt = job.record.attempt
         if (
             not has_finished_tasks
-            and shared_attempt
-            and (allocation.last_shared_attempt == shared_attempt or not is_fully_assigned(job))
+            and attempt
+            and (allocation.last_shared_attempt == attempt or not is_fully_assigned(job))
         ):
             return True
         max_pending_s = self.settings.deployment.workers.gang_wait_s * _MAX_PENDING_SHARE
--- a/pitchtally/scheduling/gangs/starter.py
+++ b/pitchtally/scheduling/gangs/starter.py
@@ -18,8 +18,8 @@
 from ..shards.shard_statuses import ShardStatuses
 from ..shards.task_start import next_attempt, place_task
 
-# Peer heartbeat intervals after which a gang no longer waits for a shard whose status is that old,
-# and for which a gang's machines stay reserved while other shards make theirs available.
+# Peer heartbeat intervals: a gang doesn't wait for a shard whose status is older than this, and its
+# machines stay reserved for this long while other shards make theirs available.
 _MAX_STATUS_AGE_INTERVALS = 4
 
 
@@ -154,9 +154,9 @@
         )
         chosen: list[Machine] = []
         tasks_by_zone: dict[str, int] = {}
-        for machine, fitting_tasks in candidates:
+        for machine, tasks in candidates:
             max_tasks = zone_caps.get(machine.zone, 0) if job.record.zone_caps else zone_limit
-            for _ in range(fitting_tasks):
+            for _ in range(tasks):
                 if len(chosen) == task_count or tasks_by_zone.get(machine.zone, 0) >= max_tasks:
                     break
                 tasks_by_zone[machine.zone] = tasks_by_zone.get(machine.zone, 0) + 1
