--- a/tests/cluster/test_api_answers.py
+++ b/tests/cluster/test_api_answers.py
@@ -1,4 +1,4 @@
-"""What users are told of their jobs, at any controller and at any time."""
+"""Answers to users about their jobs, from any controller and at any time."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 def test_after_an_outage_and_restart_every_job_is_known_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Hundreds of open jobs, tens of polls per second, all controllers restarted in an outage."""
+    """All controllers restart in an outage with hundreds of open jobs.
+
+    Afterwards users send tens of polls per second.
+    """
 
     async def day(sim: Simulation) -> None:
         ids = [f"wk-{n:06d}" for n in range(1, 241)]
--- a/tests/cluster/test_autoscaling.py
+++ b/tests/cluster/test_autoscaling.py
@@ -35,7 +35,7 @@
         await trio.sleep(60)
         late = [who for when, who in requests if when > at + TIMES.lease_s / 4 + 1]
         assert "n0" not in late
-        assert late  # its successor acts
+        assert late  # its successor calls the cloud
         sim.check()
 
     run(monkeypatch, day)
--- a/tests/cluster/test_cancellation.py
+++ b/tests/cluster/test_cancellation.py
@@ -17,7 +17,7 @@
 def test_job_cancelled_between_two_leaders_is_stopped(
     gap: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The former leader has ended; its successor finds running tasks of a cancelled job."""
+    """The former leader has crashed; its successor finds running tasks of a cancelled job."""
 
     async def day(sim: Simulation) -> None:
         # Other jobs keep the machines busy, so that none is terminated as idle.
@@ -34,7 +34,7 @@
         await trio.sleep(TIMES.cancel_s + 2)
         left = {task.rpartition("/")[0] for task in sim.world.rules.placements}
         assert left <= {"wk-000002"}
-        sim.check()  # the team's limit too: six tasks at once
+        sim.check()  # also checks the team's limit of six tasks at once
 
     run(monkeypatch, day)
 
@@ -42,7 +42,7 @@
 def test_no_task_of_a_cancelled_job_starts_once_the_session_lease_has_expired(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An isolated leader can't learn of the cancellation, so it must stop starting tasks."""
+    """An isolated leader can't receive the cancellation, so it must stop starting tasks."""
 
     async def day(sim: Simulation) -> None:
         await sim.submit(job(1, rows=600, vcpus=1.0, realS=1.0, ripenS=1.0))
@@ -67,7 +67,7 @@
 def test_job_cancelled_at_any_moment_of_a_leader_change_is_stopped(
     change: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """One cancellation per quarter of a second while a controller's shard changes its leader."""
+    """A job is cancelled every quarter of a second while a shard changes its leader."""
 
     async def change_leader(sim: Simulation) -> None:
         if change == "partition_from_agents":
@@ -112,7 +112,7 @@
 def test_team_limits_hold_as_jobs_are_cancelled_and_the_leader_changes(
     fault: str, seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The quota of cancelled jobs is available again only once their tasks are known to be gone."""
+    """The quota of cancelled jobs is released only once their tasks can no longer run."""
 
     async def day(sim: Simulation) -> None:
         running = [
@@ -157,7 +157,7 @@
 def test_leader_isolated_for_long_still_learns_of_cancellations(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Peers repeat cancellations without a time limit, to a leader isolated for however long."""
+    """Peers resend cancellations without a time limit, however long a leader is isolated."""
 
     async def day(sim: Simulation) -> None:
         await sim.submit(job(1, rows=6, realS=900.0, ripenS=900.0, vcpus=1.0))
--- a/tests/cluster/test_cancellation_in_outages.py
+++ b/tests/cluster/test_cancellation_in_outages.py
@@ -1,8 +1,8 @@
-"""Cancellations that the cluster leader can't read: refused by the store, then an outage.
+"""Cancelled tasks stop in time although the cluster leader can't read the cancellations.
 
-The state store refuses the leader, a peer accepts cancellations, then the store is down for all.
-Meanwhile the agents go on sending heartbeats to the old leader, which must stop renewing in time.
-The times are those of the two deployments.
+The state store refuses the leader's calls while a peer accepts cancellations; then the store is
+down for all controllers. Agents still send heartbeats to the old leader, which must stop renewing
+their leases in time. The agent times are those of the two real deployments.
 """
 
 from __future__ import annotations
@@ -17,18 +17,22 @@
 
 
 class Outage(NamedTuple):
-    """One course of the outage: which controllers hear each other, and which of them crash."""
+    """One variant of the outage: which controllers reach each other, and which of them crash."""
 
     canceller: int  # the controller that accepts the cancellations
-    link: str = "open"  # from the canceller to the old leader: open, refused, held
-    crash: str = ""  # the canceller restarts "before" the outage, "in" it; "gone": it stays down
-    third: bool = True  # whether the third controller hears the canceller
-    job: str = "running"  # or "new": accepted and started while the leader is refused
-    repeat: bool = False  # the first response is lost; the other peer answers the repetition
+    # Connections between the canceller and the old leader: "open", "refused", or "held": requests
+    # are held back until late in the outage.
+    link: str = "open"
+    # The canceller restarts "before" or "in" the outage, or crashes in it and stays down ("gone").
+    crash: str = ""
+    third: bool = True  # whether the canceller and the third controller reach each other
+    # "new": a job that is accepted while the state store refuses the leader is cancelled too.
+    job: str = "running"
+    repeat: bool = False  # the first response is lost, and the other peer answers a retry
 
     @property
     def leader_hears_all_peers(self) -> bool:
-        """Whether the old leader hears all its peers throughout."""
+        """Whether the old leader receives messages from all its peers throughout the outage."""
         return self.link == "open" and not self.crash
 
 
@@ -70,7 +74,7 @@
 
 
 class OutageDay:
-    """The steps of one day: which jobs are cancelled, and who is partitioned from whom."""
+    """The steps of one test, the jobs that are cancelled, and the roles of the controllers."""
 
     def __init__(self, sim: Simulation, outage: Outage) -> None:
         self.sim = sim
@@ -79,7 +83,7 @@
         self.cancelled = [JOBS[0]]
 
     async def begin(self) -> None:
-        """Start long jobs; then let the store refuse the leader, and break links."""
+        """Start long jobs; then let the state store refuse the leader, and break connections."""
         sim, outage = self.sim, self.outage
         for number in (1, 2, 3):
             await sim.submit(job(number, rows=6, **LONG_RUNNING))
@@ -109,7 +113,7 @@
                 await self._cancel_at(self.outage.canceller, id)
 
     async def _cancel_without_response(self, id: str) -> None:
-        """Cancel a job so that neither the user nor a peer hears of the commit."""
+        """Cancel a job so that neither the user nor a peer is notified of the commit."""
         sim = self.sim
         sim.network.partition(self.canceller, "n0")
         sim.network.partition(self.canceller, self.other)
@@ -124,7 +128,10 @@
         assert answer == (200, "withdrawn")
 
     async def cut_off(self) -> None:
-        """Stop the store for longer than `cancel_s`; the canceller may crash before or in it."""
+        """Stop the state store for longer than `cancel_s`.
+
+        The canceller may crash before the outage or during it.
+        """
         sim, outage = self.sim, self.outage
         if outage.crash == "before":
             sim.kill(self.canceller)
@@ -145,12 +152,15 @@
         await trio.sleep(sim.times.cancel_s + 2.0 - HELD_FOR_S)
 
     def check_stopped(self) -> None:
-        """Check that cancelled tasks are gone, and all others run if the leader heard everybody."""
+        """Check that cancelled tasks have stopped.
+
+        If the leader received messages from all its peers, all other tasks must still run.
+        """
         left = self._left()
         assert not left & set(self.cancelled)
         self.sim.check()
         if self.outage.leader_hears_all_peers:
-            # No peer is missing: the leader knows all cancellations, so all other tasks go on.
+            # The leader has received all cancellations, so it keeps renewing all other tasks.
             assert self.sim.world.rules.tasks_lost_to_lease_expiry == 0
             assert left >= {"wk-000002", "wk-000003"}
 
@@ -158,7 +168,7 @@
         return {task.rpartition("/")[0] for task in self.sim.world.rules.placements}
 
     async def recover(self) -> None:
-        """End all faults: every job is known, and no cancelled one runs again."""
+        """End all faults; every job must be known, and no cancelled job may run again."""
         sim = self.sim
         sim.state_store.resume()
         sim.state_store.refused_callers.clear()
--- a/tests/cluster/test_completion_races.py
+++ b/tests/cluster/test_completion_races.py
@@ -20,7 +20,7 @@
 def test_cancellation_while_the_last_task_ends_has_one_outcome(
     seconds_before: float, rows: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """One compare-and-swap decides; every answer tells what it wrote."""
+    """One compare-and-swap decides the outcome, and every answer reports that outcome."""
 
     async def day(sim: Simulation) -> None:
         specs = [job(n, rows=rows, vcpus=1.0, realS=4.0) for n in range(1, 5)]
--- a/tests/cluster/test_duplicated_heartbeats.py
+++ b/tests/cluster/test_duplicated_heartbeats.py
@@ -45,7 +45,7 @@
 def test_late_duplicate_of_a_heartbeat_changes_nothing(
     between: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A duplicate is no sign of life, at the same leader and at a new one."""
+    """A duplicate doesn't show that an agent is alive, to the same leader or to a new one."""
 
     async def day(sim: Simulation) -> None:
         await sim.submit(job(1, rows=30, vcpus=1.0, realS=200.0, ripenS=200.0))
@@ -69,7 +69,7 @@
             sim.network.partition(agent.name, "*")
             await trio.sleep(30)
             assert agent.name in sim.world.terminated
-            # Also at a leader that did not terminate the machine itself.
+            # The new leader did not terminate the machine itself.
             sim.kill("n1")
             await trio.sleep(0.2)
             sim.start("n1")
@@ -88,7 +88,7 @@
 
 
 def test_duplicate_does_not_bring_a_lost_machine_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Before a machine's first heartbeat to a new leader, a duplicate proves nothing."""
+    """A new leader must not accept a late duplicate as a machine's first heartbeat."""
 
     async def day(sim: Simulation) -> None:
         await sim.submit(job(1, rows=30, vcpus=1.0, realS=8.0))
@@ -109,9 +109,9 @@
                     checks += 1
                     assert machine.lost
                     assert not machine.placements
-        assert checks  # it was in the record of a shard that was acquired
+        assert checks  # the machine was recorded in a shard that a new leader acquired
         sim.start("n1")
-        # The shard was reconciled without it, since the cloud does not list it any more.
+        # The shard was reconciled without the machine, which the cloud no longer lists.
         await sim.finish(["wk-000001"], limit=40)
 
     run(monkeypatch, day)
--- a/tests/cluster/test_failover.py
+++ b/tests/cluster/test_failover.py
@@ -1,4 +1,4 @@
-"""After a failover the successor goes on soon, and terminates no machine without need."""
+"""After a failover the successor resumes work soon, and terminates no working machine."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 def test_machine_already_silent_for_long_does_not_delay_failover(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A new leader goes by the recorded silence of a machine, and doesn't wait as long again."""
+    """A new leader counts a machine's recorded time without heartbeats, and doesn't wait again."""
 
     async def day(sim: Simulation) -> None:
         sim.world.capacity = 4
@@ -24,7 +24,7 @@
         await trio.sleep(5)
         name = next(n for n in sim.world.agents if shard_of(n, 3) == 0)
         isolate(sim, name)
-        # Its lease has expired, and it is nearly due to be terminated.
+        # The machine's lease has expired, and its termination is nearly due.
         await trio.sleep(TIMES.lease_s * 1.75)
         assert name not in sim.world.terminated
         sim.kill("n0")
@@ -32,7 +32,8 @@
         with trio.fail_after(SESSION_TTL_S + TIMES.report_s * 3):
             while name not in sim.world.terminated:
                 await trio.sleep(0.1)
-        assert trio.current_time() - at > SESSION_TTL_S / 2  # not before there was a successor
+        # The machine was not terminated before there was a successor.
+        assert trio.current_time() - at > SESSION_TTL_S / 2
         revive(sim, "n0")
         await trio.sleep(5)
         sim.check()
@@ -41,7 +42,7 @@
 
 
 def test_silent_machine_blocks_only_jobs_that_it_may_run(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A job bound to another zone goes on at once after a failover; any other is blocked."""
+    """After a failover a job bound to another zone continues at once; any other is blocked."""
 
     async def day(sim: Simulation) -> None:
         sim.world.capacity = 4
--- a/tests/cluster/test_fault_combinations.py
+++ b/tests/cluster/test_fault_combinations.py
@@ -1,4 +1,4 @@
-"""Combinations of faults, listed ones and random ones: all invariants hold."""
+"""All invariants hold under listed and random combinations of faults."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 def test_invariants_hold_under_random_combinations(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Two scenarios at a random distance; no job may stay queued for ever either."""
+    """Two scenarios start a random time apart; no job may stay queued forever either."""
     rng = random.Random(1000 + seed)
     first, second = rng.sample(SCENARIOS, 2)
     delay, start_after = rng.uniform(0.0, TIMES.lease_s), rng.uniform(2.0, 8.0)
--- a/tests/cluster/test_gang_scheduling.py
+++ b/tests/cluster/test_gang_scheduling.py
@@ -1,4 +1,4 @@
-"""Gangs start in time beside other work, and a failed round of the scheduler is not lost."""
+"""Gangs start in time beside other jobs, and the loss of a shard doesn't end a round."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 def test_shard_lost_while_a_gang_is_migrated_does_not_stop_the_round(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The shard is lost during the write; the rest of the scheduling round must go on."""
+    """The shard is lost during the write; the rest of the scheduling round must continue."""
 
     async def day(sim: Simulation) -> None:
         sim.world.capacity = 4
@@ -87,7 +87,7 @@
 
 
 def test_gang_does_not_return_to_a_machine_where_it_failed(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Also when it is migrated to another shard and back meanwhile."""
+    """The failure counts even if the gang is migrated to another shard and back meanwhile."""
 
     async def day(sim: Simulation) -> None:
         failing = next(iter(sim.world.agents.values()))
@@ -100,7 +100,7 @@
 
 
 def test_late_gang_does_not_make_other_gangs_late(monkeypatch: pytest.MonkeyPatch) -> None:
-    """In order of acceptance, one backlog of gangs would make every later gang late."""
+    """If gangs started in order of acceptance, one backlog would make every later gang late."""
     start_within = 60.0
 
     async def day(sim: Simulation) -> None:
@@ -124,6 +124,7 @@
         waits = {id: sim.world.rules.first_start[id] - at for id, at in accepted.items()}
         in_time = [id for id, wait in waits.items() if wait < start_within]
         assert len(in_time) > len(accepted) * 0.6
-        assert max(waits.values()) < start_within * 4  # late gangs regain priority in the end
+        # Late gangs regain priority after a while.
+        assert max(waits.values()) < start_within * 4
 
     run(monkeypatch, day)
--- a/tests/cluster/test_heartbeat_cost.py
+++ b/tests/cluster/test_heartbeat_cost.py
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("cpus", [60.0, 1.0], ids=["no cheaper room", "much cheaper room"])
 def test_heartbeat_cost_beside_pending_jobs_does_not_grow_with_machines(cpus: float) -> None:
-    """A walk over the shard's machines for each heartbeat blocked a controller of 4,086."""
+    """Scanning the shard's machines on each heartbeat blocked a controller of 4,086 machines."""
 
     async def work(machines: int) -> int:
         leader = leader_of_shard(0, 50)
--- a/tests/cluster/test_invariants_under_faults.py
+++ b/tests/cluster/test_invariants_under_faults.py
@@ -1,4 +1,4 @@
-"""One fault at a time, in a day with every kind of job: all invariants hold."""
+"""All invariants hold under each single fault while jobs of every kind run."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
 
 
 async def late_duplicates(sim: Simulation) -> None:
-    """Commands, heartbeats, transactions and launches are carried out a second time, late."""
+    """Deliver commands, heartbeats, transactions and launches a second time, 7 s later."""
     for name in NODES:
         for other in ("state", "cloud", *sim.world.agents):
             sim.network.duplicate_after[(name, other)] = 7.0
@@ -124,7 +124,7 @@
 
 
 async def machine_isolated_and_leader_crashes(sim: Simulation) -> None:
-    """The leader crashes while one of its machines can't be reached."""
+    """Crash the leader while one of its machines is isolated."""
     name = next(iter(sim.world.agents))
     sim.network.partition("*", name)
     sim.network.partition(name, "*")
@@ -145,7 +145,7 @@
 
 
 async def unreachable_agent(sim: Simulation) -> None:
-    """Heartbeats of an agent arrive, but neither responses nor commands reach it."""
+    """Lose all responses and commands to an agent whose heartbeats still arrive."""
     sim.network.partition_inbound(next(iter(sim.world.agents)))
     await trio.sleep(25)
 
@@ -170,7 +170,7 @@
 
 
 async def duplicates_after_failovers(sim: Simulation) -> None:
-    """Duplicates of heartbeats, later than a lease, at leaders that never saw the originals."""
+    """Deliver duplicates later than a lease, to leaders that never received the originals."""
     _duplicate_heartbeats(sim, 14.0)
     await trio.sleep(3)
     sim.kill("n0")
@@ -184,7 +184,7 @@
 
 
 async def duplicates_of_lost_machines(sim: Simulation) -> None:
-    """Duplicates from machines that are gone, or whose lease has expired, still arrive."""
+    """Deliver duplicates from terminated machines and from machines whose lease has expired."""
     _duplicate_heartbeats(sim, 9.0)
     names = list(sim.world.agents)
     sim.network.partition("*", names[0])
@@ -196,14 +196,17 @@
 
 
 async def isolated_with_agents(sim: Simulation) -> None:
-    """A controller is partitioned from the state store and its peers, but not from its agents."""
+    """Partition a controller from the state store and its peers, but not from its agents."""
     for other in ("state", "n1", "n2"):
         sim.network.partition("n0", other)
     await trio.sleep(30)
 
 
 async def quick_restarts_during_elections(sim: Simulation) -> None:
-    """Restart within a fraction of a second at every step of an election, also twice in a row."""
+    """Restart controllers within a fraction of a second at every step of an election.
+
+    One of them restarts twice in a row each time.
+    """
     for pause in (0.05, 0.3, 0.6, 1.0, 1.7, 2.6):
         for name in ("n0", "n0", "n2"):
             sim.kill(name)
@@ -221,7 +224,7 @@
 
 
 async def agents_restart_at_once(sim: Simulation) -> None:
-    """Agents begin a new epoch within a fraction of a second."""
+    """Restart each agent twice within a fraction of a second; each restart begins a new epoch."""
     for agent in list(sim.world.agents.values()):
         agent.restart()
         await trio.sleep(0.3)
@@ -230,7 +233,7 @@
 
 
 async def machines_hang_and_resume(sim: Simulation) -> None:
-    """Nothing gets in or out of half of the machines for longer than a lease, twice."""
+    """Isolate half of the machines for longer than a lease, twice."""
     names = list(sim.world.agents)[::2]
     for _ in range(2):
         for name in names:
@@ -242,7 +245,7 @@
 
 
 async def machines_hang_and_leader_crashes(sim: Simulation) -> None:
-    """As before, with a failover meanwhile, and the old leader back at once."""
+    """Isolate half of the machines while one controller restarts at once and the leader later."""
     names = list(sim.world.agents)[::2]
     for name in names:
         sim.network.partition(name, "*")
@@ -260,7 +263,7 @@
 
 
 async def zone_isolated_with_a_controller(sim: Simulation) -> None:
-    """A zone's machines and a controller are partitioned from all others."""
+    """Partition a zone's machines and a controller from all other hosts."""
     isolate_zone_with(sim, "n0", "a")
     await trio.sleep(TIMES.lease_s * 1.5)
 
@@ -272,7 +275,10 @@
 
 
 async def all_controllers_crash_twice(sim: Simulation) -> None:
-    """Crash again before the first restart has settled, in an outage, with late duplicates."""
+    """Crash all controllers in an outage, and again before they have recovered.
+
+    Requests of users are duplicated after 4 s.
+    """
     sim.network.duplicate_after = {("user", n): 4.0 for n in NODES}
     sim.state_store.stop()
     sim.kill()
@@ -286,7 +292,7 @@
 
 
 async def isolated_with_agents_and_crash(sim: Simulation) -> None:
-    """A controller that hears only its agents crashes, and is back at once."""
+    """Crash a controller that only its agents can reach, and restart it at once."""
     for other in ("state", "n1", "n2"):
         sim.network.partition("n0", other)
     await trio.sleep(6)
@@ -357,7 +363,8 @@
         await sim.wait_until_known([spec["ref"] for spec in jobs], within=30)
         await sim.finish([spec["ref"] for spec in jobs])
         assert sim.final_stages["wk-000007"] == "withdrawn"
-        await trio.sleep(26)  # nothing of the cancelled job may be left
+        # Longer than `cancel_s`, after which no task of the cancelled job may run.
+        await trio.sleep(26)
         sim.check()
         assert sim.world.rules.started >= sum(s["rows"] for s in jobs[:6])
 
--- a/tests/cluster/test_partitions.py
+++ b/tests/cluster/test_partitions.py
@@ -12,7 +12,7 @@
 
 
 def test_isolated_controller_refuses_users_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Without state store and peers it must not let users wait for answers it can't give."""
+    """Without the state store and its peers it must refuse at once what it can't answer."""
 
     async def day(sim: Simulation) -> None:
         await sim.submit(job(1, rows=6, realS=100.0, ripenS=100.0))
@@ -27,7 +27,7 @@
         assert dict(refused.headers)["Retry-After"]
         assert (await sim.call(0, "POST", "/api/jobs/wk-000001/cancel")).status == 503
         assert trio.current_time() - at < 0.2
-        # Another controller leads its shard by now, and cancelled tasks are stopped in time.
+        # Another controller leads shard 0 by now, and cancelled tasks are stopped in time.
         assert sim.controllers["n1"].membership.leader(0) != "n0"
         await sim.cancel("wk-000001")
         await trio.sleep(26)
@@ -39,7 +39,7 @@
 def test_partitioned_leader_drops_no_placement_that_its_successor_may_renew(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The successor may be renewing leases of machines that this controller can't hear."""
+    """The successor may renew leases of machines whose heartbeats the old leader doesn't get."""
 
     async def day(sim: Simulation) -> None:
         await sim.submit(job(1, rows=8, vcpus=2.0, realS=200.0, ripenS=200.0))
@@ -82,7 +82,7 @@
         sim.network.heal()
         sim.state_store.stop()
         await trio.sleep(8)
-        # In an outage for all, no controller is better: stay ready, and send Retry-After.
+        # In an outage for all, no peer can answer either: stay ready, and send Retry-After.
         assert (await sim.call(0, "GET", "/ready")).status == 200
         answer = await sim.call(0, "POST", "/api/jobs", {**body, "ref": "wk-000002"})
         assert answer.status == 503
--- a/tests/cluster/test_pauses.py
+++ b/tests/cluster/test_pauses.py
@@ -1,4 +1,4 @@
-"""What a controller may conclude after its process was paused."""
+"""Freshness and lease expiry after the process of a controller was paused."""
 
 from __future__ import annotations
 
@@ -27,15 +27,16 @@
             mock.jump(TIMES.lease_s * 3)
             at = trio.current_time()
             assert membership.resumed_at() == at
-            assert membership.verified_cluster_leader() is None  # another may lead by now
-            # Silence during the controller's own pause proves nothing about an agent.
+            # Another controller may lead by now.
+            assert membership.verified_cluster_leader() is None
+            # Heartbeats missed during the controller's own pause don't show that an agent is lost.
             assert not agents.machines["i-000000"].lost
             nursery.start_soon(agents.lease_expiry.run)
             await trio.sleep(TIMES.report_s)
             assert not agents.machines["i-000000"].lost
             membership.replica.verified_at = trio.current_time()
             assert membership.verified_cluster_leader() == 50
-            # Leadership is verified again, so the lease is known to have expired.
+            # Leadership is verified again, so the lease has certainly expired.
             await trio.sleep(TIMES.report_s)
             assert agents.machines["i-000000"].lost
             nursery.cancel_scope.cancel()
--- a/tests/cluster/test_preemption_notices.py
+++ b/tests/cluster/test_preemption_notices.py
@@ -1,4 +1,4 @@
-"""Spot machines are drained before the provider takes them back."""
+"""Spot instances are drained before the provider preempts them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 def test_machine_with_a_preemption_notice_is_drained_in_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its tasks run elsewhere before the notice ends, without waiting for the lease to expire."""
+    """The machine's tasks move before the notice ends, without waiting for lease expiry."""
 
     async def day(sim: Simulation) -> None:
         await sim.submit(job(1, rows=24, vcpus=1.0, ripenS=30.0, realS=30.0, rackS=5.0))
--- a/tests/cluster/test_quotas.py
+++ b/tests/cluster/test_quotas.py
@@ -1,4 +1,4 @@
-"""A team's limit is used whole, and never exceeded."""
+"""A team's limit can be used in full, and is never exceeded."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def test_team_limit_can_be_used_whole(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Shares of the limit move to the shards that need them, instead of a third for each."""
+    """Shares of the limit move to the shards that need them, instead of staying at a third each."""
 
     async def day(sim: Simulation) -> None:
         await sim.submit(job(1, rows=60, crew="tight", vcpus=3.0))
--- a/tests/cluster/test_reassignment.py
+++ b/tests/cluster/test_reassignment.py
@@ -1,4 +1,4 @@
-"""What a shard can't finish by itself is assigned to another shard or zone."""
+"""Tasks that a shard can't finish by itself are assigned to another shard or zone."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     job(1, rows=6, vcpus=2.0, oneZone=True, realBy=[2.0] + [60.0] * 5, ripenS=30.0),
     job(1, rows=3, vcpus=2.0, cut="gang", oneZone=True, realBy=[3.0, 60.0, 60.0]),
     job(1, rows=4, vcpus=2.0, spread=True, realBy=[2.0, 2.0, 60.0, 60.0], ripenS=30.0),
-    # every other task: too many ranges for one record
+    # Every other task is done early, which leaves too many ranges for one record.
     job(1, rows=100, vcpus=0.1, oneZone=True, realBy=[2.0, 60.0] * 50, ripenS=30.0),
 ]
 
@@ -24,7 +24,7 @@
 def test_rest_of_a_zone_bound_job_goes_on_in_another_zone(
     spec: dict[str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Some tasks are done, then the machines of its zone crash and the cloud has no others."""
+    """Some tasks are done; then the zone's machines crash, and the cloud has no others to offer."""
 
     async def day(sim: Simulation) -> None:
         await sim.submit(spec)
--- a/tests/cluster/test_request_forwarding.py
+++ b/tests/cluster/test_request_forwarding.py
@@ -53,10 +53,11 @@
                 nursery.start_soon(poll, "wk-000001")
             at = trio.current_time()
             await poll("wk-000002")
-            assert trio.current_time() - at < 0.2  # finished jobs are answered from its own replica
+            # The controller answers about finished jobs from its own replica.
+            assert trio.current_time() - at < 0.2
         assert {answer.status for answer in answers} == {200, 503}
         assert all(dict(a.headers)["Retry-After"] == "1" for a in answers if a.status == 503)
-        assert peak <= 800 / 80 + 4  # and at most two heartbeats to each peer
+        assert peak <= 800 / 80 + 4  # plus at most two heartbeats to each of two peers
         sim.check()
 
     run(monkeypatch, day)
--- a/tests/cluster/test_rolling_upgrade.py
+++ b/tests/cluster/test_rolling_upgrade.py
@@ -1,4 +1,4 @@
-"""Controllers of two versions serve during a rolling upgrade and its rollback."""
+"""Invariants hold while controllers of two versions serve, in an upgrade and its rollback."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 
 ANNOUNCED = NextStateLimits(write_rps=60, value_kb=0.75, txn_ops=4)
 STATE = StateLimits(rps=300, write_rps=100, value_kb=1, txn_ops=16, next=ANNOUNCED)
-# 0.5.1 stores the task bitmap of one in its record, which then exceeds the lower limit, and
-# that of the other in chunks.
+# Version 0.5.1 stores the task bitmap of the smaller job in its record, which then exceeds the
+# lower limit, and the bitmap of the larger job in chunks.
 WIDE = [
     job(21, rows=2400, vcpus=0.25, memGb=0.01, rank="idle", realS=3.0, ripenS=3.0),
     job(22, rows=3200, vcpus=0.25, memGb=0.01, rank="idle", realS=3.0, ripenS=3.0),
@@ -33,7 +33,7 @@
     service(32, rows=3, spread=True),
     service(33, crew="tight", rows=2),
 ]
-PAUSE_S = 6.0  # between two controllers
+PAUSE_S = 6.0  # from one controller's replacement to the next
 
 
 def lower_limits(sim: Simulation) -> None:
@@ -44,7 +44,10 @@
 async def replace_controllers(
     sim: Simulation, during: Fault | None = None, *, back: bool = False
 ) -> None:
-    """Replace the controllers one by one, or roll them back; a fault begins with the second."""
+    """Replace the controllers one by one with the present version, or roll them back.
+
+    A fault begins when the second controller is stopped.
+    """
     async with trio.open_nursery() as nursery:
         for number, name in enumerate(NODES):
             sim.kill(name)
@@ -64,7 +67,7 @@
 
 
 async def no_fault(sim: Simulation) -> None:
-    """Only the upgrade."""
+    """Inject no fault; only the upgrade takes place."""
 
 
 async def old_controller_crashes_before_its_turn(sim: Simulation) -> None:
@@ -103,6 +106,7 @@
 
 
 async def messages_of_former_processes(sim: Simulation) -> None:
+    """Deliver heartbeats, commands and peer messages late, also after a restart."""
     sim.network.duplicated_heartbeats, sim.network.delayed_commands = 0.3, 0.3
     for a in NODES:
         for b in NODES:
@@ -154,7 +158,7 @@
 
 
 async def play_upgrade(sim: Simulation, fault: Fault, lowered_after: float) -> None:
-    """Start with the version in production, upgrade beside a fault, then lower the limits."""
+    """Start with the version in production, upgrade during a fault, then lower the limits."""
     specs = [*JOBS, *WIDE]
     for spec in specs:
         sim.nursery.start_soon(sim.submit, spec)
@@ -211,7 +215,7 @@
 def test_invariants_hold_under_random_faults_during_an_upgrade(
     seed: int, production: EarlierVersion, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Two faults at a random distance; limits are lowered at a random time after the upgrade."""
+    """Two faults start a random time apart; limits are lowered a random time after the upgrade."""
     rng = random.Random(500 + seed)
     first, second = rng.sample(FAULTS, 2)
     delay, lowered_after = rng.uniform(0.0, PAUSE_S), rng.uniform(0.0, 20.0)
@@ -255,7 +259,10 @@
 def test_member_of_the_old_version_keeps_the_gate_closed(
     production: EarlierVersion, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Down or up: the gate opens only on what the present process of each member reports."""
+    """The gate opens only once the present process of each member reports the new format.
+
+    A member of the old version keeps it closed whether it is up or down.
+    """
 
     async def day(sim: Simulation) -> None:
         for name in ("n0", "n1"):
@@ -285,7 +292,7 @@
     run(monkeypatch, day, earlier=production, state=STATE)
 
 
-# --- from 0.6.0, and back to it -----------------------------------------------------------------
+# --- upgrade from 0.6.0, and rollback to it -----------------------------------------------------
 
 ROLLBACK_FAULTS: list[Fault] = [
     no_fault,
@@ -310,7 +317,7 @@
 
 
 async def play_upgrade_and_rollback(sim: Simulation, fault: Fault) -> None:
-    """Start with 0.6.0, upgrade and roll back, with a fault each time."""
+    """Start with 0.6.0, upgrade and roll back, with the fault during both."""
     jobs_before, jobs_forwards, jobs_after, jobs_backwards = (
         JOBS[:4],
         [*JOBS[4:8], *WIDE],
@@ -356,7 +363,7 @@
     await sim.wait_until_known([*ids, *(spec["ref"] for spec in SERVICES)], 20)
     await trio.sleep(TIMES.cancel_s + 1)
     sim.check()
-    # Its value only: each new leader of 0.6.0 writes the same record once more.
+    # Only the value is compared: each new leader of 0.6.0 writes the same record once more.
     assert sim.state_store.items[KEY][0] == gate_record
     assert sim.state_store.oversized == []
     assert not [key for key in sim.state_store.items if key.startswith(("pt/done/", "pt/fin/"))]
--- a/tests/cluster/test_rolling_upgrade_processes.py
+++ b/tests/cluster/test_rolling_upgrade_processes.py
@@ -1,4 +1,4 @@
-"""A rolling upgrade of real processes on loopback, from 0.5.1 as built from history."""
+"""A rolling upgrade of real processes on loopback, from 0.5.1 as extracted from history."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
         if check(*arguments):
             return
         time.sleep(0.2)
-    raise AssertionError(f"no {what} in {TIMEOUT_S:g} s")
+    raise AssertionError(f"timed out after {TIMEOUT_S:g} s waiting for {what}")
 
 
 class Cluster:
--- a/tests/cluster/test_services.py
+++ b/tests/cluster/test_services.py
@@ -1,4 +1,4 @@
-"""Replicas of a service run until their job is cancelled, and are replaced wherever they fail."""
+"""Replicas of a service run until their job is cancelled, and are replaced when they fail."""
 
 from __future__ import annotations
 
@@ -25,7 +25,8 @@
             view = json.loads(answer.body)
             assert (view["stage"], view["done"], view["running"]) == ("running", 0, 3)
         writes = [key for _, key, _ in sim.state_store.log if key == f"pt/jobs/{spec['ref']}"]
-        assert len(writes) <= 2  # its acceptance, and at most one assignment
+        # The record is written on acceptance, and at most once more for an assignment.
+        assert len(writes) <= 2
         await sim.cancel(spec["ref"])
         await trio.sleep(TIMES.cancel_s + 1)
         assert not replicas_up(sim, spec["ref"])
@@ -58,7 +59,7 @@
 
 
 def test_service_preempts_only_jobs_of_lower_rank(monkeypatch: pytest.MonkeyPatch) -> None:
-    """On full machines an idle job is preempted at once, another service isn't."""
+    """On full machines a service preempts an idle job at once, but not another service."""
 
     async def day(sim: Simulation) -> None:
         sim.world.capacity = len(sim.world.agents)
@@ -85,11 +86,12 @@
 def test_service_of_a_limited_team_gets_its_share_on_full_machines(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its share of the limit is in other shards and must move, so that it can preempt at all."""
+    """The limit is allotted to another shard, and must move before a service can preempt."""
 
     async def day(sim: Simulation) -> None:
         sim.world.capacity = len(sim.world.agents)
-        earlier = service(3, rows=6, crew="tight")  # moves all shares of the limit to one shard
+        # This service moves all shares of the limit to one shard.
+        earlier = service(3, rows=6, crew="tight")
         await sim.submit(earlier)
         await wait_until_up(sim, earlier, within=15.0)
         await sim.submit(job(2, rows=200, vcpus=1.0, rank="idle", realS=90.0, ripenS=90.0))
@@ -111,7 +113,7 @@
         await sim.submit(spec)
         await wait_until_up(sim, spec, within=5.0)
         await trio.sleep(120)
-        assert sim.world.terminated  # those without replicas
+        assert sim.world.terminated  # machines without replicas
         assert sim.world.rules.started == 4
 
     run(monkeypatch, day)
@@ -130,7 +132,8 @@
     agent.preemption_at = trio.current_time() + 6.0
     agent.changed.set()
     await trio.sleep(6.0)
-    if agent.name in sim.world.agents:  # not terminated before that
+    # The drained machine may have been terminated before its notice ended.
+    if agent.name in sim.world.agents:
         sim.world.agents.pop(agent.name).terminate()
 
 
@@ -172,7 +175,7 @@
 def test_replica_that_does_not_fit_in_its_shard_starts_elsewhere(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its other replicas never end, so the shard never gets capacity for the last one."""
+    """The other replicas never end, so their shard never gets capacity for the last one."""
 
     async def day(sim: Simulation) -> None:
         for zone in ("a", "b"):
--- a/tests/cluster/test_services_under_faults.py
+++ b/tests/cluster/test_services_under_faults.py
@@ -78,7 +78,7 @@
 
 
 async def play_services(sim: Simulation, fault: Fault, *, bound: float) -> None:
-    """Run services beside other jobs, then a fault; after it all must be up again in time."""
+    """Inject a fault beside services and other jobs; all replicas must be up again in time."""
     for spec in [*SERVICES, *OTHER_JOBS]:
         sim.nursery.start_soon(sim.submit, spec)
     sim.nursery.start_soon(users, sim)
--- a/tests/cluster/test_slow_state_store.py
+++ b/tests/cluster/test_slow_state_store.py
@@ -13,7 +13,7 @@
 
 STATE_STORE_ADDRESS = ("10.2.0.1", 2379)
 DELAYED_SHARE = 0.5
-DELAY_S = (0.8, 1.3)  # seconds: about as long as a caller waits
+DELAY_S = (0.8, 1.3)  # about as long as a caller waits for a reply
 SEEDS = (1, 2, 3, 4)
 JOBS = 80
 JOBS_PER_S = 4.0
@@ -21,7 +21,7 @@
 
 
 def delay_replies(sim: Simulation, seed: int) -> None:
-    """Let the state store carry each call out at once, but delay some of its replies."""
+    """Let the state store execute each call at once, but delay some of its replies."""
     name, handle = sim.network.hosts[STATE_STORE_ADDRESS]
     rng = random.Random(seed)
 
@@ -55,8 +55,8 @@
 ) -> None:
     """Jobs are submitted and end while half of the replies are delayed and many users poll.
 
-    A read barrier that takes a delayed reply for a fresh one answers "pending" after "done",
-    or denies a job.
+    A read barrier that treats a delayed reply as fresh would answer "pending" after "done", or
+    report an accepted job as unknown.
     """
 
     async def day(sim: Simulation) -> None:
@@ -75,7 +75,7 @@
         await sim.finish([f"wk-{number:06d}" for number in range(1, JOBS + 1)])
         await trio.sleep(TIMES.cancel_s + 1)
         sim.check()
-        # Most reads pass the barrier all the same.
+        # Nearly all reads still pass the barrier.
         for controller in sim.controllers.values():
             counts = controller.api.read_barrier.counts
             assert counts["confirmed"] > 0.98 * sum(counts.values())
--- a/tests/cluster/test_starvation.py
+++ b/tests/cluster/test_starvation.py
@@ -1,4 +1,4 @@
-"""No job waits for ever beside others."""
+"""No job waits forever while other jobs are submitted."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 def test_large_jobs_of_low_rank_start_beside_an_endless_stream_of_small_ones(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Wide arrays and gangs start within their bound although small jobs never stop coming."""
+    """Wide arrays and gangs start within their bound although small jobs keep being submitted."""
 
     async def day(sim: Simulation) -> None:
         sim.world.capacity = 4
--- a/tests/cluster/test_submission.py
+++ b/tests/cluster/test_submission.py
@@ -1,4 +1,4 @@
-"""Submissions are accepted once, in few transactions, and nobody has to give up."""
+"""Submissions are accepted once, in few transactions, and before users' retries end."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def test_queued_submissions_share_a_transaction(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each is accepted once; a repeated one among them doesn't fail the others."""
+    """Each submission is accepted once; a repeated one in a batch doesn't fail the others."""
 
     async def day(sim: Simulation) -> None:
         commits = 0
@@ -78,7 +78,10 @@
 def test_cluster_leader_assigns_a_small_job_before_its_record_is_written(
     cluster_leader: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A second write for each small job would exhaust the write rate under load."""
+    """A second write for each small job would exhaust the write rate under load.
+
+    With a "silent" cluster leader, the accepting controller is partitioned from it.
+    """
 
     async def day(sim: Simulation) -> None:
         sim.world.capacity = 4
@@ -101,11 +104,11 @@
     run(monkeypatch, day)
 
 
-RETRIES_FOR_S = 60.0  # seconds; the protocol's bound on a user's retries
+RETRIES_FOR_S = 60.0  # the protocol's bound on a user's retries
 
 
 async def submit_with_retries(sim: Simulation, spec: dict[str, Any], rng: random.Random) -> bool:
-    """Retry as the protocol says, at any controller, for as long as users do."""
+    """Submit a job as the protocol says, at random controllers; return whether it was accepted."""
     sim.world.rules.specs[spec["ref"]] = spec
     started_at = trio.current_time()
     while trio.current_time() - started_at < RETRIES_FOR_S:
@@ -122,7 +125,7 @@
 
 
 def test_no_user_gives_up_after_an_outage_under_load(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Submissions are admitted in the order of first attempts, not by the luckiest retry."""
+    """Submissions are admitted in order of first attempts, not by which retry arrives first."""
 
     async def day(sim: Simulation) -> None:
         sim.state_limits = StateLimits(rps=80, write_rps=15, value_kb=8, txn_ops=8)
@@ -154,7 +157,7 @@
 
 
 def test_stream_of_small_jobs_ends_as_asked_beside_a_crash(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Four jobs per second for minutes, a quarter of them cancelled; a controller crashes."""
+    """Four jobs per second for two minutes, a quarter of them cancelled; a controller crashes."""
 
     async def submit_and_cancel(sim: Simulation, number: int, rng: random.Random) -> None:
         spec = job(number, rows=1, vcpus=1.0, realS=3.0, ripenS=3.0)
--- a/tests/cluster/test_unreachable_agents.py
+++ b/tests/cluster/test_unreachable_agents.py
@@ -22,7 +22,7 @@
 def test_unreachable_agent_gets_no_more_tasks_and_is_terminated(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A response that was sent proves nothing; only a heartbeat that shows its effect does."""
+    """Only a heartbeat that shows the effect of a response proves that the agent received it."""
 
     async def day(sim: Simulation) -> None:
         await sim.submit(job(1, rows=200, vcpus=1.0))
@@ -52,12 +52,12 @@
 
 
 def test_failover_does_not_wait_for_an_unreachable_agent(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its heartbeats must not keep it from being lost, nor its shard from being reconciled."""
+    """The agent's heartbeats must not delay its loss, nor its shard's reconciliation."""
 
     async def day(sim: Simulation) -> None:
         await sim.submit(job(1, rows=40, vcpus=1.0, realS=6.0))
         await trio.sleep(4)
-        name = "i-000003"  # of shard 0
+        name = "i-000003"  # belongs to shard 0
         sim.network.partition_inbound(name)
         sim.kill("n0")
         await trio.sleep(0.2)
