--- a/tests/cluster/test_autoscaling.py
+++ b/tests/cluster/test_autoscaling.py
@@ -21,21 +21,25 @@
         requests: list[tuple[float, str]] = []
         handle = sim.world.handle
 
-        async def recorded(request: Request) -> Response:
+        async def handle_and_record(request: Request) -> Response:
             if request.method == "POST":
                 requests.append((trio.current_time(), HERE.get()))
             return await handle(request)
 
-        sim.network.hosts[("10.2.0.2", 8443)] = ("cloud", recorded)
+        sim.network.hosts[("10.2.0.2", 8443)] = ("cloud", handle_and_record)
         await sim.submit(job(1, rows=60, vcpus=4.0, realS=20.0, ripenS=20.0))
         await trio.sleep(1)
-        for other in ("state", "n1", "n2", *sim.world.agents):
-            sim.network.partition("n0", other)
-        at = trio.current_time()
+        for host in ("state", "n1", "n2", *sim.world.agents):
+            sim.network.partition("n0", host)
+        partitioned_at = trio.current_time()
         await trio.sleep(60)
-        late = [who for when, who in requests if when > at + TIMES.lease_s / 4 + 1]
-        assert "n0" not in late
-        assert late  # its successor calls the cloud
+        late_callers = [
+            caller
+            for called_at, caller in requests
+            if called_at > partitioned_at + TIMES.lease_s / 4 + 1
+        ]
+        assert "n0" not in late_callers
+        assert late_callers  # its successor calls the cloud
         sim.check()
 
     run(monkeypatch, simulate)
