--- a/tests/cluster/test_cancellation.py
+++ b/tests/cluster/test_cancellation.py
@@ -32,8 +32,8 @@
         await sim.cancel("wk-000003")
         await sim.submit(job(4, rows=6, vcpus=1.0, crew="tight"))
         await trio.sleep(TIMES.cancel_s + 2)
-        left = {task.rpartition("/")[0] for task in sim.world.rules.placements}
-        assert left <= {"wk-000002"}
+        remaining_jobs = {task.rpartition("/")[0] for task in sim.world.rules.placements}
+        assert remaining_jobs <= {"wk-000002"}
         sim.check()  # also checks the team's limit of six tasks at once
 
     run(monkeypatch, simulate)
@@ -71,8 +71,8 @@
 
     async def change_leader(sim: Simulation) -> None:
         if change == "partition_from_agents":
-            for name in list(sim.world.agents):
-                sim.network.partition("n1", name)
+            for agent in list(sim.world.agents):
+                sim.network.partition("n1", agent)
             await trio.sleep(TIMES.lease_s * 0.7)
             sim.network.partitions.clear()
             return
@@ -115,12 +115,12 @@
     """The quota of cancelled jobs is released only once their tasks can no longer run."""
 
     async def simulate(sim: Simulation) -> None:
-        running = [
+        running_jobs = [
             job(1, rows=8, vcpus=1.0, **LONG_RUNNING),
             job(2, rows=8, vcpus=1.0, **LONG_RUNNING),
             job(3, rows=6, vcpus=1.0, crew="tight", **LONG_RUNNING),
         ]
-        for spec in running:
+        for spec in running_jobs:
             await sim.submit(spec)
         with trio.fail_after(20):
             while len(sim.world.rules.placements) < 22:
@@ -132,13 +132,13 @@
         ]
         for spec in queued_jobs:
             await sim.submit(spec)
-        busy = sorted({machine for machine, _ in sim.world.rules.placements.values()})
-        for name in busy[:2]:
+        busy_machines = sorted({machine for machine, _ in sim.world.rules.placements.values()})
+        for machine_name in busy_machines[:2]:
             if fault == "cut":
-                isolate(sim, name)
+                isolate(sim, machine_name)
             else:
-                sim.nursery.start_soon(sim.world.agents[name].hang, TIMES.lease_s * 0.8)
-        for spec in running:
+                sim.nursery.start_soon(sim.world.agents[machine_name].hang, TIMES.lease_s * 0.8)
+        for spec in running_jobs:
             sim.nursery.start_soon(sim.cancel, spec["ref"], 1)
         await trio.sleep(0.4)
         await restart(sim, cluster_leader(sim), after=1.0)
@@ -146,7 +146,7 @@
         await restart(sim, cluster_leader(sim), after=3.0)
         await trio.sleep(TIMES.lease_s)
         sim.network.heal()
-        await sim.finish([spec["ref"] for spec in running + queued_jobs])
+        await sim.finish([spec["ref"] for spec in running_jobs + queued_jobs])
         assert {sim.final_stages[spec["ref"]] for spec in queued_jobs} == {"done"}
         await trio.sleep(TIMES.cancel_s + 1)
         sim.check()
@@ -154,7 +154,7 @@
     run(monkeypatch, simulate, seed, teams=FULL_TEAMS)
 
 
-def test_leader_isolated_for_long_still_learns_of_cancellations(
+def test_leader_isolated_for_long_still_receives_cancellations(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Peers resend cancellations without a time limit, however long a leader is isolated."""
@@ -162,8 +162,8 @@
     async def simulate(sim: Simulation) -> None:
         await sim.submit(job(1, rows=6, realS=900.0, ripenS=900.0, vcpus=1.0))
         await trio.sleep(4)
-        for other in ("n1", "n2"):
-            sim.network.partition("n0", other)
+        for peer in ("n1", "n2"):
+            sim.network.partition("n0", peer)
         sim.state_store.refused_callers.add("n0")
         await sim.cancel("wk-000001")
         await trio.sleep(1.0)
@@ -171,8 +171,8 @@
         await trio.sleep(sim.times.cancel_s * 2 + 10)
         sim.network.partitions.clear()  # the peers are reachable again, the state store still down
         await trio.sleep(sim.times.lease_s * 2)
-        job_ = sim.controllers["n0"].job_index.jobs["wk-000001"]
-        assert not job_.open
+        cancelled_job = sim.controllers["n0"].job_index.jobs["wk-000001"]
+        assert not cancelled_job.open
         assert not sim.world.rules.placements
         sim.state_store.refused_callers.clear()
         sim.state_store.resume()
