--- a/tests/cluster/test_cancellation_in_outages.py
+++ b/tests/cluster/test_cancellation_in_outages.py
@@ -25,13 +25,13 @@
     link: str = "open"
     # The canceller restarts "before" or "in" the outage, or crashes in it and stays down ("gone").
     crash: str = ""
-    third: bool = True  # whether the canceller and the third controller reach each other
+    third_reachable: bool = True  # whether the canceller and the third controller reach each other
     # "new": a job that is accepted while the state store refuses the leader is cancelled too.
-    job: str = "running"
-    repeat: bool = False  # the first response is lost, and the other peer answers a retry
+    cancelled_job: str = "running"
+    response_lost: bool = False  # the first response is lost, and the other peer answers a retry
 
     @property
-    def leader_hears_all_peers(self) -> bool:
+    def leader_reached_by_all_peers(self) -> bool:
         """Whether the old leader receives messages from all its peers throughout the outage."""
         return self.link == "open" and not self.crash
 
@@ -53,34 +53,34 @@
     Outage(1, "held", "in"),
     Outage(2, "held", "before"),
     Outage(2, "refused", "gone"),
-    Outage(1, third=False),
-    Outage(1, "refused", third=False),
+    Outage(1, third_reachable=False),
+    Outage(1, "refused", third_reachable=False),
     Outage(1, "refused", "before", False),
     Outage(1, "held", "in", False),
-    Outage(1, job="new"),
-    Outage(2, "refused", job="new"),
-    Outage(1, "held", job="new"),
-    Outage(1, "refused", "before", job="new"),
-    Outage(1, repeat=True),
-    Outage(1, "refused", repeat=True),
-    Outage(1, "held", "before", repeat=True),
+    Outage(1, cancelled_job="new"),
+    Outage(2, "refused", cancelled_job="new"),
+    Outage(1, "held", cancelled_job="new"),
+    Outage(1, "refused", "before", cancelled_job="new"),
+    Outage(1, response_lost=True),
+    Outage(1, "refused", response_lost=True),
+    Outage(1, "held", "before", response_lost=True),
 ]
 
 
-JOBS = ("wk-000001", "wk-000002", "wk-000003")
+JOB_IDS = ("wk-000001", "wk-000002", "wk-000003")
 LONG_RUNNING = {"realS": 900.0, "ripenS": 900.0, "vcpus": 1.0}
 RESTART_AFTER_S = 0.3
 HELD_FOR_S = 20.0
 
 
-class OutageDay:
+class OutageScenario:
     """The steps of one test, the jobs that are cancelled, and the roles of the controllers."""
 
     def __init__(self, sim: Simulation, outage: Outage) -> None:
         self.sim = sim
         self.outage = outage
-        self.canceller, self.other = f"n{outage.canceller}", f"n{3 - outage.canceller}"
-        self.cancelled = [JOBS[0]]
+        self.canceller, self.other_peer = f"n{outage.canceller}", f"n{3 - outage.canceller}"
+        self.cancelled = [JOB_IDS[0]]
 
     async def begin(self) -> None:
         """Start long jobs; then let the state store refuse the leader, and break connections."""
@@ -92,7 +92,7 @@
                 await trio.sleep(0.1)
         assert sim.controllers["n0"].membership.cluster_leader_token is not None
         sim.state_store.refused_callers.add("n0")
-        if outage.job == "new":
+        if outage.cancelled_job == "new":
             await sim.submit(job(4, rows=12, **LONG_RUNNING))
             self.cancelled.append("wk-000004")
             await trio.sleep(1.0)
@@ -100,13 +100,13 @@
             sim.network.refused_connections |= {(self.canceller, "n0"), ("n0", self.canceller)}
         elif outage.link == "held":
             sim.network.hold_back(self.canceller, "n0")
-        if not outage.third:
-            sim.network.partition(self.canceller, self.other)
+        if not outage.third_reachable:
+            sim.network.partition(self.canceller, self.other_peer)
 
     async def cancel_jobs(self) -> None:
         """Cancel jobs, and wait for the confirmations."""
         for id in self.cancelled:
-            if self.outage.repeat:
+            if self.outage.response_lost:
                 await self._cancel_without_response(id)
                 await self._cancel_at(3 - self.outage.canceller, id)
             else:
@@ -116,7 +116,7 @@
         """Cancel a job so that neither the user nor a peer is notified of the commit."""
         sim = self.sim
         sim.network.partition(self.canceller, "n0")
-        sim.network.partition(self.canceller, self.other)
+        sim.network.partition(self.canceller, self.other_peer)
         sim.invariants.cancel_requested.add(id)
         await sim.call(self.outage.canceller, "POST", f"/api/jobs/{id}/cancel")
         sim.network.partitions.clear()
@@ -127,7 +127,7 @@
         answer = await self.sim.ask(node, "POST", f"/api/jobs/{id}/cancel", about=id)
         assert answer == (200, "withdrawn")
 
-    async def cut_off(self) -> None:
+    async def stop_state_store(self) -> None:
         """Stop the state store for longer than `cancel_s`.
 
         The canceller may crash before the outage or during it.
@@ -156,15 +156,15 @@
 
         If the leader received messages from all its peers, all other tasks must still run.
         """
-        left = self._left()
-        assert not left & set(self.cancelled)
+        remaining_jobs = self._jobs_with_tasks()
+        assert not remaining_jobs & set(self.cancelled)
         self.sim.check()
-        if self.outage.leader_hears_all_peers:
+        if self.outage.leader_reached_by_all_peers:
             # The leader has received all cancellations, so it keeps renewing all other tasks.
             assert self.sim.world.rules.tasks_lost_to_lease_expiry == 0
-            assert left >= {"wk-000002", "wk-000003"}
+            assert remaining_jobs >= {"wk-000002", "wk-000003"}
 
-    def _left(self) -> set[str]:
+    def _jobs_with_tasks(self) -> set[str]:
         return {task.rpartition("/")[0] for task in self.sim.world.rules.placements}
 
     async def recover(self) -> None:
@@ -175,9 +175,9 @@
         sim.network.heal()
         if self.outage.crash == "gone":
             sim.start(self.canceller)
-        await sim.wait_until_known(list(JOBS), within=30)
+        await sim.wait_until_known(list(JOB_IDS), within=30)
         await trio.sleep(sim.times.lease_s * 2)
-        assert not self._left() & set(self.cancelled)
+        assert not self._jobs_with_tasks() & set(self.cancelled)
         sim.check()
 
 
@@ -187,11 +187,11 @@
     outage: Outage, deployment: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def simulate(sim: Simulation) -> None:
-        steps = OutageDay(sim, outage)
-        await steps.begin()
-        await steps.cancel_jobs()
-        await steps.cut_off()
-        steps.check_stopped()
-        await steps.recover()
+        scenario = OutageScenario(sim, outage)
+        await scenario.begin()
+        await scenario.cancel_jobs()
+        await scenario.stop_state_store()
+        scenario.check_stopped()
+        await scenario.recover()
 
     run(monkeypatch, simulate, times=DEPLOYMENT_TIMES[deployment])
