--- a/tests/cluster/test_completion_races.py
+++ b/tests/cluster/test_completion_races.py
@@ -26,12 +26,12 @@
         specs = [job(n, rows=rows, vcpus=1.0, realS=4.0) for n in range(1, 5)]
         for spec in specs:
             await sim.submit(spec)
-        first = sim.world.rules.first_start
+        first_starts = sim.world.rules.first_start
         with trio.fail_after(20):
-            while len(first) < len(specs):
+            while len(first_starts) < len(specs):
                 await trio.sleep(0.01)
-        expected_end = max(first.values()) + 4.0
-        await trio.sleep(max(0.0, expected_end - seconds_before - trio.current_time()))
+        expected_end_at = max(first_starts.values()) + 4.0
+        await trio.sleep(max(0.0, expected_end_at - seconds_before - trio.current_time()))
         async with trio.open_nursery() as nursery:
             for number, spec in enumerate(specs):
                 nursery.start_soon(sim.cancel, spec["ref"], number)
