--- a/tests/cluster/test_duplicated_heartbeats.py
+++ b/tests/cluster/test_duplicated_heartbeats.py
@@ -77,17 +77,19 @@
         # Nothing but the duplicate arrives from the machine.
         sim.network.partition(agent.name, "*")
         await trio.sleep(4.5)
-        alive = [c for n, c in sim.controllers.items() if n not in sim.network.crashed]
-        before = _state_of_machine(sim, agent.name)
-        for controller in alive:
+        running_controllers = [
+            c for n, c in sim.controllers.items() if n not in sim.network.crashed
+        ]
+        state_before = _state_of_machine(sim, agent.name)
+        for controller in running_controllers:
             response = (await controller.agents.serve(Request("POST", "/v1/report", {}, body))).body
             assert b"start" not in response
-        assert _state_of_machine(sim, agent.name) == before
+        assert _state_of_machine(sim, agent.name) == state_before
 
     run(monkeypatch, simulate)
 
 
-def test_duplicate_does_not_bring_a_lost_machine_back(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_duplicate_does_not_restore_a_lost_machine(monkeypatch: pytest.MonkeyPatch) -> None:
     """A new leader must not accept a late duplicate as a machine's first heartbeat."""
 
     async def simulate(sim: Simulation) -> None:
