--- a/tests/cluster/test_failover.py
+++ b/tests/cluster/test_failover.py
@@ -13,7 +13,7 @@
 from ..harness.workload import LONG_RUNNING
 
 
-def test_machine_already_silent_for_long_does_not_delay_failover(
+def test_machine_already_isolated_for_long_does_not_delay_failover(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A new leader counts a machine's recorded time without heartbeats, and doesn't wait again."""
@@ -22,18 +22,18 @@
         sim.world.capacity = 4
         await sim.submit(job(1, rows=12, vcpus=1.0, **LONG_RUNNING))
         await trio.sleep(5)
-        name = next(n for n in sim.world.agents if shard_of(n, 3) == 0)
+        name = next(machine for machine in sim.world.agents if shard_of(machine, 3) == 0)
         isolate(sim, name)
         # The machine's lease has expired, and its termination is nearly due.
         await trio.sleep(TIMES.lease_s * 1.75)
         assert name not in sim.world.terminated
         sim.kill("n0")
-        at = trio.current_time()
+        killed_at = trio.current_time()
         with trio.fail_after(SESSION_TTL_S + TIMES.report_s * 3):
             while name not in sim.world.terminated:
                 await trio.sleep(0.1)
         # The machine was not terminated before there was a successor.
-        assert trio.current_time() - at > SESSION_TTL_S / 2
+        assert trio.current_time() - killed_at > SESSION_TTL_S / 2
         revive(sim, "n0")
         await trio.sleep(5)
         sim.check()
@@ -41,7 +41,7 @@
     run(monkeypatch, simulate)
 
 
-def test_silent_machine_blocks_only_jobs_that_it_may_run(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_isolated_machine_blocks_only_jobs_that_it_may_run(monkeypatch: pytest.MonkeyPatch) -> None:
     """After a failover a job bound to another zone continues at once; any other is blocked."""
 
     async def simulate(sim: Simulation) -> None:
@@ -51,8 +51,8 @@
         await sim.submit(zone_bound)
         await sim.submit(unbound)
         await trio.sleep(6)
-        silent = [n for n, w in sim.world.agents.items() if w.zone == "b"]
-        for name in silent:
+        isolated_machines = [n for n, w in sim.world.agents.items() if w.zone == "b"]
+        for name in isolated_machines:
             isolate(sim, name)
         await restart(sim, after=0.5)
         await trio.sleep(3)
