--- a/tests/cluster/test_fault_combinations.py
+++ b/tests/cluster/test_fault_combinations.py
@@ -26,10 +26,10 @@
     run(monkeypatch, simulate, seed)
 
 
-RANDOM_DAYS = tuple(range(12))
+RANDOM_COMBINATION_SEEDS = tuple(range(12))
 
 
-@pytest.mark.parametrize("seed", RANDOM_DAYS)
+@pytest.mark.parametrize("seed", RANDOM_COMBINATION_SEEDS)
 def test_invariants_hold_under_random_combinations(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -38,16 +38,16 @@
     first, second = rng.sample(SCENARIOS, 2)
     delay, start_after = rng.uniform(0.0, TIMES.lease_s), rng.uniform(2.0, 8.0)
 
-    async def second_fault(sim: Simulation) -> None:
+    async def delayed_second_scenario(sim: Simulation) -> None:
         await trio.sleep(delay)
         await second(sim)
 
-    async def both_faults(sim: Simulation) -> None:
+    async def both_scenarios(sim: Simulation) -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(first, sim)
-            nursery.start_soon(second_fault, sim)
+            nursery.start_soon(delayed_second_scenario, sim)
 
     async def simulate(sim: Simulation) -> None:
-        await play(sim, both_faults, start_after)
+        await play(sim, both_scenarios, start_after)
 
     run(monkeypatch, simulate, 1000 + seed)
