--- a/tests/cluster/test_gang_scheduling.py
+++ b/tests/cluster/test_gang_scheduling.py
@@ -22,7 +22,7 @@
         await sim.submit(job(1, rows=16, vcpus=2.0, realS=60.0, ripenS=60.0))
         await trio.sleep(2)
         await sim.submit(job(2, rows=1, cut="gang", vcpus=8.0, oneZone=True))
-        faults: list[str] = []
+        jobs_with_errors: list[str] = []
         for controller in sim.controllers.values():
             scheduler = controller.scheduler
             update_allocation = scheduler.shards.update_allocation
@@ -32,25 +32,25 @@
                 scheduler: Any = scheduler,
                 agents: Any = controller.agents,
                 write: Any = scheduler.range_writer.write_ranges,
-                **more: Any,
+                **kwargs: Any,
             ) -> bool:
-                done: bool = await write(*args, **more)
+                written: bool = await write(*args, **kwargs)
                 for shard in list(scheduler.shards.states):
                     agents.shard_lost(shard)
-                return done
+                return written
 
-            def record_faults(
-                job_: Any, shard: int, update_allocation: Any = update_allocation
+            def record_errors(
+                updated_job: Any, shard: int, update_allocation: Any = update_allocation
             ) -> None:
                 try:
-                    update_allocation(job_, shard)
+                    update_allocation(updated_job, shard)
                 except KeyError:
-                    faults.append(job_.id)
+                    jobs_with_errors.append(updated_job.id)
 
             monkeypatch.setattr(scheduler.range_writer, "write_ranges", write_and_lose_shards)
-            monkeypatch.setattr(scheduler.shards, "update_allocation", record_faults)
+            monkeypatch.setattr(scheduler.shards, "update_allocation", record_errors)
         await trio.sleep(30)
-        assert not faults
+        assert not jobs_with_errors
 
     run(monkeypatch, simulate)
 
@@ -61,10 +61,10 @@
     async def simulate(sim: Simulation) -> None:
         await sim.submit(job(1, rows=150, crew="tight", vcpus=1.0))
         await trio.sleep(5)
-        at = trio.current_time()
+        submitted_at = trio.current_time()
         await sim.submit(job(2, rows=1, cut="gang", crew="tight", vcpus=5.0))
         await trio.sleep(30)
-        assert sim.world.rules.first_start["wk-000002"] - at < 20
+        assert sim.world.rules.first_start["wk-000002"] - submitted_at < 20
         sim.check()
 
     run(monkeypatch, simulate)
@@ -77,10 +77,10 @@
         sim.world.capacity = 4
         await sim.submit(job(1, rows=400, vcpus=1.0))
         await trio.sleep(8)
-        at = trio.current_time()
+        submitted_at = trio.current_time()
         await sim.submit(job(2, rows=1, cut="gang", vcpus=8.0))
         await trio.sleep(40)
-        assert sim.world.rules.first_start["wk-000002"] - at < 30
+        assert sim.world.rules.first_start["wk-000002"] - submitted_at < 30
         sim.check()
 
     run(monkeypatch, simulate)
@@ -107,23 +107,25 @@
         sim.policy_text = f"start_within = {start_within}"
         await restart(sim, after=0.5)
         sim.world.capacity = 4
-        accepted: dict[str, float] = {}
+        accepted_at: dict[str, float] = {}
 
-        async def gang(number: int) -> None:
+        async def submit_gang(number: int) -> None:
             # Occupies all four machines for longer than the launch of another one takes.
             spec = job(number, rows=4, cut="gang", vcpus=8.0, realS=11.0, ripenS=11.0)
             await sim.submit(spec)
-            accepted[spec["ref"]] = trio.current_time()
+            accepted_at[spec["ref"]] = trio.current_time()
 
         for number in range(1, 9):
-            await gang(number)
+            await submit_gang(number)
         for number in range(9, 21):
             await trio.sleep(16)
-            await gang(number)
-        await sim.finish(list(accepted), limit=300)
-        waits = {id: sim.world.rules.first_start[id] - at for id, at in accepted.items()}
+            await submit_gang(number)
+        await sim.finish(list(accepted_at), limit=300)
+        waits = {
+            id: sim.world.rules.first_start[id] - accepted for id, accepted in accepted_at.items()
+        }
         in_time = [id for id, wait in waits.items() if wait < start_within]
-        assert len(in_time) > len(accepted) * 0.6
+        assert len(in_time) > len(accepted_at) * 0.6
         # Late gangs regain priority after a while.
         assert max(waits.values()) < start_within * 4
 
