--- a/tests/cluster/test_heartbeat_cost.py
+++ b/tests/cluster/test_heartbeat_cost.py
@@ -23,7 +23,7 @@
 
 
 def test_heartbeat_cost_does_not_grow_with_machines() -> None:
-    async def work(machines: int) -> int:
+    async def calls_per_heartbeat(machines: int) -> int:
         leader = leader_of_shard(0, 50)
         for number in range(0, machines * 3, 3):
             await leader.agents.serve(heartbeat_request(number, 1, 50, []))
@@ -31,8 +31,11 @@
         return count_calls(leader.agents.serve(heartbeat_request(0, 2, 50, [])))
 
     async def main() -> None:
-        few, many = await work(100), await work(900)
-        assert 0 < few == many
+        calls_with_100_machines, calls_with_900_machines = (
+            await calls_per_heartbeat(100),
+            await calls_per_heartbeat(900),
+        )
+        assert 0 < calls_with_100_machines == calls_with_900_machines
 
     trio.run(main, clock=trio.testing.MockClock())
 
@@ -44,18 +47,18 @@
 def test_heartbeat_cost_beside_pending_jobs_does_not_grow_with_machines(cpus: float) -> None:
     """Scanning the shard's machines on each heartbeat blocked a controller of 4,086 machines."""
 
-    async def work(machines: int) -> int:
+    async def calls_per_heartbeat(machines: int) -> int:
         leader = leader_of_shard(0, 50)
         leader.autoscaler.catalog.known["dear"] = EXPENSIVE_TYPE
         for number in range(0, machines * 3, 3):
             await leader.agents.serve(heartbeat_request(number, 1, 50, []))
         expensive_number = machines * 3
         await leader.agents.serve(heartbeat_request(expensive_number, 1, 50, [], type="dear"))
-        busy = Job("wk-000009", JobRecord(OPEN, 1000, job_spec(9, 10.0)), 1, 10_000)
+        running_job = Job("wk-000009", JobRecord(OPEN, 1000, job_spec(9, 10.0)), 1, 10_000)
         for number, machine in enumerate(leader.agents.machines.values()):
             machine.recorded = True
             if machine.type == "big":
-                leader.agents.placements.put(Placement(busy, number, 1, machine))
+                leader.agents.placements.put(Placement(running_job, number, 1, machine))
         for number in range(1, 6):
             spec = msgspec.structs.replace(job_spec(number, cpus), estimate=600.0)
             ranges = [TaskRange(0, spec.tasks, 0)]
@@ -74,7 +77,10 @@
         return calls
 
     async def main() -> None:
-        few, many = await work(100), await work(900)
-        assert 0 < many <= few * 1.1
+        calls_with_100_machines, calls_with_900_machines = (
+            await calls_per_heartbeat(100),
+            await calls_per_heartbeat(900),
+        )
+        assert 0 < calls_with_900_machines <= calls_with_100_machines * 1.1
 
     trio.run(main, clock=trio.testing.MockClock())
