--- a/tests/cluster/test_invariants_under_faults.py
+++ b/tests/cluster/test_invariants_under_faults.py
@@ -31,10 +31,10 @@
 
 
 async def rolling_restart(sim: Simulation) -> None:
-    for name in NODES:
-        sim.kill(name)
+    for node in NODES:
+        sim.kill(node)
         await trio.sleep(4)
-        sim.start(name)
+        sim.start(node)
         await trio.sleep(4)
 
 
@@ -53,8 +53,8 @@
 
 
 async def partition_from_agents(sim: Simulation) -> None:
-    for name in list(sim.world.agents):
-        sim.network.partition("n0", name)
+    for agent in list(sim.world.agents):
+        sim.network.partition("n0", agent)
     await trio.sleep(20)
 
 
@@ -71,20 +71,20 @@
 
 
 async def lost_replies(sim: Simulation) -> None:
-    for name in NODES:
-        for other in ("state", *NODES):
-            sim.network.reply_loss[(name, other)] = 0.2
+    for node in NODES:
+        for host in ("state", *NODES):
+            sim.network.reply_loss[(node, host)] = 0.2
     await trio.sleep(20)
 
 
 async def late_duplicates(sim: Simulation) -> None:
     """Deliver commands, heartbeats, transactions and launches a second time, 7 s later."""
-    for name in NODES:
-        for other in ("state", "cloud", *sim.world.agents):
-            sim.network.duplicate_after[(name, other)] = 7.0
+    for node in NODES:
+        for host in ("state", "cloud", *sim.world.agents):
+            sim.network.duplicate_after[(node, host)] = 7.0
     for agent in sim.world.agents:
-        for name in NODES:
-            sim.network.duplicate_after[(agent, name)] = 7.0
+        for node in NODES:
+            sim.network.duplicate_after[(agent, node)] = 7.0
     await trio.sleep(20)
 
 
@@ -111,23 +111,23 @@
 
 
 async def machine_isolated(sim: Simulation) -> None:
-    name = next(iter(sim.world.agents))
-    sim.network.partition("*", name)
-    sim.network.partition(name, "*")
+    machine = next(iter(sim.world.agents))
+    sim.network.partition("*", machine)
+    sim.network.partition(machine, "*")
     await trio.sleep(15)
 
 
 async def machine_crashes(sim: Simulation) -> None:
-    name = next(iter(sim.world.agents))
-    sim.world.agents.pop(name).terminate()
+    machine = next(iter(sim.world.agents))
+    sim.world.agents.pop(machine).terminate()
     await trio.sleep(5)
 
 
 async def machine_isolated_and_leader_crashes(sim: Simulation) -> None:
     """Crash the leader while one of its machines is isolated."""
-    name = next(iter(sim.world.agents))
-    sim.network.partition("*", name)
-    sim.network.partition(name, "*")
+    machine = next(iter(sim.world.agents))
+    sim.network.partition("*", machine)
+    sim.network.partition(machine, "*")
     sim.kill("n0")
     await trio.sleep(5)
     sim.start("n0")
@@ -158,10 +158,10 @@
     await trio.sleep(20)
 
 
-def _duplicate_heartbeats(sim: Simulation, after: float) -> None:
+def _duplicate_heartbeats(sim: Simulation, delay_s: float) -> None:
     for agent in sim.world.agents:
-        for name in NODES:
-            sim.network.duplicate_after[(agent, name)] = after
+        for node in NODES:
+            sim.network.duplicate_after[(agent, node)] = delay_s
 
 
 async def duplicates_within_a_second(sim: Simulation) -> None:
@@ -186,19 +186,19 @@
 async def duplicates_of_lost_machines(sim: Simulation) -> None:
     """Deliver duplicates from terminated machines and from machines whose lease has expired."""
     _duplicate_heartbeats(sim, 9.0)
-    names = list(sim.world.agents)
-    sim.network.partition("*", names[0])
-    sim.network.partition(names[0], "*")
+    machines = list(sim.world.agents)
+    sim.network.partition("*", machines[0])
+    sim.network.partition(machines[0], "*")
     await trio.sleep(2)
-    if names[1] in sim.world.agents:
-        sim.world.agents.pop(names[1]).terminate()
+    if machines[1] in sim.world.agents:
+        sim.world.agents.pop(machines[1]).terminate()
     await trio.sleep(25)
 
 
 async def isolated_with_agents(sim: Simulation) -> None:
     """Partition a controller from the state store and its peers, but not from its agents."""
-    for other in ("state", "n1", "n2"):
-        sim.network.partition("n0", other)
+    for host in ("state", "n1", "n2"):
+        sim.network.partition("n0", host)
     await trio.sleep(30)
 
 
@@ -208,10 +208,10 @@
     One of them restarts twice in a row each time.
     """
     for pause in (0.05, 0.3, 0.6, 1.0, 1.7, 2.6):
-        for name in ("n0", "n0", "n2"):
-            sim.kill(name)
+        for node in ("n0", "n0", "n2"):
+            sim.kill(node)
             await trio.sleep(0.15)
-            sim.start(name)
+            sim.start(node)
             await trio.sleep(pause)
 
 
@@ -232,24 +232,24 @@
     await trio.sleep(5)
 
 
-async def machines_hang_and_resume(sim: Simulation) -> None:
+async def half_of_machines_isolated_twice(sim: Simulation) -> None:
     """Isolate half of the machines for longer than a lease, twice."""
-    names = list(sim.world.agents)[::2]
+    isolated_machines = list(sim.world.agents)[::2]
     for _ in range(2):
-        for name in names:
-            sim.network.partition(name, "*")
-            sim.network.partition("*", name)
+        for machine in isolated_machines:
+            sim.network.partition(machine, "*")
+            sim.network.partition("*", machine)
         await trio.sleep(TIMES.lease_s * 1.3)
         sim.network.heal()
         await trio.sleep(1.5)
 
 
-async def machines_hang_and_leader_crashes(sim: Simulation) -> None:
+async def half_of_machines_isolated_and_leader_crashes(sim: Simulation) -> None:
     """Isolate half of the machines while one controller restarts at once and the leader later."""
-    names = list(sim.world.agents)[::2]
-    for name in names:
-        sim.network.partition(name, "*")
-        sim.network.partition("*", name)
+    isolated_machines = list(sim.world.agents)[::2]
+    for machine in isolated_machines:
+        sim.network.partition(machine, "*")
+        sim.network.partition("*", machine)
     await trio.sleep(2)
     sim.kill("n1")
     await trio.sleep(0.3)
@@ -269,8 +269,8 @@
 
 
 async def most_machines_crash(sim: Simulation) -> None:
-    for name in list(sim.world.agents)[:-1]:
-        sim.world.agents.pop(name).terminate()
+    for machine in list(sim.world.agents)[:-1]:
+        sim.world.agents.pop(machine).terminate()
     await trio.sleep(5)
 
 
@@ -293,8 +293,8 @@
 
 async def isolated_with_agents_and_crash(sim: Simulation) -> None:
     """Crash a controller that only its agents can reach, and restart it at once."""
-    for other in ("state", "n1", "n2"):
-        sim.network.partition("n0", other)
+    for host in ("state", "n1", "n2"):
+        sim.network.partition("n0", host)
     await trio.sleep(6)
     sim.kill("n0")
     await trio.sleep(0.2)
@@ -331,8 +331,8 @@
     quick_restarts_during_elections,
     quick_restarts_of_all,
     agents_restart_at_once,
-    machines_hang_and_resume,
-    machines_hang_and_leader_crashes,
+    half_of_machines_isolated_twice,
+    half_of_machines_isolated_and_leader_crashes,
     zone_isolated_with_a_controller,
     most_machines_crash,
     all_controllers_crash_twice,
