--- a/tests/cluster/test_partitions.py
+++ b/tests/cluster/test_partitions.py
@@ -16,17 +16,17 @@
 
     async def simulate(sim: Simulation) -> None:
         await sim.submit(job(1, rows=6, realS=100.0, ripenS=100.0))
-        for other in ("state", "n1", "n2"):
-            sim.network.partition("n0", other)
+        for host in ("state", "n1", "n2"):
+            sim.network.partition("n0", host)
         await trio.sleep(8)
-        at = trio.current_time()
+        asked_at = trio.current_time()
         assert (await sim.call(0, "GET", "/ready")).status == 503
         assert (await sim.call(0, "GET", "/api/jobs/wk-000001")).status == 503
         refused = await sim.call(0, "POST", "/api/jobs", job(2))
         assert refused.status == 503
         assert dict(refused.headers)["Retry-After"]
         assert (await sim.call(0, "POST", "/api/jobs/wk-000001/cancel")).status == 503
-        assert trio.current_time() - at < 0.2
+        assert trio.current_time() - asked_at < 0.2
         # Another controller leads shard 0 by now, and cancelled tasks are stopped in time.
         assert sim.controllers["n1"].membership.leader(0) != "n0"
         await sim.cancel("wk-000001")
@@ -44,22 +44,22 @@
     async def simulate(sim: Simulation) -> None:
         await sim.submit(job(1, rows=8, vcpus=2.0, realS=200.0, ripenS=200.0))
         await trio.sleep(4)
-        old = sim.controllers["n1"].agents
-        machines = [m for m in old.machines.values() if m.placements]
+        old_leader = sim.controllers["n1"].agents
+        machines = [machine for machine in old_leader.machines.values() if machine.placements]
         assert machines
-        for other in ("state", "n0", "n2", *(m.name for m in machines)):
-            sim.network.partition("n1", other)
-        placed = {m.name: len(m.placements) for m in machines}
+        for host in ("state", "n0", "n2", *(machine.name for machine in machines)):
+            sim.network.partition("n1", host)
+        placement_counts = {machine.name: len(machine.placements) for machine in machines}
         await trio.sleep(TIMES.lease_s * 2)
-        new = next(
-            sim.controllers[n].agents
-            for n in ("n0", "n2")
-            if shard_of(machines[0].name, 3) in sim.controllers[n].agents.shards
+        new_leader = next(
+            sim.controllers[node].agents
+            for node in ("n0", "n2")
+            if shard_of(machines[0].name, 3) in sim.controllers[node].agents.shards
         )
-        assert any(new.machines[name].placements for name in placed)
-        for name, count in placed.items():
-            if name in old.machines:
-                assert len(old.machines[name].placements) == count
+        assert any(new_leader.machines[name].placements for name in placement_counts)
+        for name, count in placement_counts.items():
+            if name in old_leader.machines:
+                assert len(old_leader.machines[name].placements) == count
         sim.check()
 
     run(monkeypatch, simulate)
