--- a/tests/cluster/test_pauses.py
+++ b/tests/cluster/test_pauses.py
@@ -25,8 +25,8 @@
             membership.replica.verified_at = trio.current_time()
             assert membership.verified_cluster_leader() == 50
             mock.jump(TIMES.lease_s * 3)
-            at = trio.current_time()
-            assert membership.resumed_at() == at
+            pause_ended_at = trio.current_time()
+            assert membership.resumed_at() == pause_ended_at
             # Another controller may lead by now.
             assert membership.verified_cluster_leader() is None
             # Heartbeats missed during the controller's own pause don't show that an agent is lost.
