--- a/tests/cluster/test_request_forwarding.py
+++ b/tests/cluster/test_request_forwarding.py
@@ -24,17 +24,17 @@
         await sim.submit(job(2, rows=1, realS=1.0, ripenS=1.0))
         await sim.finish(["wk-000002"], limit=30)
         in_flight = peak = 0
-        call = sim.network.call
+        original_call = sim.network.call
 
         async def counted_call(
-            address: Any, method: str, target: str, *rest: Any, **more: Any
+            address: Any, method: str, target: str, *args: Any, **kwargs: Any
         ) -> Any:
             nonlocal in_flight, peak
             forwarded = target == "/peer" and HERE.get() == "n0"
             in_flight += forwarded
             peak = max(peak, in_flight)
             try:
-                return await call(address, method, target, *rest, **more)
+                return await original_call(address, method, target, *args, **kwargs)
             finally:
                 in_flight -= forwarded
 
@@ -51,10 +51,10 @@
         async with trio.open_nursery() as nursery:
             for _ in range(300):
                 nursery.start_soon(poll, "wk-000001")
-            at = trio.current_time()
+            polled_at = trio.current_time()
             await poll("wk-000002")
             # The controller answers about finished jobs from its own replica.
-            assert trio.current_time() - at < 0.2
+            assert trio.current_time() - polled_at < 0.2
         assert {answer.status for answer in answers} == {200, 503}
         assert all(dict(a.headers)["Retry-After"] == "1" for a in answers if a.status == 503)
         assert peak <= 800 / 80 + 4  # plus at most two heartbeats to each of two peers
