--- a/tests/cluster/test_rolling_upgrade.py
+++ b/tests/cluster/test_rolling_upgrade.py
@@ -20,11 +20,11 @@
 
 Fault = Callable[[Simulation], Awaitable[None]]
 
-ANNOUNCED = NextStateLimits(write_rps=60, value_kb=0.75, txn_ops=4)
-STATE = StateLimits(rps=300, write_rps=100, value_kb=1, txn_ops=16, next=ANNOUNCED)
+ANNOUNCED_LIMITS = NextStateLimits(write_rps=60, value_kb=0.75, txn_ops=4)
+STATE_LIMITS = StateLimits(rps=300, write_rps=100, value_kb=1, txn_ops=16, next=ANNOUNCED_LIMITS)
 # Version 0.5.1 stores the task bitmap of the smaller job in its record, which then exceeds the
 # lower limit, and the bitmap of the larger job in chunks.
-WIDE = [
+WIDE_JOBS = [
     job(21, rows=2400, vcpus=0.25, memGb=0.01, rank="idle", realS=3.0, ripenS=3.0),
     job(22, rows=3200, vcpus=0.25, memGb=0.01, rank="idle", realS=3.0, ripenS=3.0),
 ]
@@ -33,34 +33,34 @@
     service(32, rows=3, spread=True),
     service(33, crew="tight", rows=2),
 ]
-PAUSE_S = 6.0  # from one controller's replacement to the next
+REPLACEMENT_PAUSE_S = 6.0
 
 
 def lower_limits(sim: Simulation) -> None:
-    sim.state_store.limits.value_bytes = int(1024 * (ANNOUNCED.value_kb or 0.0))
-    sim.state_store.limits.changes = ANNOUNCED.txn_ops or 0
+    sim.state_store.limits.value_bytes = int(1024 * (ANNOUNCED_LIMITS.value_kb or 0.0))
+    sim.state_store.limits.changes = ANNOUNCED_LIMITS.txn_ops or 0
 
 
 async def replace_controllers(
-    sim: Simulation, during: Fault | None = None, *, back: bool = False
+    sim: Simulation, fault: Fault | None = None, *, rollback: bool = False
 ) -> None:
     """Replace the controllers one by one with the present version, or roll them back.
 
     A fault begins when the second controller is stopped.
     """
     async with trio.open_nursery() as nursery:
-        for number, name in enumerate(NODES):
-            sim.kill(name)
-            if back:
-                sim.earlier_nodes.add(name)
+        for number, node in enumerate(NODES):
+            sim.kill(node)
+            if rollback:
+                sim.earlier_nodes.add(node)
             else:
-                sim.earlier_nodes.discard(name)
-            if during is not None and number == 1:
-                nursery.start_soon(during, sim)
+                sim.earlier_nodes.discard(node)
+            if fault is not None and number == 1:
+                nursery.start_soon(fault, sim)
             await trio.sleep(1.0)
-            if name in sim.network.crashed:
-                sim.start(name)
-            await trio.sleep(PAUSE_S)
+            if node in sim.network.crashed:
+                sim.start(node)
+            await trio.sleep(REPLACEMENT_PAUSE_S)
 
 
 # --- faults during the upgrade --------------------------------------------------------------------
@@ -70,7 +70,7 @@
     """Inject no fault; only the upgrade takes place."""
 
 
-async def old_controller_crashes_before_its_turn(sim: Simulation) -> None:
+async def old_controller_crashes_before_its_upgrade(sim: Simulation) -> None:
     await trio.sleep(2.0)
     await restart(sim, "n2")
     assert "n2" in sim.earlier_nodes or "n2" in sim.network.crashed
@@ -92,27 +92,27 @@
 
 
 async def slow_state_store(sim: Simulation) -> None:
-    for name in NODES:
-        sim.network.reply_delay[("state", name)] = 0.4
-        sim.network.reply_delay[(name, "state")] = 0.4
-    await trio.sleep(PAUSE_S * 2)
+    for node in NODES:
+        sim.network.reply_delay[("state", node)] = 0.4
+        sim.network.reply_delay[(node, "state")] = 0.4
+    await trio.sleep(REPLACEMENT_PAUSE_S * 2)
     sim.network.reply_delay.clear()
 
 
 async def delayed_transactions(sim: Simulation) -> None:
     sim.network.delayed_commits = 0.25
-    await trio.sleep(PAUSE_S * 2.5)
+    await trio.sleep(REPLACEMENT_PAUSE_S * 2.5)
     sim.network.delayed_commits = 0.0
 
 
 async def messages_of_former_processes(sim: Simulation) -> None:
     """Deliver heartbeats, commands and peer messages late, also after a restart."""
     sim.network.duplicated_heartbeats, sim.network.delayed_commands = 0.3, 0.3
-    for a in NODES:
-        for b in NODES:
-            if a != b:
-                sim.network.duplicate_after[(a, b)] = 3.0
-    await trio.sleep(PAUSE_S * 2.5)
+    for sender in NODES:
+        for receiver in NODES:
+            if sender != receiver:
+                sim.network.duplicate_after[(sender, receiver)] = 3.0
+    await trio.sleep(REPLACEMENT_PAUSE_S * 2.5)
     sim.network.duplicate_after.clear()
     sim.network.duplicated_heartbeats = sim.network.delayed_commands = 0.0
 
@@ -139,13 +139,13 @@
 async def controller_partitioned_from_peers(sim: Simulation) -> None:
     sim.network.partition("n0", "n1")
     sim.network.partition("n0", "n2")
-    await trio.sleep(PAUSE_S * 2.5)
+    await trio.sleep(REPLACEMENT_PAUSE_S * 2.5)
     sim.network.partitions.clear()
 
 
 FAULTS: list[Fault] = [
     no_fault,
-    old_controller_crashes_before_its_turn,
+    old_controller_crashes_before_its_upgrade,
     leaders_crash,
     state_store_outage,
     slow_state_store,
@@ -159,7 +159,7 @@
 
 async def play_upgrade(sim: Simulation, fault: Fault, lowered_after: float) -> None:
     """Start with the version in production, upgrade during a fault, then lower the limits."""
-    specs = [*JOBS, *WIDE]
+    specs = [*JOBS, *WIDE_JOBS]
     for spec in specs:
         sim.nursery.start_soon(sim.submit, spec)
     sim.nursery.start_soon(users, sim)
@@ -170,7 +170,7 @@
     sim.network.heal()
     for name in sorted(sim.network.crashed):
         sim.start(name)
-    ended_at = trio.current_time()
+    upgraded_at = trio.current_time()
     await trio.sleep(lowered_after)
     lower_limits(sim)
     for spec in SERVICES:
@@ -178,13 +178,13 @@
     for id in CANCELLED:
         if id not in sim.invariants.cancel_requested:
             sim.nursery.start_soon(sim.cancel, id)
-    ids = [*IDS, *(spec["ref"] for spec in WIDE)]
+    ids = [*IDS, *(spec["ref"] for spec in WIDE_JOBS)]
     services_due_at = trio.current_time() + BACK_WITHIN_S
-    while trio.current_time() - ended_at < 240:
+    while trio.current_time() - upgraded_at < 240:
         await trio.sleep(1.0)
         now = trio.current_time()
         sim.invariants.check_replicas_return(now, services_due_at, BACK_WITHIN_S)
-        sim.invariants.check_jobs_answer(now, ended_at)
+        sim.invariants.check_jobs_answer(now, upgraded_at)
         sim.invariants.check_startable_jobs_start(now, sim.world)
         sim.check()
         if now > services_due_at and all(id in sim.final_stages for id in ids):
@@ -208,7 +208,7 @@
     async def simulate(sim: Simulation) -> None:
         await play_upgrade(sim, fault, lowered_after)
 
-    run(monkeypatch, simulate, earlier=production, state=STATE)
+    run(monkeypatch, simulate, earlier=production, state=STATE_LIMITS)
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -218,7 +218,7 @@
     """Two faults start a random time apart; limits are lowered a random time after the upgrade."""
     rng = random.Random(500 + seed)
     first, second = rng.sample(FAULTS, 2)
-    delay, lowered_after = rng.uniform(0.0, PAUSE_S), rng.uniform(0.0, 20.0)
+    delay, lowered_after = rng.uniform(0.0, REPLACEMENT_PAUSE_S), rng.uniform(0.0, 20.0)
 
     async def second_fault(sim: Simulation) -> None:
         await trio.sleep(delay)
@@ -232,7 +232,7 @@
     async def simulate(sim: Simulation) -> None:
         await play_upgrade(sim, both_faults, lowered_after)
 
-    run(monkeypatch, simulate, 500 + seed, earlier=production, state=STATE)
+    run(monkeypatch, simulate, 500 + seed, earlier=production, state=STATE_LIMITS)
 
 
 def test_no_write_exceeds_the_lower_limits_once_the_gate_is_open(
@@ -241,7 +241,7 @@
     """A record that is too large in the old layout is converted before it is written."""
 
     async def simulate(sim: Simulation) -> None:
-        for spec in [*WIDE, *JOBS[:6]]:
+        for spec in [*WIDE_JOBS, *JOBS[:6]]:
             await sim.submit(spec)
         await replace_controllers(sim)
         with trio.fail_after(10):
@@ -249,11 +249,11 @@
                 await trio.sleep(0.1)
         await trio.sleep(5)
         lower_limits(sim)
-        assert not any(spec["ref"] in sim.final_stages for spec in WIDE)
-        await sim.finish([spec["ref"] for spec in [*WIDE, *JOBS[:6]]], limit=180)
+        assert not any(spec["ref"] in sim.final_stages for spec in WIDE_JOBS)
+        await sim.finish([spec["ref"] for spec in [*WIDE_JOBS, *JOBS[:6]]], limit=180)
         assert sim.state_store.oversized == []
 
-    run(monkeypatch, simulate, earlier=production, state=STATE)
+    run(monkeypatch, simulate, earlier=production, state=STATE_LIMITS)
 
 
 def test_member_of_the_old_version_keeps_the_gate_closed(
@@ -270,7 +270,7 @@
             sim.earlier_nodes.discard(name)
             await trio.sleep(0.5)
             sim.start(name)
-            await trio.sleep(PAUSE_S)
+            await trio.sleep(REPLACEMENT_PAUSE_S)
         await trio.sleep(20)
         assert KEY not in sim.state_store.items
         sim.kill("n2")
@@ -289,7 +289,7 @@
             await sim.submit(spec)
         await sim.finish([spec["ref"] for spec in specs])
 
-    run(monkeypatch, simulate, earlier=production, state=STATE)
+    run(monkeypatch, simulate, earlier=production, state=STATE_LIMITS)
 
 
 # --- upgrade from 0.6.0, and rollback to it -----------------------------------------------------
@@ -318,14 +318,14 @@
 
 async def play_upgrade_and_rollback(sim: Simulation, fault: Fault) -> None:
     """Start with 0.6.0, upgrade and roll back, with the fault during both."""
-    jobs_before, jobs_forwards, jobs_after, jobs_backwards = (
+    initial_jobs, jobs_during_upgrade, jobs_after_upgrade, jobs_during_rollback = (
         JOBS[:4],
-        [*JOBS[4:8], *WIDE],
+        [*JOBS[4:8], *WIDE_JOBS],
         JOBS[8:10],
         JOBS[10:],
     )
     first_versions = versions_serving(sim)
-    for spec in jobs_before:
+    for spec in initial_jobs:
         await sim.submit(spec)
     with trio.fail_after(10):
         while KEY not in sim.state_store.items:
@@ -333,30 +333,32 @@
     gate_record = sim.state_store.items[KEY][0]
     sim.nursery.start_soon(users, sim)
     lower_limits(sim)
-    for back, during, jobs_then in (
-        (False, jobs_forwards, jobs_after),
-        (True, jobs_backwards, SERVICES),
+    for rollback, jobs_during, jobs_after in (
+        (False, jobs_during_upgrade, jobs_after_upgrade),
+        (True, jobs_during_rollback, SERVICES),
     ):
 
-        async def submit_and_fault(sim: Simulation, specs: list[dict[str, Any]] = during) -> None:
+        async def submit_jobs_and_inject_fault(
+            sim: Simulation, specs: list[dict[str, Any]] = jobs_during
+        ) -> None:
             await submit_between_versions(sim, specs)
             assert len(versions_serving(sim)) == 2
             await fault(sim)
 
-        await replace_controllers(sim, submit_and_fault, back=back)
+        await replace_controllers(sim, submit_jobs_and_inject_fault, rollback=rollback)
         sim.network.heal()
         for name in sorted(sim.network.crashed):
             sim.start(name)
         await trio.sleep(1.0)
-        assert (versions_serving(sim) == first_versions) is back
-        for spec in jobs_then:
+        assert (versions_serving(sim) == first_versions) is rollback
+        for spec in jobs_after:
             sim.nursery.start_soon(sim.submit, spec)
-        await trio.sleep(PAUSE_S)
+        await trio.sleep(REPLACEMENT_PAUSE_S)
         sim.check()
     for id in CANCELLED:
         if id not in sim.invariants.cancel_requested:
             sim.nursery.start_soon(sim.cancel, id)
-    ids = [*IDS, *(spec["ref"] for spec in WIDE)]
+    ids = [*IDS, *(spec["ref"] for spec in WIDE_JOBS)]
     await sim.finish(ids)
     assert not [id for id in ids if id not in sim.final_stages]
     assert [sim.final_stages[id] for id in CANCELLED] == ["withdrawn"] * len(CANCELLED)
@@ -376,4 +378,4 @@
     async def simulate(sim: Simulation) -> None:
         await play_upgrade_and_rollback(sim, fault)
 
-    run(monkeypatch, simulate, earlier=version_0_6_0, state=STATE)
+    run(monkeypatch, simulate, earlier=version_0_6_0, state=STATE_LIMITS)
