--- a/tests/cluster/test_rolling_upgrade_processes.py
+++ b/tests/cluster/test_rolling_upgrade_processes.py
@@ -35,13 +35,13 @@
         return 0, {}
 
 
-def wait_for(what: str, check: Callable[..., bool], *arguments: Any) -> None:
+def wait_for(description: str, check: Callable[..., bool], *arguments: Any) -> None:
     deadline = time.monotonic() + TIMEOUT_S
     while time.monotonic() < deadline:
         if check(*arguments):
             return
         time.sleep(0.2)
-    raise AssertionError(f"timed out after {TIMEOUT_S:g} s waiting for {what}")
+    raise AssertionError(f"timed out after {TIMEOUT_S:g} s waiting for {description}")
 
 
 class Cluster:
@@ -49,15 +49,17 @@
 
     def __init__(self, folder: Path, old: Path):
         self.folder = folder
-        self.trees = {"old": old, "new": ROOT}
+        self.source_trees = {"old": old, "new": ROOT}
         self.environment = {**os.environ, "LOG_LEVEL": "error"}
-        self.world = subprocess.Popen([sys.executable, "-m", "standins", str(folder)], cwd=ROOT)
+        self.stand_ins = subprocess.Popen([sys.executable, "-m", "standins", str(folder)], cwd=ROOT)
         self.nodes: list[subprocess.Popen[bytes] | None] = [None] * CONTROLLERS
 
     def start(self, node: int, version: str) -> None:
         settings = str(self.folder / f"node-{node}.toml")
         command = [sys.executable, "run.py", "--config", settings]
-        self.nodes[node] = subprocess.Popen(command, cwd=self.trees[version], env=self.environment)
+        self.nodes[node] = subprocess.Popen(
+            command, cwd=self.source_trees[version], env=self.environment
+        )
 
     def stop(self, node: int) -> None:
         process = self.nodes[node]
@@ -69,8 +71,8 @@
     def stop_all(self) -> None:
         for node in range(CONTROLLERS):
             self.stop(node)
-        self.world.kill()
-        self.world.wait()
+        self.stand_ins.kill()
+        self.stand_ins.wait()
 
     def ready(self, node: int) -> bool:
         return send_request(controller_port(node), "/ready")[0] == 200
@@ -86,14 +88,14 @@
         processes.stop_all()
 
 
-def desk_job(number: int, **more: Any) -> dict[str, Any]:
-    return submission(job(number, crew="desk", vcpus=1.0, rows=4, ripenS=2.0, **more))
+def desk_job(number: int, **fields: Any) -> dict[str, Any]:
+    return submission(job(number, crew="desk", vcpus=1.0, rows=4, ripenS=2.0, **fields))
 
 
 def test_jobs_of_both_versions_finish_during_a_rolling_upgrade(cluster: Cluster) -> None:
     """Jobs accepted by either version finish; the gate opens with the last upgraded controller."""
 
-    def is_at(number: int, node: int, stage: str) -> bool:
+    def has_stage(number: int, node: int, stage: str) -> bool:
         answer = send_request(controller_port(node), f"/api/jobs/wk-{number:06d}")[1]
         return bool(answer.get("stage") == stage)
 
@@ -115,10 +117,10 @@
         wait_for(f"node {node}", cluster.ready, node)
     wait_for("open gate", gate_is_open)
     for number in (1, 2, 3):
-        wait_for(f"end of job {number}", is_at, number, 0, "done")
+        wait_for(f"end of job {number}", has_stage, number, 0, "done")
     service = desk_job(9, cut="standing", rank="production")
     wait_for("acceptance", accepted, service, 1)
-    wait_for("running service", is_at, 9, 2, "running")
+    wait_for("running service", has_stage, 9, 2, "running")
     assert (
         send_request(controller_port(0), "/api/jobs/wk-000009/cancel", {})[1].get("stage")
         == "withdrawn"
