--- a/tests/cluster/test_services.py
+++ b/tests/cluster/test_services.py
@@ -119,16 +119,20 @@
     run(monkeypatch, simulate)
 
 
-def machine_of(sim: Simulation, id: str) -> Any:
-    name = next(w for t, (w, _) in sim.world.rules.placements.items() if t.startswith(f"{id}/"))
-    return sim.world.agents[name]
+def machine_with_replica(sim: Simulation, id: str) -> Any:
+    machine_name = next(
+        machine
+        for task, (machine, _) in sim.world.rules.placements.items()
+        if task.startswith(f"{id}/")
+    )
+    return sim.world.agents[machine_name]
 
 
-async def terminated(sim: Simulation, agent: Any) -> None:
+async def terminate_machine(sim: Simulation, agent: Any) -> None:
     sim.world.agents.pop(agent.name).terminate()
 
 
-async def preempted(sim: Simulation, agent: Any) -> None:
+async def preempt_machine(sim: Simulation, agent: Any) -> None:
     agent.preemption_at = trio.current_time() + 6.0
     agent.changed.set()
     await trio.sleep(6.0)
@@ -137,22 +141,24 @@
         sim.world.agents.pop(agent.name).terminate()
 
 
-async def restarted(sim: Simulation, agent: Any) -> None:
+async def restart_agent(sim: Simulation, agent: Any) -> None:
     agent.restart()
 
 
-async def hung(sim: Simulation, agent: Any) -> None:
+async def hang_agent(sim: Simulation, agent: Any) -> None:
     await agent.hang(TIMES.lease_s * 1.5)
 
 
-async def isolated(sim: Simulation, agent: Any) -> None:
+async def isolate_machine(sim: Simulation, agent: Any) -> None:
     sim.network.partition(agent.name, "*")
     sim.network.partition("*", agent.name)
     await trio.sleep(TIMES.lease_s * 2)
     sim.network.heal()
 
 
-@pytest.mark.parametrize("loss", [terminated, preempted, restarted, hung, isolated])
+@pytest.mark.parametrize(
+    "loss", [terminate_machine, preempt_machine, restart_agent, hang_agent, isolate_machine]
+)
 @pytest.mark.parametrize("more", [{}, {"spread": True}, {"oneZone": True}], ids=str)
 def test_replicas_of_a_lost_machine_run_elsewhere(
     loss: Callable[[Simulation, Any], Awaitable[None]],
@@ -163,7 +169,7 @@
         spec = service(1, rows=4, **more)
         await sim.submit(spec)
         await wait_until_up(sim, spec, within=6.0)
-        agent = machine_of(sim, spec["ref"])
+        agent = machine_with_replica(sim, spec["ref"])
         async with trio.open_nursery() as nursery:
             nursery.start_soon(loss, sim, agent)
         await wait_until_up(sim, spec, within=BACK_WITHIN_S)
@@ -185,10 +191,12 @@
         spec = service(1, rows=4, vcpus=4.0, spread=True)
         await sim.submit(spec)
         await wait_until_up(sim, spec, within=8.0)
-        shard = int(machine_of(sim, spec["ref"]).name[2:]) % 3
-        other = next(w for w in sim.world.agents.values() if int(w.name[2:]) % 3 == shard)
+        shard = int(machine_with_replica(sim, spec["ref"]).name[2:]) % 3
+        other_machine = next(
+            agent for agent in sim.world.agents.values() if int(agent.name[2:]) % 3 == shard
+        )
         sim.world.capacity = 5
-        sim.world.agents.pop(other.name).terminate()
+        sim.world.agents.pop(other_machine.name).terminate()
         await wait_until_up(sim, spec, within=120.0)
         sim.check()
 
