--- a/tests/cluster/test_slow_state_store.py
+++ b/tests/cluster/test_slow_state_store.py
@@ -12,12 +12,12 @@
 from ..harness.simulation import NODES, TIMES, Simulation, job, run
 
 STATE_STORE_ADDRESS = ("10.2.0.1", 2379)
-DELAYED_SHARE = 0.5
-DELAY_S = (0.8, 1.3)  # about as long as a caller waits for a reply
+DELAYED_REPLY_SHARE = 0.5
+REPLY_DELAY_RANGE_S = (0.8, 1.3)  # about as long as a caller waits for a reply
 SEEDS = (1, 2, 3, 4)
-JOBS = 80
+JOB_COUNT = 80
 JOBS_PER_S = 4.0
-POLLING_USERS = 100  # each polls jobs at some controller while others are submitted
+POLLING_USER_COUNT = 100  # each polls jobs at some controller while others are submitted
 
 
 def delay_replies(sim: Simulation, seed: int) -> None:
@@ -27,8 +27,8 @@
 
     async def handle_with_delay(request: Request) -> Response:
         response = await handle(request)
-        if rng.random() < DELAYED_SHARE:
-            await trio.sleep(rng.uniform(*DELAY_S))
+        if rng.random() < DELAYED_REPLY_SHARE:
+            await trio.sleep(rng.uniform(*REPLY_DELAY_RANGE_S))
         return response
 
     sim.network.hosts[STATE_STORE_ADDRESS] = (name, handle_with_delay)
@@ -65,14 +65,14 @@
         rng = random.Random(seed)
         ids: list[str] = []
         async with trio.open_nursery() as nursery:
-            for _ in range(POLLING_USERS):
+            for _ in range(POLLING_USER_COUNT):
                 nursery.start_soon(poll_repeatedly, sim, rng, ids)
-            for number in range(1, JOBS + 1):
+            for number in range(1, JOB_COUNT + 1):
                 sim.nursery.start_soon(submit_and_cancel_some, sim, number, ids)
                 await trio.sleep(1 / JOBS_PER_S)
             await trio.sleep(10)
             nursery.cancel_scope.cancel()
-        await sim.finish([f"wk-{number:06d}" for number in range(1, JOBS + 1)])
+        await sim.finish([f"wk-{number:06d}" for number in range(1, JOB_COUNT + 1)])
         await trio.sleep(TIMES.cancel_s + 1)
         sim.check()
         # Nearly all reads still pass the barrier.
