--- a/tests/cluster/test_submission.py
+++ b/tests/cluster/test_submission.py
@@ -91,11 +91,11 @@
             sim.network.partition("n1", "n0")
         sim.world.rules.specs.update({f"wk-{n:06d}": job(n, rows=1) for n in range(10, 30)})
         for number in range(10, 30):
-            at = trio.current_time()
+            submitted_at = trio.current_time()
             id = f"wk-{number:06d}"
             spec = sim.world.rules.specs[id]
             assert (await sim.ask(1, "POST", "/api/jobs", submission(spec), about=id))[0] == 201
-            assert trio.current_time() - at < 1.0
+            assert trio.current_time() - submitted_at < 1.0
         assigned = [bool(first_written_ranges(sim, f"wk-{n:06d}")) for n in range(10, 30)]
         assert all(assigned) == (cluster_leader == "heard")
         sim.network.heal()
@@ -104,14 +104,14 @@
     run(monkeypatch, simulate)
 
 
-RETRIES_FOR_S = 60.0  # the protocol's bound on a user's retries
+USER_RETRY_LIMIT_S = 60.0  # the protocol's bound on a user's retries
 
 
 async def submit_with_retries(sim: Simulation, spec: dict[str, Any], rng: random.Random) -> bool:
     """Submit a job as the protocol says, at random controllers; return whether it was accepted."""
     sim.world.rules.specs[spec["ref"]] = spec
     started_at = trio.current_time()
-    while trio.current_time() - started_at < RETRIES_FOR_S:
+    while trio.current_time() - started_at < USER_RETRY_LIMIT_S:
         retry_after = 1.0
         try:
             answer = await sim.call(rng.randrange(3), "POST", "/api/jobs", submission(spec))
@@ -124,7 +124,9 @@
     return False
 
 
-def test_no_user_gives_up_after_an_outage_under_load(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_every_submission_is_accepted_after_an_outage_under_load(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Submissions are admitted in order of first attempts, not by which retry arrives first."""
 
     async def simulate(sim: Simulation) -> None:
@@ -153,10 +155,12 @@
 
 
 STREAM_JOBS_PER_S = 4
-STREAM_FOR_S = 120
+STREAM_DURATION_S = 120
 
 
-def test_stream_of_small_jobs_ends_as_asked_beside_a_crash(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_stream_of_small_jobs_ends_as_requested_despite_a_crash(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Four jobs per second for two minutes, a quarter of them cancelled; a controller crashes."""
 
     async def submit_and_cancel(sim: Simulation, number: int, rng: random.Random) -> None:
@@ -169,20 +173,20 @@
     async def simulate(sim: Simulation) -> None:
         sim.world.capacity = 12
         rng = random.Random(5)
-        count = STREAM_JOBS_PER_S * STREAM_FOR_S
-        for number in range(1, count + 1):
+        job_count = STREAM_JOBS_PER_S * STREAM_DURATION_S
+        for number in range(1, job_count + 1):
             sim.nursery.start_soon(submit_and_cancel, sim, number, rng)
             await trio.sleep(1 / STREAM_JOBS_PER_S)
-            if number == count // 2:
+            if number == job_count // 2:
                 sim.kill("n1")
-            elif number == count // 2 + STREAM_JOBS_PER_S * 6:
+            elif number == job_count // 2 + STREAM_JOBS_PER_S * 6:
                 sim.start("n1")
         await trio.sleep(5)
-        ids = [f"wk-{number:06d}" for number in range(1, count + 1)]
+        ids = [f"wk-{number:06d}" for number in range(1, job_count + 1)]
         await sim.finish(ids, limit=60)
         withdrawn = [id for id in ids if sim.final_stages[id] == "withdrawn"]
         assert set(withdrawn) <= sim.invariants.cancel_requested
-        assert len(withdrawn) >= count // 16
+        assert len(withdrawn) >= job_count // 16
         await trio.sleep(TIMES.cancel_s + 1)
         sim.check()
 
