--- a/tests/cluster/test_unreachable_agents.py
+++ b/tests/cluster/test_unreachable_agents.py
@@ -16,7 +16,9 @@
 def _leader_of(sim: Simulation, machine: str) -> Any:
     """Return the controller that leads the shard of a machine."""
     shard = shard_of(machine, 3)
-    return next(c for c in sim.controllers.values() if shard in c.agents.shards)
+    return next(
+        controller for controller in sim.controllers.values() if shard in controller.agents.shards
+    )
 
 
 def test_unreachable_agent_gets_no_more_tasks_and_is_terminated(
@@ -27,25 +29,25 @@
     async def simulate(sim: Simulation) -> None:
         await sim.submit(job(1, rows=200, vcpus=1.0))
         await trio.sleep(4)
-        name = next(n for n, w in sim.world.agents.items() if w.tasks)
-        sim.network.partition_inbound(name)
+        machine_name = next(name for name, agent in sim.world.agents.items() if agent.tasks)
+        sim.network.partition_inbound(machine_name)
         starts_sent: list[Any] = []
-        leader = _leader_of(sim, name)
+        leader = _leader_of(sim, machine_name)
         schedule_on = leader.scheduler.placer.schedule_on
 
         def record_starts(machine: Any) -> Any:
             commands = schedule_on(machine)
-            if machine.name == name:
+            if machine.name == machine_name:
                 starts_sent.append((trio.current_time(), len(commands)))
             return commands
 
         leader.scheduler.placer.schedule_on = record_starts
-        at = trio.current_time()
+        partitioned_at = trio.current_time()
         await trio.sleep(40)
         # The agent counts as unreachable after its second response without effect.
-        assert all(not n for t, n in starts_sent if t - at > 25)
-        assert len([1 for _, n in starts_sent if n]) <= 3
-        assert name in sim.world.terminated
+        assert all(not count for sent_at, count in starts_sent if sent_at - partitioned_at > 25)
+        assert len([1 for _, count in starts_sent if count]) <= 3
+        assert machine_name in sim.world.terminated
         await sim.finish(["wk-000001"])
 
     run(monkeypatch, simulate)
@@ -57,13 +59,13 @@
     async def simulate(sim: Simulation) -> None:
         await sim.submit(job(1, rows=40, vcpus=1.0, realS=6.0))
         await trio.sleep(4)
-        name = "i-000003"  # belongs to shard 0
-        sim.network.partition_inbound(name)
+        machine_name = "i-000003"  # belongs to shard 0
+        sim.network.partition_inbound(machine_name)
         sim.kill("n0")
         await trio.sleep(0.2)
         sim.start("n0")
         await trio.sleep(25)
-        assert _leader_of(sim, name).agents.shards[0].reconciled
+        assert _leader_of(sim, machine_name).agents.shards[0].reconciled
         await sim.finish(["wk-000001"], limit=60)
 
     run(monkeypatch, simulate)
