--- a/tests/cluster/test_cancellation_in_outages.py
+++ b/tests/cluster/test_cancellation_in_outages.py
@@ -20,13 +20,15 @@
     """One variant of the outage: which controllers reach each other, and which of them crash."""
 
     canceller: int  # the controller that accepts the cancellations
-    # Connections between the canceller and the old leader: "open", "refused", or "held": requests
-    # are held back until late in the outage.
+    # Connections between the canceller and the old leader are "open" or "refused", or requests on
+    # them are "held" back until late in the outage.
     link: str = "open"
-    # The canceller restarts "before" or "in" the outage, or crashes in it and stays down ("gone").
+    # The canceller restarts "before" or "in" the outage, or crashes in it and stays down ("gone");
+    # when empty, it doesn't crash.
     crash: str = ""
     third_reachable: bool = True  # whether the canceller and the third controller reach each other
-    # "new": a job that is accepted while the state store refuses the leader is cancelled too.
+    # A "running" job is cancelled; with "new", so is one that is accepted while the state store
+    # refuses the leader.
     cancelled_job: str = "running"
     response_lost: bool = False  # the first response is lost, and the other peer answers a retry
 
--- a/tests/cluster/test_duplicated_heartbeats.py
+++ b/tests/cluster/test_duplicated_heartbeats.py
@@ -45,7 +45,7 @@
 def test_late_duplicate_of_a_heartbeat_changes_nothing(
     between: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A duplicate doesn't show that an agent is alive, to the same leader or to a new one."""
+    """Neither the same leader nor a new one may count a late duplicate as a heartbeat."""
 
     async def simulate(sim: Simulation) -> None:
         await sim.submit(job(1, rows=30, vcpus=1.0, realS=200.0, ripenS=200.0))
--- a/tests/cluster/test_invariants_under_faults.py
+++ b/tests/cluster/test_invariants_under_faults.py
@@ -170,7 +170,7 @@
 
 
 async def duplicates_after_failovers(sim: Simulation) -> None:
-    """Deliver duplicates later than a lease, to leaders that never received the originals."""
+    """Duplicate heartbeats after more than a lease, at leaders that never got the originals."""
     _duplicate_heartbeats(sim, 14.0)
     await trio.sleep(3)
     sim.kill("n0")
@@ -245,7 +245,10 @@
 
 
 async def half_of_machines_isolated_and_leader_crashes(sim: Simulation) -> None:
-    """Isolate half of the machines while one controller restarts at once and the leader later."""
+    """Isolate half of the machines during failovers.
+
+    The old leader restarts 1 s after the machines are reachable again.
+    """
     isolated_machines = list(sim.world.agents)[::2]
     for machine in isolated_machines:
         sim.network.partition(machine, "*")
--- a/tests/cluster/test_partitions.py
+++ b/tests/cluster/test_partitions.py
@@ -12,7 +12,7 @@
 
 
 def test_isolated_controller_refuses_users_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Without the state store and its peers it must refuse at once what it can't answer."""
+    """A controller without state store and peers refuses at once what it can't answer."""
 
     async def simulate(sim: Simulation) -> None:
         await sim.submit(job(1, rows=6, realS=100.0, ripenS=100.0))
--- a/tests/cluster/test_rolling_upgrade.py
+++ b/tests/cluster/test_rolling_upgrade.py
@@ -46,7 +46,7 @@
 ) -> None:
     """Replace the controllers one by one with the present version, or roll them back.
 
-    A fault begins when the second controller is stopped.
+    `fault` begins when the second controller is stopped.
     """
     async with trio.open_nursery() as nursery:
         for number, node in enumerate(NODES):
@@ -106,7 +106,7 @@
 
 
 async def messages_of_former_processes(sim: Simulation) -> None:
-    """Deliver heartbeats, commands and peer messages late, also after a restart."""
+    """Delay commands and duplicate heartbeats and peer messages, also across restarts."""
     sim.network.duplicated_heartbeats, sim.network.delayed_commands = 0.3, 0.3
     for sender in NODES:
         for receiver in NODES:
--- a/tests/cluster/test_rolling_upgrade_processes.py
+++ b/tests/cluster/test_rolling_upgrade_processes.py
@@ -45,7 +45,7 @@
 
 
 class Cluster:
-    """Three controllers of either version against the stand-ins."""
+    """Three controllers, each of either version, and the stand-ins that they call."""
 
     def __init__(self, folder: Path, old: Path):
         self.folder = folder
--- a/tests/cluster/test_unreachable_agents.py
+++ b/tests/cluster/test_unreachable_agents.py
@@ -54,7 +54,7 @@
 
 
 def test_failover_does_not_wait_for_an_unreachable_agent(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The agent's heartbeats must not delay its loss, nor its shard's reconciliation."""
+    """The agent must count as lost despite its heartbeats, and its shard must be reconciled."""
 
     async def simulate(sim: Simulation) -> None:
         await sim.submit(job(1, rows=40, vcpus=1.0, realS=6.0))
