--- a/tests/cluster/test_completion_races.py
+++ b/tests/cluster/test_completion_races.py
@@ -20,18 +20,18 @@
 def test_cancellation_while_the_last_task_ends_has_one_outcome(
     seconds_before: float, rows: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """One compare-and-swap decides; every answer tells what it wrote."""
+    """One compare-and-swap decides the outcome, and every answer reports that outcome."""
 
-    async def day(sim: Simulation) -> None:
+    async def simulate(sim: Simulation) -> None:
         specs = [job(n, rows=rows, vcpus=1.0, realS=4.0) for n in range(1, 5)]
         for spec in specs:
             await sim.submit(spec)
-        first = sim.cloud.rules.first_start
+        first_starts = sim.cloud.rules.first_start
         with trio.fail_after(20):
-            while len(first) < len(specs):
+            while len(first_starts) < len(specs):
                 await trio.sleep(0.01)
-        expected_end = max(first.values()) + 4.0
-        await trio.sleep(max(0.0, expected_end - seconds_before - trio.current_time()))
+        expected_end_at = max(first_starts.values()) + 4.0
+        await trio.sleep(max(0.0, expected_end_at - seconds_before - trio.current_time()))
         async with trio.open_nursery() as nursery:
             for number, spec in enumerate(specs):
                 nursery.start_soon(sim.cancel, spec["ref"], number)
@@ -42,4 +42,4 @@
         await trio.sleep(TIMES.cancel_s + 1)
         sim.check()
 
-    run(monkeypatch, day)
+    run(monkeypatch, simulate)
--- a/tests/cluster/test_duplicated_heartbeats.py
+++ b/tests/cluster/test_duplicated_heartbeats.py
@@ -45,9 +45,9 @@
 def test_late_duplicate_of_a_heartbeat_changes_nothing(
     between: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A duplicate is no sign of life, at the same leader and at a new one."""
+    """Neither the same leader nor a new one may count a late duplicate as a heartbeat."""
 
-    async def day(sim: Simulation) -> None:
+    async def simulate(sim: Simulation) -> None:
         await sim.submit(job(1, rows=30, vcpus=1.0, realS=200.0, ripenS=200.0))
         await trio.sleep(6)
         agent = sim.cloud.agents["i-000001"]
@@ -69,7 +69,7 @@
             sim.network.partition(agent.name, "*")
             await trio.sleep(30)
             assert agent.name in sim.cloud.terminated
-            # Also at a leader that did not terminate the machine itself.
+            # The new leader did not terminate the machine itself.
             sim.kill("n1")
             await trio.sleep(0.2)
             sim.start("n1")
@@ -77,20 +77,22 @@
         # Nothing but the duplicate arrives from the machine.
         sim.network.partition(agent.name, "*")
         await trio.sleep(4.5)
-        alive = [c for n, c in sim.controllers.items() if n not in sim.network.crashed]
-        before = _state_of_machine(sim, agent.name)
-        for controller in alive:
+        running_controllers = [
+            c for n, c in sim.controllers.items() if n not in sim.network.crashed
+        ]
+        state_before = _state_of_machine(sim, agent.name)
+        for controller in running_controllers:
             response = (await controller.agents.serve(Request("POST", "/v1/report", {}, body))).body
             assert b"start" not in response
-        assert _state_of_machine(sim, agent.name) == before
+        assert _state_of_machine(sim, agent.name) == state_before
 
-    run(monkeypatch, day)
+    run(monkeypatch, simulate)
 
 
-def test_duplicate_does_not_bring_a_lost_machine_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Before a machine's first heartbeat to a new leader, a duplicate proves nothing."""
+def test_duplicate_does_not_restore_a_lost_machine(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A new leader must not accept a late duplicate as a machine's first heartbeat."""
 
-    async def day(sim: Simulation) -> None:
+    async def simulate(sim: Simulation) -> None:
         await sim.submit(job(1, rows=30, vcpus=1.0, realS=8.0))
         await trio.sleep(6)
         agent = sim.cloud.agents["i-000001"]
@@ -109,9 +111,9 @@
                     checks += 1
                     assert machine.lost
                     assert not machine.placements
-        assert checks  # it was in the record of a shard that was acquired
+        assert checks  # the machine was recorded in a shard that a new leader acquired
         sim.start("n1")
-        # The shard was reconciled without it, since the cloud does not list it any more.
+        # The shard was reconciled without the machine, which the cloud no longer lists.
         await sim.wait_until_finished(["wk-000001"], limit=40)
 
-    run(monkeypatch, day)
+    run(monkeypatch, simulate)
--- a/tests/cluster/test_partitions.py
+++ b/tests/cluster/test_partitions.py
@@ -12,57 +12,57 @@
 
 
 def test_isolated_controller_refuses_users_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Without state store and peers it must not let users wait for answers it can't give."""
+    """A controller without state store and peers refuses at once what it can't answer."""
 
-    async def day(sim: Simulation) -> None:
+    async def simulate(sim: Simulation) -> None:
         await sim.submit(job(1, rows=6, realS=100.0, ripenS=100.0))
-        for other in ("state", "n1", "n2"):
-            sim.network.partition("n0", other)
+        for host in ("state", "n1", "n2"):
+            sim.network.partition("n0", host)
         await trio.sleep(8)
-        at = trio.current_time()
+        asked_at = trio.current_time()
         assert (await sim.call(0, "GET", "/ready")).status == 503
         assert (await sim.call(0, "GET", "/api/jobs/wk-000001")).status == 503
         refused = await sim.call(0, "POST", "/api/jobs", job(2))
         assert refused.status == 503
         assert dict(refused.headers)["Retry-After"]
         assert (await sim.call(0, "POST", "/api/jobs/wk-000001/cancel")).status == 503
-        assert trio.current_time() - at < 0.2
-        # Another controller leads its shard by now, and cancelled tasks are stopped in time.
+        assert trio.current_time() - asked_at < 0.2
+        # Another controller leads shard 0 by now, and cancelled tasks are stopped in time.
         assert sim.controllers["n1"].membership.leader(0) != "n0"
         await sim.cancel("wk-000001")
         await trio.sleep(26)
         sim.check()
 
-    run(monkeypatch, day)
+    run(monkeypatch, simulate)
 
 
 def test_partitioned_leader_drops_no_placement_that_its_successor_may_renew(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The successor may be renewing leases of machines that this controller can't hear."""
+    """The successor may renew leases of machines whose heartbeats the old leader doesn't get."""
 
-    async def day(sim: Simulation) -> None:
+    async def simulate(sim: Simulation) -> None:
         await sim.submit(job(1, rows=8, vcpus=2.0, realS=200.0, ripenS=200.0))
         await trio.sleep(4)
-        old = sim.controllers["n1"].agents
-        machines = [m for m in old.machines.values() if m.placements]
+        old_leader = sim.controllers["n1"].agents
+        machines = [machine for machine in old_leader.machines.values() if machine.placements]
         assert machines
-        for other in ("state", "n0", "n2", *(m.name for m in machines)):
-            sim.network.partition("n1", other)
-        placed = {m.name: len(m.placements) for m in machines}
+        for host in ("state", "n0", "n2", *(machine.name for machine in machines)):
+            sim.network.partition("n1", host)
+        placement_counts = {machine.name: len(machine.placements) for machine in machines}
         await trio.sleep(TIMES.lease_s * 2)
-        new = next(
-            sim.controllers[n].agents
-            for n in ("n0", "n2")
-            if shard_of(machines[0].name, 3) in sim.controllers[n].agents.shards
+        new_leader = next(
+            sim.controllers[node].agents
+            for node in ("n0", "n2")
+            if shard_of(machines[0].name, 3) in sim.controllers[node].agents.shards
         )
-        assert any(new.machines[name].placements for name in placed)
-        for name, count in placed.items():
-            if name in old.machines:
-                assert len(old.machines[name].placements) == count
+        assert any(new_leader.machines[name].placements for name in placement_counts)
+        for name, count in placement_counts.items():
+            if name in old_leader.machines:
+                assert len(old_leader.machines[name].placements) == count
         sim.check()
 
-    run(monkeypatch, day)
+    run(monkeypatch, simulate)
 
 
 def test_controller_without_the_state_store_forwards_requests_to_a_peer(
@@ -70,7 +70,7 @@
 ) -> None:
     """Only in an outage for all controllers may users get 503."""
 
-    async def day(sim: Simulation) -> None:
+    async def simulate(sim: Simulation) -> None:
         sim.network.partition("n0", "state")
         await trio.sleep(6)
         body = {k: v for k, v in job(1).items() if k != "realS"}
@@ -82,11 +82,11 @@
         sim.network.heal()
         sim.state_store.stop()
         await trio.sleep(8)
-        # In an outage for all, no controller is better: stay ready, and send Retry-After.
+        # In an outage for all, no peer can answer either: stay ready, and send Retry-After.
         assert (await sim.call(0, "GET", "/ready")).status == 200
         answer = await sim.call(0, "POST", "/api/jobs", {**body, "ref": "wk-000002"})
         assert answer.status == 503
         assert dict(answer.headers)["Retry-After"] == "1"
         sim.check()
 
-    run(monkeypatch, day)
+    run(monkeypatch, simulate)
--- a/tests/cluster/test_request_forwarding.py
+++ b/tests/cluster/test_request_forwarding.py
@@ -19,22 +19,22 @@
 ) -> None:
     """Polls at a controller without the state store must leave connections for heartbeats."""
 
-    async def day(sim: Simulation) -> None:
+    async def simulate(sim: Simulation) -> None:
         await sim.submit(job(1, rows=4, realS=900.0, ripenS=900.0))
         await sim.submit(job(2, rows=1, realS=1.0, ripenS=1.0))
         await sim.wait_until_finished(["wk-000002"], limit=30)
         in_flight = peak = 0
-        call = sim.network.call
+        original_call = sim.network.call
 
         async def counted_call(
-            address: Any, method: str, target: str, *rest: Any, **more: Any
+            address: Any, method: str, target: str, *args: Any, **kwargs: Any
         ) -> Any:
             nonlocal in_flight, peak
             forwarded = target == "/peer" and CURRENT_HOST.get() == "n0"
             in_flight += forwarded
             peak = max(peak, in_flight)
             try:
-                return await call(address, method, target, *rest, **more)
+                return await original_call(address, method, target, *args, **kwargs)
             finally:
                 in_flight -= forwarded
 
@@ -51,12 +51,13 @@
         async with trio.open_nursery() as nursery:
             for _ in range(300):
                 nursery.start_soon(poll, "wk-000001")
-            at = trio.current_time()
+            polled_at = trio.current_time()
             await poll("wk-000002")
-            assert trio.current_time() - at < 0.2  # finished jobs are answered from its own replica
+            # The controller answers about finished jobs from its own replica.
+            assert trio.current_time() - polled_at < 0.2
         assert {answer.status for answer in answers} == {200, 503}
         assert all(dict(a.headers)["Retry-After"] == "1" for a in answers if a.status == 503)
-        assert peak <= 800 / 80 + 4  # and at most two heartbeats to each peer
+        assert peak <= 800 / 80 + 4  # plus at most two heartbeats to each of two peers
         sim.check()
 
-    run(monkeypatch, day)
+    run(monkeypatch, simulate)
--- a/tests/cluster/test_services_under_faults.py
+++ b/tests/cluster/test_services_under_faults.py
@@ -78,7 +78,7 @@
 
 
 async def play_services(sim: Simulation, fault: Fault, *, bound: float) -> None:
-    """Run services beside other jobs, then a fault; after it all must be up again in time."""
+    """Inject a fault beside services and other jobs; all replicas must be up again in time."""
     for spec in [*SERVICES, *OTHER_JOBS]:
         sim.nursery.start_soon(sim.submit, spec)
     sim.nursery.start_soon(simulate_users, sim)
@@ -109,7 +109,7 @@
 def test_services_are_up_again_after_faults(
     fault: Fault, seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def day(sim: Simulation) -> None:
+    async def simulate(sim: Simulation) -> None:
         await play_services(sim, fault, bound=RECOVERY_TIMEOUT_S)
 
-    run(monkeypatch, day, seed)
+    run(monkeypatch, simulate, seed)
