--- a/tests/harness/invariants.py
+++ b/tests/harness/invariants.py
@@ -48,23 +48,21 @@
         """
         was_accepted = self.accepted.get(id, answered_at) < asked_at
         if status == 404 and was_accepted:
-            self.violations.append(f"lost_job {id}: 404 after its acceptance")
+            self.violations.append(f"forgotten {id}: 404 after its acceptance")
         if repeat and status in (400, 422) and was_accepted:
-            self.violations.append(f"lost_job {id}: {status} to a repeated submission")
+            self.violations.append(f"forgotten {id}: {status} to a repeated submission")
         if status not in (200, 201):
             return
         self.last_answered_at[id] = answered_at
         if id not in self.rules.specs:
-            self.violations.append(f"unknown_job {id}: no user submitted it")
+            self.violations.append(f"invented {id}: no user submitted it")
             return
         self.accepted.setdefault(id, answered_at)
         earlier_stage = self.final_stages.get(id)
         if earlier_stage is not None and stage != earlier_stage and self.finished_at[id] < asked_at:
-            self.violations.append(f"inconsistent_stage {id}: {earlier_stage}, then {stage}")
+            self.violations.append(f"went_back {id}: {earlier_stage}, then {stage}")
         if stage == "withdrawn" and id not in self.cancel_requested:
-            self.violations.append(
-                f"inconsistent_stage {id}: withdrawn, but its user did not cancel it"
-            )
+            self.violations.append(f"went_back {id}: withdrawn, but its user did not cancel it")
         if stage in FINAL_STAGES:
             self.final_stages.setdefault(id, stage)
             self.finished_at.setdefault(id, answered_at)
@@ -87,7 +85,7 @@
         """
         for id in self.accepted:
             if now - max(faults_ended_at, self.last_answered_at.get(id, faults_ended_at)) > limit:
-                self.violations.append(f"lost_job {id}: no answer")
+                self.violations.append(f"forgotten {id}: no answer")
 
     def check_startable_jobs_start(self, now: float, cloud: World, limit: float = 90.0) -> None:
         """Check that no job waits longer than `limit` seconds while it could start.
