--- a/tests/api/test_admission_queue.py
+++ b/tests/api/test_admission_queue.py
@@ -26,8 +26,8 @@
         await trio.sleep(2.0)
         queue.record_refusal("c", 90.0)
         await trio.sleep(RETRY_GRACE_S + 0.1)
-        assert [queue.count_ahead_of(id) for id in "cd"] == [0, 1]  # no retry of a
-        # It keeps its place: it may have retried at another controller.
+        assert [queue.count_ahead_of(id) for id in "cd"] == [0, 1]  # a did not retry in time
+        # When it returns, a keeps its place: it may have retried at another controller.
         queue.record_refusal("a", 1.0)
         assert [queue.count_ahead_of(id) for id in "acd"] == [0, 1, 2]
         await trio.sleep(MAX_RETRY_S + RETRY_GRACE_S)
--- a/tests/cluster/test_autoscaling.py
+++ b/tests/cluster/test_autoscaling.py
@@ -39,7 +39,7 @@
             if called_at > partitioned_at + TIMES.lease_s / 4 + 1
         ]
         assert "n0" not in late_callers
-        assert late_callers  # its successor calls the cloud
+        assert late_callers  # n0's successor calls the cloud
         sim.check()
 
     run(monkeypatch, simulate)
--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -40,12 +40,12 @@
 GATE: list[tuple[dict[str, NodeRecord], dict[str, str], bool]] = [
     ({"n0": NEW, "n1": NEW}, {"n0": "a1", "n1": "a1"}, True),
     ({"n0": NEW, "n1": OLD}, {"n0": "a1", "n1": "a1"}, False),
-    ({"n0": NEW}, {"n0": "a1", "n1": "a1"}, False),  # a member without a session lease
-    ({"n0": NEW, "n1": NEW}, {"n0": "a1"}, False),  # its process may have ended
-    ({"n0": NEW, "n1": NEW}, {"n0": "a1", "n1": "b2"}, False),  # a predecessor's record
-    # a member restarted with the old version
+    ({"n0": NEW}, {"n0": "a1", "n1": "a1"}, False),  # n1 has no session lease, so no record
+    ({"n0": NEW, "n1": NEW}, {"n0": "a1"}, False),  # no reply from n1: it may have ended
+    ({"n0": NEW, "n1": NEW}, {"n0": "a1", "n1": "b2"}, False),  # a record of n1's previous process
+    # n1 was restarted with the old version.
     ({"n0": NEW, "n1": NodeRecord("b2")}, {"n0": "a1", "n1": "b2"}, False),
-    ({"n0": NEW, "n1": NEW, "n2": OLD}, {"n0": "a1", "n1": "a1"}, True),  # not configured
+    ({"n0": NEW, "n1": NEW, "n2": OLD}, {"n0": "a1", "n1": "a1"}, True),  # n2 is no member
     ({"n0": NEW, "n1": NodeRecord("a1", reads=CURRENT_FORMAT + 1)}, {"n0": "a1", "n1": "a1"}, True),
 ]
 
@@ -424,7 +424,7 @@
         (NextStateLimits(), StateLimits(100, 20, 8, 8)),
         (NextStateLimits(value_kb=2), StateLimits(100, 20, 2, 8)),
         (NextStateLimits(rps=50, write_rps=5, value_kb=2, txn_ops=4), StateLimits(50, 5, 2, 4)),
-        (NextStateLimits(rps=500, txn_ops=80), StateLimits(100, 20, 8, 8)),  # above today's
+        (NextStateLimits(rps=500, txn_ops=80), StateLimits(100, 20, 8, 8)),  # higher limits
     ],
 )
 def test_smaller_of_the_present_and_announced_limits_is_in_force(
--- a/tests/harness/test_invariants.py
+++ b/tests/harness/test_invariants.py
@@ -183,8 +183,8 @@
 def test_allowed_behaviour_is_no_violation() -> None:
     """Neither answers that overlap in time nor a job at its team's limit violate an invariant.
 
-    The job can't start its second task because its team's limit is 2 CPUs. A 404 answer to a
-    job that was never accepted is allowed too.
+    The job can't start its second task because its team's limit is 2 CPUs. A 404 answer about
+    a job that was never accepted is allowed too.
     """
 
     async def main() -> None:
--- a/tests/state_store/test_size_limits.py
+++ b/tests/state_store/test_size_limits.py
@@ -182,8 +182,8 @@
     (commands, 64 * KIB),
     (heartbeat, 4 * KIB * KIB),
 ]
-# Today's limits alone, and with lower limits announced, each with the format gate closed (a member
-# runs an earlier version, so today's limit of a value applies) and open.
+# The present limits alone, and with lower limits announced, each with the format gate closed (a
+# member runs an earlier version, so the present limit of a value applies) and open.
 TODAY = StateLimits(rps=300, write_rps=100, value_kb=8, txn_ops=16)
 ANNOUNCED = StateLimits(
     rps=300, write_rps=100, value_kb=8, txn_ops=16, next=NextStateLimits(value_kb=2, txn_ops=4)
