--- a/tests/state_store/test_size_limits.py
+++ b/tests/state_store/test_size_limits.py
@@ -184,11 +184,16 @@
 ]
 # The present limits alone, and with lower limits announced, each with the format gate closed (a
 # member runs an earlier version, so the present limit of a value applies) and open.
-TODAY = StateLimits(rps=300, write_rps=100, value_kb=8, txn_ops=16)
-ANNOUNCED = StateLimits(
+CURRENT_LIMITS = StateLimits(rps=300, write_rps=100, value_kb=8, txn_ops=16)
+LIMITS_WITH_ANNOUNCEMENT = StateLimits(
     rps=300, write_rps=100, value_kb=8, txn_ops=16, next=NextStateLimits(value_kb=2, txn_ops=4)
 )
-PHASES = [(TODAY, False, 8), (TODAY, True, 8), (ANNOUNCED, False, 8), (ANNOUNCED, True, 2)]
+PHASES = [
+    (CURRENT_LIMITS, False, 8),
+    (CURRENT_LIMITS, True, 8),
+    (LIMITS_WITH_ANNOUNCEMENT, False, 8),
+    (LIMITS_WITH_ANNOUNCEMENT, True, 2),
+]
 
 
 def _with_controller(
@@ -216,7 +221,9 @@
     _with_controller(state, gate_open, body)
 
 
-@pytest.mark.parametrize("state", [TODAY, ANNOUNCED], ids=["today", "announced"])
+@pytest.mark.parametrize(
+    "state", [CURRENT_LIMITS, LIMITS_WITH_ANNOUNCEMENT], ids=["today", "announced"]
+)
 @pytest.mark.parametrize(("size", "limit"), SENT, ids=lambda x: getattr(x, "__name__", ""))
 def test_sent_message_is_within_the_limit(
     size: Callable[[Controller], int], limit: int, state: StateLimits
