--- a/tests/config/test_policy.py
+++ b/tests/config/test_policy.py
@@ -14,7 +14,7 @@
 
 from ..harness.simulation import settings
 
-GOOD = """
+VALID_SETTINGS = """
 node_name = "c-0"
 public_addr = "10.0.0.1:8080"
 peer_bind = "10.0.0.1:8081"
@@ -61,7 +61,7 @@
     ],
 )
 def test_bad_settings(write_settings: WriteSettings, old: str, new: str, word: str) -> None:
-    file = write_settings(GOOD.replace(old, new))
+    file = write_settings(VALID_SETTINGS.replace(old, new))
     with pytest.raises(SettingsError) as caught:
         load(file)
     assert word in str(caught.value)
@@ -69,7 +69,7 @@
     assert str(file) in str(caught.value)
 
 
-NEXT = "[deployment.state.next]\n"
+ANNOUNCED_LIMITS_HEADER = "[deployment.state.next]\n"
 
 
 @pytest.mark.parametrize(
@@ -84,7 +84,7 @@
     ],
 )
 def test_bad_announced_limits(write_settings: WriteSettings, text: str, word: str) -> None:
-    file = write_settings(f"{GOOD}{NEXT}{text}\n")
+    file = write_settings(f"{VALID_SETTINGS}{ANNOUNCED_LIMITS_HEADER}{text}\n")
     with pytest.raises(SettingsError) as caught:
         load(file)
     assert word in str(caught.value)
@@ -92,7 +92,9 @@
 
 
 def test_check_prints_the_effective_limits(write_settings: WriteSettings) -> None:
-    file = write_settings(f"{GOOD}{NEXT}value_kb = 2\ntxn_ops = 80\nlater_field = 1\n")
+    file = write_settings(
+        f"{VALID_SETTINGS}{ANNOUNCED_LIMITS_HEADER}value_kb = 2\ntxn_ops = 80\nlater_field = 1\n"
+    )
     result = CliRunner().invoke(main, ["check", "--config", str(file)])
     assert result.exit_code == 0
     assert "state.value_kb = 2 (today 8)" in result.output
@@ -100,7 +102,7 @@
 
 
 def test_good_settings(write_settings: WriteSettings, tmp_path: Path) -> None:
-    assert load(write_settings(GOOD)).nodes == ["c-0", "c-1"]
+    assert load(write_settings(VALID_SETTINGS)).nodes == ["c-0", "c-1"]
     with pytest.raises(SettingsError):
         load(tmp_path / "absent.toml")
 
