--- a/tests/formats/test_stored_formats.py
+++ b/tests/formats/test_stored_formats.py
@@ -28,10 +28,10 @@
 from ..harness.earlier_version import EarlierVersion, with_present_names
 from ..harness.simulation import job, settings, submission
 
-STATE = StateLimits(
+STATE_LIMITS = StateLimits(
     rps=300, write_rps=100, value_kb=2, txn_ops=16, next=NextStateLimits(value_kb=1, txn_ops=4)
 )
-LEGACY_CHUNK = legacy.tasks_per_chunk(2)
+LEGACY_TASKS_PER_CHUNK = legacy.tasks_per_chunk(2)
 
 # --- the gate ---------------------------------------------------------------------------------
 
@@ -106,7 +106,7 @@
     trio.run(main, clock=trio.testing.MockClock())
 
 
-def _controller(state: StateLimits = STATE, *, gate_open: bool = False) -> Controller:
+def _controller(state: StateLimits = STATE_LIMITS, *, gate_open: bool = False) -> Controller:
     config = settings("n1", state=state)
     controller = Controller(config, policy.parse("", config))
     if gate_open:
@@ -149,7 +149,7 @@
             or b"",
         }
         assert new.agents.records.chunk_of("i-000360") == 360 // 3 // 10
-        old = earlier.controller(settings("n2", state=STATE), "")
+        old = earlier.controller(settings("n2", state=STATE_LIMITS), "")
         _apply_records(with_present_names(old), {key: written[key] for key in RECORDS})
         _apply_records(
             with_present_names(old),
@@ -198,7 +198,7 @@
     """That version reads chunks of any width, and writes chunks in the order of their numbers."""
 
     def body() -> None:
-        old = production.controller(settings("n2", state=STATE), "")
+        old = production.controller(settings("n2", state=STATE_LIMITS), "")
         width = machine_layout.machines_per_chunk(1024)
         position = 123
         their_chunk = old.workers.records.chunk_of(f"i-{position * 3:06d}")
@@ -232,7 +232,7 @@
     new_writes: bool, version_0_6_0: EarlierVersion
 ) -> None:
     def body() -> None:
-        old = with_present_names(version_0_6_0.controller(settings("n1", state=STATE), ""))
+        old = with_present_names(version_0_6_0.controller(settings("n1", state=STATE_LIMITS), ""))
         new = _controller()
         writer: Any = new if new_writes else old
         reader: Any = old if new_writes else new
@@ -245,7 +245,7 @@
         _apply_records(reader, {key: written[key] for key in written if key not in RECORDS})
         _check_records(reader)
         assert reader.gate.open
-        assert reader.gate.legacy_chunk_tasks == LEGACY_CHUNK
+        assert reader.gate.legacy_chunk_tasks == LEGACY_TASKS_PER_CHUNK
         node_record = reader.membership.alive["n1"]
         assert (node_record.incarnation, node_record.reads) == (
             writer.membership.incarnation,
@@ -282,7 +282,7 @@
             for key, value in writes.items():
                 controller.replica.apply_committed(f"pt/{key}", value.encode(), 20 + number)
         job_ = controller.job_index.jobs["wk-000001"]
-        assert [t for t in range(100_000) if t in job_.finished] == [2 * LEGACY_CHUNK + 1]
+        assert [t for t in range(100_000) if t in job_.finished] == [2 * LEGACY_TASKS_PER_CHUNK + 1]
 
     _run(body)
 
@@ -298,15 +298,24 @@
         bits.add(1)
         _apply_records(later, {"fin/wk-000001/1": json.dumps(bits.to_base64())})
         _apply_records(later, {"jobs/wk-000001": _wide(100_000)})
-        assert LEGACY_CHUNK + 1 in later.job_index.jobs["wk-000001"].finished
+        assert LEGACY_TASKS_PER_CHUNK + 1 in later.job_index.jobs["wk-000001"].finished
 
     _run(body)
 
 
-CONVERTED = [600, 1536, 1537, 4000, LEGACY_CHUNK, LEGACY_CHUNK + 1, 20_000, 100_000]
+CONVERTED_TASK_COUNTS = [
+    600,
+    1536,
+    1537,
+    4000,
+    LEGACY_TASKS_PER_CHUNK,
+    LEGACY_TASKS_PER_CHUNK + 1,
+    20_000,
+    100_000,
+]
 
 
-@pytest.mark.parametrize("tasks", CONVERTED)
+@pytest.mark.parametrize("tasks", CONVERTED_TASK_COUNTS)
 @pytest.mark.parametrize("steps", [0, 1, 3, 1000], ids=lambda n: f"{n} writes")
 def test_conversion_may_be_interrupted_after_any_write(tasks: int, steps: int) -> None:
     """After any write another controller reads the same tasks and resumes the conversion."""
@@ -318,9 +327,11 @@
         for task in done:
             bits.add(task)
         stored: dict[str, str | bytes] = {}
-        if tasks > LEGACY_CHUNK:
-            for number in {t // LEGACY_CHUNK for t in done}:
-                text = bits.to_base64(number * LEGACY_CHUNK // 8, LEGACY_CHUNK // 8)
+        if tasks > LEGACY_TASKS_PER_CHUNK:
+            for number in {t // LEGACY_TASKS_PER_CHUNK for t in done}:
+                text = bits.to_base64(
+                    number * LEGACY_TASKS_PER_CHUNK // 8, LEGACY_TASKS_PER_CHUNK // 8
+                )
                 stored[f"fin/wk-000001/{number}"] = json.dumps(text)
             stored["jobs/wk-000001"] = _wide(tasks)
         else:
