--- a/tests/formats/test_golden.py
+++ b/tests/formats/test_golden.py
@@ -628,7 +628,7 @@
     "pt/types": '[{"sku":"big","vcpus":8.0,"memGb":32.0,"cards":0.0,"localGb":0.0,'
     '"fetchGbPerS":1.0,"rate":1.0,"spotPrice":0.3,"readyS":3.0,"parcels":["a","b"]}]',
 }
-LEASED = ["pt/nodes/n0", "pt/nodes/n1", "pt/nodes/n2"]
+LEASED_KEYS = ["pt/nodes/n0", "pt/nodes/n1", "pt/nodes/n2"]
 
 
 def test_all_that_is_stored(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -651,7 +651,7 @@
         for key, item in sorted(stored_items.items())
     }
     assert values == STORED
-    assert sorted(key for key, item in stored_items.items() if item[2] is not None) == LEASED
+    assert sorted(key for key, item in stored_items.items() if item[2] is not None) == LEASED_KEYS
     for node, shard in (("n0", "0"), ("n1", "1"), ("n2", "2")):
         leader = stored_items[f"pt/parts/{shard}"][0]["incarnation"]
         assert stored_items[f"pt/nodes/{node}"][0]["incarnation"] == leader
@@ -762,7 +762,7 @@
 blind = min(beat * 4, 9)
 idle_release = count if state.rps < cloud.rps else machine_limits.cores + workers.gang_wait_s
 """
-CHECKED = """\
+CHECK_OUTPUT = """\
 admit_wait = 0.75
 bound = 2
 call_timeout = 2.1
@@ -789,7 +789,7 @@
 state.value_kb = 4 (today 16)
 state.txn_ops = 6 (today 12)
 """
-CHECKED_MINIMAL = """\
+MINIMAL_CHECK_OUTPUT = """\
 admit_wait = 0.75
 bound = 2
 call_timeout = 2.1
@@ -902,18 +902,18 @@
 def test_check_with_every_setting(tmp_path: Path) -> None:
     policy = tmp_path / "policy.conf"
     policy.write_text(POLICY)
-    assert checked(tmp_path, SETTINGS, "--policy", str(policy)) == (0, CHECKED, "")
+    assert checked(tmp_path, SETTINGS, "--policy", str(policy)) == (0, CHECK_OUTPUT, "")
 
 
 def test_check_with_minimal_settings(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """The project contains no default policy file, so only the settings take effect."""
     assert DEFAULT_POLICY_FILE.parts[-2:] == ("deploy", "policy.conf")
     assert not DEFAULT_POLICY_FILE.exists()
-    assert checked(tmp_path, MINIMAL_SETTINGS) == (0, CHECKED_MINIMAL, "")
+    assert checked(tmp_path, MINIMAL_SETTINGS) == (0, MINIMAL_CHECK_OUTPUT, "")
     policy = tmp_path / "policy.conf"
     policy.write_text(POLICY)
     monkeypatch.setenv("PITCHTALLY_POLICY", str(policy))
-    assert checked(tmp_path, SETTINGS) == (0, CHECKED, "")
+    assert checked(tmp_path, SETTINGS) == (0, CHECK_OUTPUT, "")
 
 
 @pytest.mark.parametrize(
