--- a/tests/cluster/test_cancellation.py
+++ b/tests/cluster/test_cancellation.py
@@ -17,9 +17,9 @@
 def test_job_cancelled_between_two_leaders_is_stopped(
     gap: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The former leader has ended; its successor finds running tasks of a cancelled job."""
+    """The former leader has crashed; its successor finds running tasks of a cancelled job."""
 
-    async def day(sim: Simulation) -> None:
+    async def simulate(sim: Simulation) -> None:
         # Other jobs keep the machines busy, so that none is terminated as idle.
         for number, team in ((1, "free"), (2, "free"), (3, "tight")):
             await sim.submit(job(number, rows=6, vcpus=1.0, crew=team, realS=400.0, ripenS=400.0))
@@ -32,19 +32,19 @@
         await sim.cancel("wk-000003")
         await sim.submit(job(4, rows=6, vcpus=1.0, crew="tight"))
         await trio.sleep(TIMES.cancel_s + 2)
-        left = {task.rpartition("/")[0] for task in sim.cloud.rules.placements}
-        assert left <= {"wk-000002"}
-        sim.check()  # the team's limit too: six tasks at once
+        remaining_jobs = {task.rpartition("/")[0] for task in sim.cloud.rules.placements}
+        assert remaining_jobs <= {"wk-000002"}
+        sim.check()  # also checks the team's limit of six tasks at once
 
-    run(monkeypatch, day)
+    run(monkeypatch, simulate)
 
 
 def test_no_task_of_a_cancelled_job_starts_once_the_session_lease_has_expired(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An isolated leader can't learn of the cancellation, so it must stop starting tasks."""
+    """An isolated leader can't receive the cancellation, so it must stop starting tasks."""
 
-    async def day(sim: Simulation) -> None:
+    async def simulate(sim: Simulation) -> None:
         await sim.submit(job(1, rows=600, vcpus=1.0, realS=1.0, ripenS=1.0))
         await trio.sleep(4)
         isolate_zone_with(sim, "n0", "a")
@@ -57,7 +57,7 @@
         await trio.sleep(TIMES.lease_s)
         sim.check()
 
-    run(monkeypatch, day)
+    run(monkeypatch, simulate)
 
 
 LEADER_CHANGES = ["crash", "restart", "partition_from_agents", "restart_twice"]
@@ -67,12 +67,12 @@
 def test_job_cancelled_at_any_moment_of_a_leader_change_is_stopped(
     change: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """One cancellation per quarter of a second while a controller's shard changes its leader."""
+    """A job is cancelled every quarter of a second while a shard changes its leader."""
 
     async def change_leader(sim: Simulation) -> None:
         if change == "partition_from_agents":
-            for name in list(sim.cloud.agents):
-                sim.network.partition("n1", name)
+            for agent in list(sim.cloud.agents):
+                sim.network.partition("n1", agent)
             await trio.sleep(TIMES.lease_s * 0.7)
             sim.network.partitions.clear()
             return
@@ -82,7 +82,7 @@
             revive(sim, "n1")
             await trio.sleep(1.5)
 
-    async def day(sim: Simulation) -> None:
+    async def simulate(sim: Simulation) -> None:
         sim.cloud.capacity = 8
         ids = []
         for number in range(1, 31):
@@ -101,7 +101,7 @@
         assert not sim.cloud.rules.placements
         sim.check()
 
-    run(monkeypatch, day)
+    run(monkeypatch, simulate)
 
 
 FULL_TEAMS = [Team("free", cpus=8.0, cpus_max=16.0), Team("tight", cpus=4.0, cpus_max=6.0)]
@@ -112,15 +112,15 @@
 def test_team_limits_hold_as_jobs_are_cancelled_and_the_leader_changes(
     fault: str, seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The quota of cancelled jobs is available again only once their tasks are known to be gone."""
+    """The quota of cancelled jobs is released only once their tasks can no longer run."""
 
-    async def day(sim: Simulation) -> None:
-        running = [
+    async def simulate(sim: Simulation) -> None:
+        running_jobs = [
             job(1, rows=8, vcpus=1.0, **LONG_RUNNING),
             job(2, rows=8, vcpus=1.0, **LONG_RUNNING),
             job(3, rows=6, vcpus=1.0, crew="tight", **LONG_RUNNING),
         ]
-        for spec in running:
+        for spec in running_jobs:
             await sim.submit(spec)
         with trio.fail_after(20):
             while len(sim.cloud.rules.placements) < 22:
@@ -132,13 +132,13 @@
         ]
         for spec in queued_jobs:
             await sim.submit(spec)
-        busy = sorted({machine for machine, _ in sim.cloud.rules.placements.values()})
-        for name in busy[:2]:
+        busy_machines = sorted({machine for machine, _ in sim.cloud.rules.placements.values()})
+        for machine_name in busy_machines[:2]:
             if fault == "cut":
-                isolate(sim, name)
+                isolate(sim, machine_name)
             else:
-                sim.nursery.start_soon(sim.cloud.agents[name].hang, TIMES.lease_s * 0.8)
-        for spec in running:
+                sim.nursery.start_soon(sim.cloud.agents[machine_name].hang, TIMES.lease_s * 0.8)
+        for spec in running_jobs:
             sim.nursery.start_soon(sim.cancel, spec["ref"], 1)
         await trio.sleep(0.4)
         await restart(sim, cluster_leader(sim), after=1.0)
@@ -146,24 +146,24 @@
         await restart(sim, cluster_leader(sim), after=3.0)
         await trio.sleep(TIMES.lease_s)
         sim.network.heal()
-        await sim.wait_until_finished([spec["ref"] for spec in running + queued_jobs])
+        await sim.wait_until_finished([spec["ref"] for spec in running_jobs + queued_jobs])
         assert {sim.final_stages[spec["ref"]] for spec in queued_jobs} == {"done"}
         await trio.sleep(TIMES.cancel_s + 1)
         sim.check()
 
-    run(monkeypatch, day, seed, teams=FULL_TEAMS)
+    run(monkeypatch, simulate, seed, teams=FULL_TEAMS)
 
 
-def test_leader_isolated_for_long_still_learns_of_cancellations(
+def test_leader_isolated_for_long_still_receives_cancellations(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Peers repeat cancellations without a time limit, to a leader isolated for however long."""
+    """Peers resend cancellations without a time limit, however long a leader is isolated."""
 
-    async def day(sim: Simulation) -> None:
+    async def simulate(sim: Simulation) -> None:
         await sim.submit(job(1, rows=6, realS=900.0, ripenS=900.0, vcpus=1.0))
         await trio.sleep(4)
-        for other in ("n1", "n2"):
-            sim.network.partition("n0", other)
+        for peer in ("n1", "n2"):
+            sim.network.partition("n0", peer)
         sim.state_store.refused_callers.add("n0")
         await sim.cancel("wk-000001")
         await trio.sleep(1.0)
@@ -171,12 +171,12 @@
         await trio.sleep(sim.times.cancel_s * 2 + 10)
         sim.network.partitions.clear()  # the peers are reachable again, the state store still down
         await trio.sleep(sim.times.lease_s * 2)
-        job_ = sim.controllers["n0"].job_index.jobs["wk-000001"]
-        assert not job_.open
+        cancelled_job = sim.controllers["n0"].job_index.jobs["wk-000001"]
+        assert not cancelled_job.open
         assert not sim.cloud.rules.placements
         sim.state_store.refused_callers.clear()
         sim.state_store.resume()
         await trio.sleep(5)
         sim.check()
 
-    run(monkeypatch, day)
+    run(monkeypatch, simulate)
--- a/tests/cluster/test_invariants_under_faults.py
+++ b/tests/cluster/test_invariants_under_faults.py
@@ -1,4 +1,4 @@
-"""One fault at a time, in a day with every kind of job: all invariants hold."""
+"""All invariants hold under each single fault while jobs of every kind run."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
 
 
 async def rolling_restart(sim: Simulation) -> None:
-    for name in NODES:
-        sim.kill(name)
+    for node in NODES:
+        sim.kill(node)
         await trio.sleep(4)
-        sim.start(name)
+        sim.start(node)
         await trio.sleep(4)
 
 
@@ -53,8 +53,8 @@
 
 
 async def partition_from_agents(sim: Simulation) -> None:
-    for name in list(sim.cloud.agents):
-        sim.network.partition("n0", name)
+    for agent in list(sim.cloud.agents):
+        sim.network.partition("n0", agent)
     await trio.sleep(20)
 
 
@@ -71,20 +71,20 @@
 
 
 async def lost_replies(sim: Simulation) -> None:
-    for name in NODES:
-        for other in ("state", *NODES):
-            sim.network.reply_loss[(name, other)] = 0.2
+    for node in NODES:
+        for host in ("state", *NODES):
+            sim.network.reply_loss[(node, host)] = 0.2
     await trio.sleep(20)
 
 
 async def late_duplicates(sim: Simulation) -> None:
-    """Commands, heartbeats, transactions and launches are carried out a second time, late."""
-    for name in NODES:
-        for other in ("state", "cloud", *sim.cloud.agents):
-            sim.network.duplicate_after[(name, other)] = 7.0
+    """Deliver commands, heartbeats, transactions and launches a second time, 7 s later."""
+    for node in NODES:
+        for host in ("state", "cloud", *sim.cloud.agents):
+            sim.network.duplicate_after[(node, host)] = 7.0
     for agent in sim.cloud.agents:
-        for name in NODES:
-            sim.network.duplicate_after[(agent, name)] = 7.0
+        for node in NODES:
+            sim.network.duplicate_after[(agent, node)] = 7.0
     await trio.sleep(20)
 
 
@@ -111,23 +111,23 @@
 
 
 async def machine_isolated(sim: Simulation) -> None:
-    name = next(iter(sim.cloud.agents))
-    sim.network.partition("*", name)
-    sim.network.partition(name, "*")
+    machine = next(iter(sim.cloud.agents))
+    sim.network.partition("*", machine)
+    sim.network.partition(machine, "*")
     await trio.sleep(15)
 
 
 async def machine_crashes(sim: Simulation) -> None:
-    name = next(iter(sim.cloud.agents))
-    sim.cloud.agents.pop(name).terminate()
+    machine = next(iter(sim.cloud.agents))
+    sim.cloud.agents.pop(machine).terminate()
     await trio.sleep(5)
 
 
 async def machine_isolated_and_leader_crashes(sim: Simulation) -> None:
-    """The leader crashes while one of its machines can't be reached."""
-    name = next(iter(sim.cloud.agents))
-    sim.network.partition("*", name)
-    sim.network.partition(name, "*")
+    """Crash the leader while one of its machines is isolated."""
+    machine = next(iter(sim.cloud.agents))
+    sim.network.partition("*", machine)
+    sim.network.partition(machine, "*")
     sim.kill("n0")
     await trio.sleep(5)
     sim.start("n0")
@@ -145,7 +145,7 @@
 
 
 async def unreachable_agent(sim: Simulation) -> None:
-    """Heartbeats of an agent arrive, but neither responses nor commands reach it."""
+    """Lose all responses and commands to an agent whose heartbeats still arrive."""
     sim.network.partition_inbound(next(iter(sim.cloud.agents)))
     await trio.sleep(25)
 
@@ -158,10 +158,10 @@
     await trio.sleep(20)
 
 
-def _duplicate_heartbeats(sim: Simulation, after: float) -> None:
+def _duplicate_heartbeats(sim: Simulation, delay_s: float) -> None:
     for agent in sim.cloud.agents:
-        for name in NODES:
-            sim.network.duplicate_after[(agent, name)] = after
+        for node in NODES:
+            sim.network.duplicate_after[(agent, node)] = delay_s
 
 
 async def duplicates_within_a_second(sim: Simulation) -> None:
@@ -170,7 +170,7 @@
 
 
 async def duplicates_after_failovers(sim: Simulation) -> None:
-    """Duplicates of heartbeats, later than a lease, at leaders that never saw the originals."""
+    """Duplicate heartbeats after more than a lease, at leaders that never got the originals."""
     _duplicate_heartbeats(sim, 14.0)
     await trio.sleep(3)
     sim.kill("n0")
@@ -184,31 +184,34 @@
 
 
 async def duplicates_of_lost_machines(sim: Simulation) -> None:
-    """Duplicates from machines that are gone, or whose lease has expired, still arrive."""
+    """Deliver duplicates from terminated machines and from machines whose lease has expired."""
     _duplicate_heartbeats(sim, 9.0)
-    names = list(sim.cloud.agents)
-    sim.network.partition("*", names[0])
-    sim.network.partition(names[0], "*")
+    machines = list(sim.cloud.agents)
+    sim.network.partition("*", machines[0])
+    sim.network.partition(machines[0], "*")
     await trio.sleep(2)
-    if names[1] in sim.cloud.agents:
-        sim.cloud.agents.pop(names[1]).terminate()
+    if machines[1] in sim.cloud.agents:
+        sim.cloud.agents.pop(machines[1]).terminate()
     await trio.sleep(25)
 
 
 async def isolated_with_agents(sim: Simulation) -> None:
-    """A controller is partitioned from the state store and its peers, but not from its agents."""
-    for other in ("state", "n1", "n2"):
-        sim.network.partition("n0", other)
+    """Partition a controller from the state store and its peers, but not from its agents."""
+    for host in ("state", "n1", "n2"):
+        sim.network.partition("n0", host)
     await trio.sleep(30)
 
 
 async def quick_restarts_during_elections(sim: Simulation) -> None:
-    """Restart within a fraction of a second at every step of an election, also twice in a row."""
+    """Restart controllers within a fraction of a second at every step of an election.
+
+    One of them restarts twice in a row each time.
+    """
     for pause in (0.05, 0.3, 0.6, 1.0, 1.7, 2.6):
-        for name in ("n0", "n0", "n2"):
-            sim.kill(name)
+        for node in ("n0", "n0", "n2"):
+            sim.kill(node)
             await trio.sleep(0.15)
-            sim.start(name)
+            sim.start(node)
             await trio.sleep(pause)
 
 
@@ -221,7 +224,7 @@
 
 
 async def agents_restart_at_once(sim: Simulation) -> None:
-    """Agents begin a new epoch within a fraction of a second."""
+    """Restart each agent twice within a fraction of a second; each restart begins a new epoch."""
     for agent in list(sim.cloud.agents.values()):
         agent.restart()
         await trio.sleep(0.3)
@@ -229,24 +232,27 @@
     await trio.sleep(5)
 
 
-async def machines_hang_and_resume(sim: Simulation) -> None:
-    """Nothing gets in or out of half of the machines for longer than a lease, twice."""
-    names = list(sim.cloud.agents)[::2]
+async def half_of_machines_isolated_twice(sim: Simulation) -> None:
+    """Isolate half of the machines for longer than a lease, twice."""
+    isolated_machines = list(sim.cloud.agents)[::2]
     for _ in range(2):
-        for name in names:
-            sim.network.partition(name, "*")
-            sim.network.partition("*", name)
+        for machine in isolated_machines:
+            sim.network.partition(machine, "*")
+            sim.network.partition("*", machine)
         await trio.sleep(TIMES.lease_s * 1.3)
         sim.network.heal()
         await trio.sleep(1.5)
 
 
-async def machines_hang_and_leader_crashes(sim: Simulation) -> None:
-    """As before, with a failover meanwhile, and the old leader back at once."""
-    names = list(sim.cloud.agents)[::2]
-    for name in names:
-        sim.network.partition(name, "*")
-        sim.network.partition("*", name)
+async def half_of_machines_isolated_and_leader_crashes(sim: Simulation) -> None:
+    """Isolate half of the machines during failovers.
+
+    The old leader restarts 1 s after the machines are reachable again.
+    """
+    isolated_machines = list(sim.cloud.agents)[::2]
+    for machine in isolated_machines:
+        sim.network.partition(machine, "*")
+        sim.network.partition("*", machine)
     await trio.sleep(2)
     sim.kill("n1")
     await trio.sleep(0.3)
@@ -260,19 +266,22 @@
 
 
 async def zone_isolated_with_a_controller(sim: Simulation) -> None:
-    """A zone's machines and a controller are partitioned from all others."""
+    """Partition a zone's machines and a controller from all other hosts."""
     isolate_zone_with(sim, "n0", "a")
     await trio.sleep(TIMES.lease_s * 1.5)
 
 
 async def most_machines_crash(sim: Simulation) -> None:
-    for name in list(sim.cloud.agents)[:-1]:
-        sim.cloud.agents.pop(name).terminate()
+    for machine in list(sim.cloud.agents)[:-1]:
+        sim.cloud.agents.pop(machine).terminate()
     await trio.sleep(5)
 
 
 async def all_controllers_crash_twice(sim: Simulation) -> None:
-    """Crash again before the first restart has settled, in an outage, with late duplicates."""
+    """Crash all controllers in an outage, and again before they have recovered.
+
+    Requests of users are duplicated after 4 s.
+    """
     sim.network.duplicate_after = {("user", n): 4.0 for n in NODES}
     sim.state_store.stop()
     sim.kill()
@@ -286,9 +295,9 @@
 
 
 async def isolated_with_agents_and_crash(sim: Simulation) -> None:
-    """A controller that hears only its agents crashes, and is back at once."""
-    for other in ("state", "n1", "n2"):
-        sim.network.partition("n0", other)
+    """Crash a controller that only its agents can reach, and restart it at once."""
+    for host in ("state", "n1", "n2"):
+        sim.network.partition("n0", host)
     await trio.sleep(6)
     sim.kill("n0")
     await trio.sleep(0.2)
@@ -325,8 +334,8 @@
     quick_restarts_during_elections,
     quick_restarts_of_all,
     agents_restart_at_once,
-    machines_hang_and_resume,
-    machines_hang_and_leader_crashes,
+    half_of_machines_isolated_twice,
+    half_of_machines_isolated_and_leader_crashes,
     zone_isolated_with_a_controller,
     most_machines_crash,
     all_controllers_crash_twice,
@@ -336,7 +345,7 @@
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda f: f.__name__)
 def test_invariants_hold_under_a_fault(fault: Fault, monkeypatch: pytest.MonkeyPatch) -> None:
-    async def day(sim: Simulation) -> None:
+    async def simulate(sim: Simulation) -> None:
         jobs = [
             job(1),
             job(2, rows=20, crew="tight", vcpus=1.0),
@@ -357,8 +366,9 @@
         await sim.wait_until_known([spec["ref"] for spec in jobs], within=30)
         await sim.wait_until_finished([spec["ref"] for spec in jobs])
         assert sim.final_stages["wk-000007"] == "withdrawn"
-        await trio.sleep(26)  # nothing of the cancelled job may be left
+        # Longer than `cancel_s`, after which no task of the cancelled job may run.
+        await trio.sleep(26)
         sim.check()
         assert sim.cloud.rules.start_count >= sum(s["rows"] for s in jobs[:6])
 
-    run(monkeypatch, day)
+    run(monkeypatch, simulate)
--- a/tests/cluster/test_services.py
+++ b/tests/cluster/test_services.py
@@ -1,4 +1,4 @@
-"""Replicas of a service run until their job is cancelled, and are replaced wherever they fail."""
+"""Replicas of a service run until their job is cancelled, and are replaced when they fail."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def test_service_runs_until_it_is_cancelled(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def day(sim: Simulation) -> None:
+    async def simulate(sim: Simulation) -> None:
         spec = service(1)
         await sim.submit(spec)
         assert await sim.poll(spec["ref"], 0) == "pending"
@@ -25,14 +25,15 @@
             view = json.loads(answer.body)
             assert (view["stage"], view["done"], view["running"]) == ("running", 0, 3)
         writes = [key for _, key, _ in sim.state_store.log if key == f"pt/jobs/{spec['ref']}"]
-        assert len(writes) <= 2  # its acceptance, and at most one assignment
+        # The record is written on acceptance, and at most once more for an assignment.
+        assert len(writes) <= 2
         await sim.cancel(spec["ref"])
         await trio.sleep(TIMES.cancel_s + 1)
         assert not replicas_up(sim, spec["ref"])
         assert sim.cloud.rules.start_count == 3
         sim.check()
 
-    run(monkeypatch, day)
+    run(monkeypatch, simulate)
 
 
 def test_replica_that_ends_is_restarted_and_counts_as_no_result(
@@ -40,7 +41,7 @@
 ) -> None:
     """Replicas that end quickly are restarted with a backoff."""
 
-    async def day(sim: Simulation) -> None:
+    async def simulate(sim: Simulation) -> None:
         slow_to_end = service(1, realEnds=20.0)
         quick_to_end = service(2, realEnds=0.2)
         await sim.submit(slow_to_end)
@@ -54,13 +55,13 @@
             await sim.cancel(id)
         sim.check()
 
-    run(monkeypatch, day)
+    run(monkeypatch, simulate)
 
 
 def test_service_preempts_only_jobs_of_lower_rank(monkeypatch: pytest.MonkeyPatch) -> None:
-    """On full machines an idle job is preempted at once, another service isn't."""
+    """On full machines a service preempts an idle job at once, but not another service."""
 
-    async def day(sim: Simulation) -> None:
+    async def simulate(sim: Simulation) -> None:
         sim.cloud.capacity = len(sim.cloud.agents)
         first = service(1, rows=16, vcpus=1.0)
         await sim.submit(first)
@@ -78,18 +79,19 @@
         assert replicas_up(sim, third["ref"]) <= 8
         sim.check()
 
-    run(monkeypatch, day)
+    run(monkeypatch, simulate)
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_service_of_a_limited_team_gets_its_share_on_full_machines(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its share of the limit is in other shards and must move, so that it can preempt at all."""
+    """The limit is allotted to another shard, and must move before a service can preempt."""
 
-    async def day(sim: Simulation) -> None:
+    async def simulate(sim: Simulation) -> None:
         sim.cloud.capacity = len(sim.cloud.agents)
-        earlier = service(3, rows=6, crew="tight")  # moves all shares of the limit to one shard
+        # This service moves all shares of the limit to one shard.
+        earlier = service(3, rows=6, crew="tight")
         await sim.submit(earlier)
         await wait_until_up(sim, earlier, within=15.0)
         await sim.submit(job(2, rows=200, vcpus=1.0, rank="idle", realS=90.0, ripenS=90.0))
@@ -102,79 +104,86 @@
         await wait_until_up(sim, *specs, within=15.0)
         sim.check()
 
-    run(monkeypatch, day, seed)
+    run(monkeypatch, simulate, seed)
 
 
 def test_machines_with_replicas_are_not_terminated(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def day(sim: Simulation) -> None:
+    async def simulate(sim: Simulation) -> None:
         spec = service(1, rows=4, spread=True)
         await sim.submit(spec)
         await wait_until_up(sim, spec, within=5.0)
         await trio.sleep(120)
-        assert sim.cloud.terminated  # those without replicas
+        assert sim.cloud.terminated  # machines without replicas
         assert sim.cloud.rules.start_count == 4
 
-    run(monkeypatch, day)
+    run(monkeypatch, simulate)
 
 
-def machine_of(sim: Simulation, id: str) -> Any:
-    name = next(w for t, (w, _) in sim.cloud.rules.placements.items() if t.startswith(f"{id}/"))
-    return sim.cloud.agents[name]
+def machine_with_replica(sim: Simulation, id: str) -> Any:
+    machine_name = next(
+        machine
+        for task, (machine, _) in sim.cloud.rules.placements.items()
+        if task.startswith(f"{id}/")
+    )
+    return sim.cloud.agents[machine_name]
 
 
-async def terminated(sim: Simulation, agent: Any) -> None:
+async def terminate_machine(sim: Simulation, agent: Any) -> None:
     sim.cloud.agents.pop(agent.name).terminate()
 
 
-async def preempted(sim: Simulation, agent: Any) -> None:
+async def preempt_machine(sim: Simulation, agent: Any) -> None:
     agent.preemption_at = trio.current_time() + 6.0
     agent.status_changed.set()
     await trio.sleep(6.0)
-    if agent.name in sim.cloud.agents:  # not terminated before that
+    # The drained machine may have been terminated before its notice ended.
+    if agent.name in sim.cloud.agents:
         sim.cloud.agents.pop(agent.name).terminate()
 
 
-async def restarted(sim: Simulation, agent: Any) -> None:
+async def restart_agent(sim: Simulation, agent: Any) -> None:
     agent.restart()
 
 
-async def hung(sim: Simulation, agent: Any) -> None:
+async def hang_agent(sim: Simulation, agent: Any) -> None:
     await agent.hang(TIMES.lease_s * 1.5)
 
 
-async def isolated(sim: Simulation, agent: Any) -> None:
+async def isolate_machine(sim: Simulation, agent: Any) -> None:
     sim.network.partition(agent.name, "*")
     sim.network.partition("*", agent.name)
     await trio.sleep(TIMES.lease_s * 2)
     sim.network.heal()
 
 
-@pytest.mark.parametrize("loss", [terminated, preempted, restarted, hung, isolated])
+@pytest.mark.parametrize(
+    "loss", [terminate_machine, preempt_machine, restart_agent, hang_agent, isolate_machine]
+)
 @pytest.mark.parametrize("more", [{}, {"spread": True}, {"oneZone": True}], ids=str)
 def test_replicas_of_a_lost_machine_run_elsewhere(
     loss: Callable[[Simulation, Any], Awaitable[None]],
     more: dict[str, Any],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def day(sim: Simulation) -> None:
+    async def simulate(sim: Simulation) -> None:
         spec = service(1, rows=4, **more)
         await sim.submit(spec)
         await wait_until_up(sim, spec, within=6.0)
-        agent = machine_of(sim, spec["ref"])
+        agent = machine_with_replica(sim, spec["ref"])
         async with trio.open_nursery() as nursery:
             nursery.start_soon(loss, sim, agent)
         await wait_until_up(sim, spec, within=RECOVERY_TIMEOUT_S)
         sim.check()
 
-    run(monkeypatch, day)
+    run(monkeypatch, simulate)
 
 
 def test_replica_that_does_not_fit_in_its_shard_starts_elsewhere(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its other replicas never end, so the shard never gets capacity for the last one."""
+    """The other replicas never end, so their shard never gets capacity for the last one."""
 
-    async def day(sim: Simulation) -> None:
+    async def simulate(sim: Simulation) -> None:
         for zone in ("a", "b"):
             sim.cloud.add("big", zone)
         sim.cloud.capacity = 6
@@ -182,11 +191,13 @@
         spec = service(1, rows=4, vcpus=4.0, spread=True)
         await sim.submit(spec)
         await wait_until_up(sim, spec, within=8.0)
-        shard = int(machine_of(sim, spec["ref"]).name[2:]) % 3
-        other = next(w for w in sim.cloud.agents.values() if int(w.name[2:]) % 3 == shard)
+        shard = int(machine_with_replica(sim, spec["ref"]).name[2:]) % 3
+        other_machine = next(
+            agent for agent in sim.cloud.agents.values() if int(agent.name[2:]) % 3 == shard
+        )
         sim.cloud.capacity = 5
-        sim.cloud.agents.pop(other.name).terminate()
+        sim.cloud.agents.pop(other_machine.name).terminate()
         await wait_until_up(sim, spec, within=120.0)
         sim.check()
 
-    run(monkeypatch, day)
+    run(monkeypatch, simulate)
--- a/tests/cluster/test_submission.py
+++ b/tests/cluster/test_submission.py
@@ -1,4 +1,4 @@
-"""Submissions are accepted once, in few transactions, and nobody has to give up."""
+"""Submissions are accepted once, in few transactions, and before users' retries end."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 def test_repeated_submission_of_a_known_id_is_answered_whatever_its_body(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def day(sim: Simulation) -> None:
+    async def simulate(sim: Simulation) -> None:
         await sim.submit(job(1, rows=1))
         for node in range(3):
             answer = await sim.call(node, "POST", "/api/jobs", {"ref": "wk-000001", "rows": -1})
@@ -30,13 +30,13 @@
             assert "field" in json.loads(answer.body)
         await sim.wait_until_finished(["wk-000001"])
 
-    run(monkeypatch, day)
+    run(monkeypatch, simulate)
 
 
 def test_queued_submissions_share_a_transaction(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each is accepted once; a repeated one among them doesn't fail the others."""
+    """Each submission is accepted once; a repeated one in a batch doesn't fail the others."""
 
-    async def day(sim: Simulation) -> None:
+    async def simulate(sim: Simulation) -> None:
         commits = 0
         handle = sim.state_store.handle
 
@@ -64,7 +64,7 @@
         sim.network.hosts[("10.2.0.1", 2379)] = ("state", handle)
         await sim.wait_until_finished([f"wk-{n:06d}" for n in range(1, 21)])
 
-    run(monkeypatch, day)
+    run(monkeypatch, simulate)
 
 
 def first_written_ranges(sim: Simulation, id: str) -> list[Any]:
@@ -78,9 +78,12 @@
 def test_cluster_leader_assigns_a_small_job_before_its_record_is_written(
     cluster_leader: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A second write for each small job would exhaust the write rate under load."""
+    """A second write for each small job would exhaust the write rate under load.
 
-    async def day(sim: Simulation) -> None:
+    With a "silent" cluster leader, the accepting controller is partitioned from it.
+    """
+
+    async def simulate(sim: Simulation) -> None:
         sim.cloud.capacity = 4
         await sim.submit(job(1, rows=400, vcpus=1.0, realS=3.0, ripenS=3.0))
         await trio.sleep(8)
@@ -88,27 +91,27 @@
             sim.network.partition("n1", "n0")
         sim.cloud.rules.specs.update({f"wk-{n:06d}": job(n, rows=1) for n in range(10, 30)})
         for number in range(10, 30):
-            at = trio.current_time()
+            submitted_at = trio.current_time()
             id = f"wk-{number:06d}"
             spec = sim.cloud.rules.specs[id]
             assert (await sim.send(1, "POST", "/api/jobs", submission(spec), job_id=id))[0] == 201
-            assert trio.current_time() - at < 1.0
+            assert trio.current_time() - submitted_at < 1.0
         assigned = [bool(first_written_ranges(sim, f"wk-{n:06d}")) for n in range(10, 30)]
         assert all(assigned) == (cluster_leader == "heard")
         sim.network.heal()
         await sim.wait_until_finished([f"wk-{n:06d}" for n in range(10, 30)])
 
-    run(monkeypatch, day)
+    run(monkeypatch, simulate)
 
 
-RETRIES_FOR_S = 60.0  # seconds; the protocol's bound on a user's retries
+USER_RETRY_LIMIT_S = 60.0  # the protocol's bound on a user's retries
 
 
 async def submit_with_retries(sim: Simulation, spec: dict[str, Any], rng: random.Random) -> bool:
-    """Retry as the protocol says, at any controller, for as long as users do."""
+    """Submit a job as the protocol says, at random controllers; return whether it was accepted."""
     sim.cloud.rules.specs[spec["ref"]] = spec
     started_at = trio.current_time()
-    while trio.current_time() - started_at < RETRIES_FOR_S:
+    while trio.current_time() - started_at < USER_RETRY_LIMIT_S:
         retry_after = 1.0
         try:
             answer = await sim.call(rng.randrange(3), "POST", "/api/jobs", submission(spec))
@@ -121,10 +124,12 @@
     return False
 
 
-def test_no_user_gives_up_after_an_outage_under_load(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Submissions are admitted in the order of first attempts, not by the luckiest retry."""
+def test_every_submission_is_accepted_after_an_outage_under_load(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Submissions are admitted in order of first attempts, not by which retry arrives first."""
 
-    async def day(sim: Simulation) -> None:
+    async def simulate(sim: Simulation) -> None:
         sim.state_limits = StateLimits(rps=80, write_rps=15, value_kb=8, txn_ops=8)
         await restart(sim, after=0.5)
         sim.cloud.capacity = 12
@@ -146,15 +151,17 @@
         assert [id for id, was_accepted in accepted.items() if not was_accepted] == []
         sim.check()
 
-    run(monkeypatch, day)
+    run(monkeypatch, simulate)
 
 
 STREAM_JOBS_PER_S = 4
-STREAM_FOR_S = 120
+STREAM_DURATION_S = 120
 
 
-def test_stream_of_small_jobs_ends_as_asked_beside_a_crash(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Four jobs per second for minutes, a quarter of them cancelled; a controller crashes."""
+def test_stream_of_small_jobs_ends_as_requested_despite_a_crash(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Four jobs per second for two minutes, a quarter of them cancelled; a controller crashes."""
 
     async def submit_and_cancel(sim: Simulation, number: int, rng: random.Random) -> None:
         spec = job(number, rows=1, vcpus=1.0, realS=3.0, ripenS=3.0)
@@ -163,24 +170,24 @@
             await trio.sleep(rng.choice([0.0, 0.5, 2.0, 3.0, 4.0]))
             await sim.cancel(spec["ref"], number)
 
-    async def day(sim: Simulation) -> None:
+    async def simulate(sim: Simulation) -> None:
         sim.cloud.capacity = 12
         rng = random.Random(5)
-        count = STREAM_JOBS_PER_S * STREAM_FOR_S
-        for number in range(1, count + 1):
+        job_count = STREAM_JOBS_PER_S * STREAM_DURATION_S
+        for number in range(1, job_count + 1):
             sim.nursery.start_soon(submit_and_cancel, sim, number, rng)
             await trio.sleep(1 / STREAM_JOBS_PER_S)
-            if number == count // 2:
+            if number == job_count // 2:
                 sim.kill("n1")
-            elif number == count // 2 + STREAM_JOBS_PER_S * 6:
+            elif number == job_count // 2 + STREAM_JOBS_PER_S * 6:
                 sim.start("n1")
         await trio.sleep(5)
-        ids = [f"wk-{number:06d}" for number in range(1, count + 1)]
+        ids = [f"wk-{number:06d}" for number in range(1, job_count + 1)]
         await sim.wait_until_finished(ids, limit=60)
         withdrawn = [id for id in ids if sim.final_stages[id] == "withdrawn"]
         assert set(withdrawn) <= sim.invariants.cancel_requested
-        assert len(withdrawn) >= count // 16
+        assert len(withdrawn) >= job_count // 16
         await trio.sleep(TIMES.cancel_s + 1)
         sim.check()
 
-    run(monkeypatch, day)
+    run(monkeypatch, simulate)
--- a/tests/harness/test_invariants.py
+++ b/tests/harness/test_invariants.py
@@ -149,13 +149,13 @@
     (wrong_purchase_option, "wrong_place spot"),
     (ran_cancelled, "ran_cancelled"),
     (started_after_cancel, "ran_cancelled"),
-    (accepted_job_unknown, "lost_job"),
-    (accepted_job_refused_on_repeat, "lost_job"),
-    (job_without_answers, "lost_job"),
-    (job_never_submitted, "unknown_job"),
+    (accepted_job_unknown, "forgotten"),
+    (accepted_job_refused_on_repeat, "forgotten"),
+    (job_without_answers, "forgotten"),
+    (job_never_submitted, "invented"),
     (done_too_early, "not_done"),
-    (stage_went_back, "inconsistent_stage"),
-    (cancelled_by_nobody, "inconsistent_stage"),
+    (stage_went_back, "went_back"),
+    (cancelled_by_nobody, "went_back"),
     (startable_job_waits, "starved"),
 ]
 
@@ -183,8 +183,8 @@
 def test_allowed_behaviour_is_no_violation() -> None:
     """Neither answers that overlap in time nor a job at its team's limit violate an invariant.
 
-    The job can't start its second task because its team's limit is 2 CPUs. A 404 answer to a
-    job that was never accepted is allowed too.
+    The job can't start its second task because its team's limit is 2 CPUs. A 404 answer about
+    a job that was never accepted is allowed too.
     """
 
     async def main() -> None:
