--- a/pitchtally/agents/heartbeats/task_exits.py
+++ b/pitchtally/agents/heartbeats/task_exits.py
@@ -15,7 +15,7 @@
 
 
 def record_success(machine: Machine) -> None:
-    """Clear the machine's failure counts: a success shows that it did not cause them."""
+    """Clear the machine's failure counts: a success shows that the machine works."""
     machine.failures_by_job.clear()
     machine.last_failure_at.clear()
     machine.consecutive_errors = 0
@@ -53,7 +53,7 @@
         self._task_control.remove(placement, cause)
 
     def _notify_completed(self, placement: Placement, now: float) -> None:
-        running_since = placement.running_since
-        run_seconds = now - running_since if running_since is not None else -1.0
+        started_at = placement.running_since
+        run_seconds = now - started_at if started_at is not None else -1.0
         if placement.job.open:
             self._scheduler.listener.task_completed(placement, run_seconds)
--- a/pitchtally/agents/machine_records.py
+++ b/pitchtally/agents/machine_records.py
@@ -62,7 +62,7 @@
         """`interval` is the time in seconds between two passes, unless a write is requested."""
         self.gate = gate
         self.chunks: dict[keys.MachineChunk, RecordedMachines] = {}
-        self.machines_per_chunk = machine_layout.machines_per_chunk(int(limits.value_kb * 1024))
+        self.chunk_width = machine_layout.machines_per_chunk(int(limits.value_kb * 1024))
         self._index = index
         self._shards = shards
         self._commits = commits
@@ -84,7 +84,7 @@
         number = int(digits) if digits.isdigit() and len(digits) <= MAX_NUMBER_DIGITS else 0
         position = number // self._index.shard_count
         if self.gate.open or self._legacy_layout_refused:
-            return machine_layout.chunk_of(position, self.machines_per_chunk)
+            return machine_layout.chunk_of(position, self.chunk_width)
         return position // format_1.machines_per_chunk(self.gate.value_kb)
 
     def recorded_machines(self, shard: int) -> RecordedMachines:
@@ -146,20 +146,20 @@
 
     async def _write_chunk(self, led_shard: LedShard, number: int, names: list[str]) -> bool:
         """Write a chunk unless it is current; return False if the write was rejected."""
-        machines = self._recorded_form(names)
-        if machines == self.chunks.get(keys.MachineChunk(led_shard.shard, number), {}):
-            self._mark_recorded(machines)
+        entries = self._recorded_form(names)
+        if entries == self.chunks.get(keys.MachineChunk(led_shard.shard, number), {}):
+            self._mark_recorded(entries)
             return True
         key = keys.machines(led_shard.shard, number)
-        conditions = {
+        preconditions = {
             keys.shard(led_shard.shard): led_shard.token,
             key: self._commits.replica.version(key),
         }
         # The old format keeps empty chunks, so they are deleted only once the format gate is open.
-        value = msgspec.json.encode(machines) if machines or not self.gate.open else None
+        value = msgspec.json.encode(entries) if entries or not self.gate.open else None
         try:
             committed = await self._commits.commit(
-                conditions, [Write(key, value)], priority=Priority.COMPLETIONS
+                preconditions, [Write(key, value)], priority=Priority.COMPLETIONS
             )
         except InvalidTransaction as error:
             # The store's limits were lowered before the format gate opened, so from now on
@@ -174,11 +174,11 @@
             self._legacy_layout_refused = True
             return False
         if committed and self._is_led(led_shard):
-            self._mark_recorded(machines)
+            self._mark_recorded(entries)
         return committed
 
     def _recorded_form(self, names: Iterable[str]) -> RecordedMachines:
-        """Return the entries of these machines, without those that have been removed since."""
+        """Return the entries of machines, without those that are no longer in the index."""
         return {
             name: RecordedMachine(machine.type, machine.zone, machine.spot, machine.address)
             for name in names
@@ -186,7 +186,7 @@
         }
 
     def _mark_recorded(self, names: Iterable[str]) -> None:
-        """Mark those of the machines that still exist as recorded, which lets tasks start there."""
+        """Mark the machines that still exist as recorded, so that tasks may start on them."""
         for name in names:
             machine = self._index.machines.get(name)
             if machine is not None:
--- a/pitchtally/scheduling/gangs/free_capacity.py
+++ b/pitchtally/scheduling/gangs/free_capacity.py
@@ -75,7 +75,7 @@
         plans every pending gang several times a second.
         """
         request = resource_request(spec)
-        cached = self.statuses.zones.setdefault(status.shard, {})
+        cached = self.statuses.capacities_by_zone.setdefault(status.shard, {})
         key = (source, request, spec.types, spec.zone, spec.spot)
         tasks_by_zone = cached.get(key)
         if tasks_by_zone is not None:
@@ -103,7 +103,7 @@
     status: ShardStatus,
     source: CapacitySource,
 ) -> Resources:
-    """Return what a gang may use of a machine: of a reserved one, only what is free."""
+    """Return the resources that a gang may use; of a reserved machine, only the free ones."""
     available = machine.free
     if source is CapacitySource.RESERVED and machine.name not in status.reserved_machines:
         available = capacity_of(machine_type)
--- a/pitchtally/scheduling/placement/draining.py
+++ b/pitchtally/scheduling/placement/draining.py
@@ -7,13 +7,13 @@
 from ..context import SchedulingContext
 from ..shards.allocations import ShardState
 
-# A task ends in time if this many times what is left of it fits into the notice: the notice
-# may be cut short, and estimates are rough.
-NOTICE_MARGIN = 2
+# A task is expected to end in time if this multiple of its remaining run time fits into the
+# notice: the cloud may cut the notice short, and estimates are rough.
+NOTICE_MARGIN_RATIO = 2
 
 
 class DrainingEviction:
-    """Stops tasks that won't finish before the cloud preempts their machine."""
+    """Stops tasks that aren't expected to finish before the cloud preempts their machine."""
 
     def __init__(
         self,
@@ -25,9 +25,9 @@
         self.shards = shards
 
     def evict_draining(self, shard: int) -> None:
-        """Checkpoint and stop the tasks that won't finish on machines under a notice.
+        """Checkpoint and stop the tasks that won't finish on machines under a preemption notice.
 
-        Otherwise they would lose their progress, and could not start again until the machine's
+        Otherwise they would lose their progress, and couldn't start again until the machine's
         lease has expired.
         """
         now = trio.current_time()
@@ -35,7 +35,7 @@
         for machine in self.agents.of_shard(shard):
             if machine.preemption_at is None:
                 continue
-            left_s = machine.preemption_at - now
+            notice_left_s = machine.preemption_at - now
             for placement in list(machine.placements.values()):
                 if placement.stop_grace is not None or not placement.observed:
                     continue
@@ -45,10 +45,11 @@
                 )
                 ends_in_time = (
                     self.estimates.expected_run_s(spec) - ran_s
-                ) * NOTICE_MARGIN < left_s
+                ) * NOTICE_MARGIN_RATIO < notice_left_s
                 if ends_in_time and not spec.is_service:
                     continue
-                for each in state.with_gang(placement):
+                for member in state.with_gang(placement):
                     self.agents.stop(
-                        each, each.spec.checkpoint_grace if each.spec.checkpoint_interval else 0.0
+                        member,
+                        member.spec.checkpoint_grace if member.spec.checkpoint_interval else 0.0,
                     )
--- a/pitchtally/scheduling/rebalancing/service_migration.py
+++ b/pitchtally/scheduling/rebalancing/service_migration.py
@@ -23,7 +23,7 @@
 from ..gangs.free_capacity import FreeCapacity
 from ..gangs.single_shard_planner import SingleShardPlanner
 from ..quotas.quotas import Quotas
-from ..shards.allocations import ShardAllocation, ShardState, most_in_zone
+from ..shards.allocations import ShardAllocation, ShardState, max_tasks_in_zone
 from ..shards.eligibility import is_ready
 from ..shards.shard_statuses import ShardStatuses
 from .task_migration import TaskMigration
@@ -59,7 +59,11 @@
         single_shard_planner: SingleShardPlanner,
         migration: TaskMigration,
     ) -> None:
-        """Take planners for single replicas (`free_capacity`) and for a whole service."""
+        """Store the components.
+
+        `free_capacity` gives the capacity for single replicas; `single_shard_planner` plans all
+        replicas of a service together.
+        """
         self.settings = context.settings
         self.policy = context.policy
         self.agents = context.agents
@@ -72,7 +76,7 @@
         self.migration = migration
 
     async def migrate(self) -> None:
-        """Migrate or restart every such service that lacks capacity in a shard led here."""
+        """Migrate or restart each one-zone or spread service that lacks capacity in a led shard."""
         for shard, state in list(self.shards.items()):
             if not state.reconciled or not self.migration.leads(shard):
                 continue
@@ -111,8 +115,9 @@
     ) -> ReplicaMigration | None:
         """Return the first of these shards with capacity for all missing replicas, or None.
 
-        Capacity that needs preemption is used only if no shard has enough without. `capped`
-        keeps to the present caps in the job's record; otherwise caps may rise to the zones' limits.
+        Capacity that needs preemption is used only if no shard has enough without it. With
+        `capped`, the present caps in the job's record apply; otherwise caps may rise to the zones'
+        limits.
         """
         spec, missing = allocation.spec, allocation.pending.count
         zone = allocation.job.record.zone if allocation.one_zone else None
@@ -138,13 +143,15 @@
     def _remaining_by_zone(self, allocation: ShardAllocation, *, capped: bool) -> ZoneCounts:
         """Return how many more replicas of a spread service may be in each zone.
 
-        Empty if any number may.
+        Returns an empty dict if any number may.
         """
         if not allocation.spec.spread or allocation.spec.tasks == 1:
             return {}
         placed = self._placed_by_zone(allocation)
         if capped:
-            return {zone: allocation.most_in_zone(zone) - count for zone, count in placed.items()}
+            return {
+                zone: allocation.max_tasks_in_zone(zone) - count for zone, count in placed.items()
+            }
         return remaining_by_zone(allocation.job, placed, allocation.shard)
 
     async def _migrate(self, allocation: ShardAllocation, target: ReplicaMigration) -> None:
@@ -192,7 +199,7 @@
     for cap_shard, zone, cap in job.record.zone_caps:
         if cap_shard != shard:
             counted[zone] += cap
-    max_per_zone = most_in_zone(job.spec)
+    max_per_zone = max_tasks_in_zone(job.spec)
     return {zone: max(0, max_per_zone - counted[zone]) for zone in placed}
 
 
--- a/pitchtally/scheduling/rebalancing/task_migration.py
+++ b/pitchtally/scheduling/rebalancing/task_migration.py
@@ -7,7 +7,7 @@
 
 from msgspec import UNSET
 
-from ...jobs.job_record import TaskRange, ZoneCap, merge
+from ...jobs.job_record import TaskRange, ZoneCap, merge_ranges
 from ...membership.membership import Membership
 from ...state_store import keys
 from ...state_store.errors import StoreUnavailable
@@ -48,7 +48,7 @@
         if token is None:
             return
         moved = allocation.pending.split_off(count)
-        allocation.moving = True
+        allocation.range_write_in_flight = True
         version = job.version
         try:
             ranges = _migrated(job.record.ranges, shard, target, moved)
@@ -65,9 +65,9 @@
             # this shard until the outcome is resolved.
             await self.range_writer.resolve_job_outcome(error, job, version, shard, token)
         finally:
-            allocation.moving = False
+            allocation.range_write_in_flight = False
             if job.open:
-                allocation.rebuild()
+                allocation.rebuild_pending()
 
 
 def _migrated(
@@ -88,4 +88,4 @@
             migrated += [(first, moved_first, source), (moved_first, moved_end, target)]
             first = moved_end
         migrated.append((first, end, source))
-    return merge(migrated)
+    return merge_ranges(migrated)
--- a/tests/cluster/test_autoscaling.py
+++ b/tests/cluster/test_autoscaling.py
@@ -7,7 +7,7 @@
 import trio.testing
 
 from pitchtally.http import Request, Response
-from standins.network import HERE
+from standins.network import CURRENT_HOST
 
 from ..harness.simulation import TIMES, Simulation, job, run
 
@@ -19,17 +19,17 @@
 
     async def simulate(sim: Simulation) -> None:
         requests: list[tuple[float, str]] = []
-        handle = sim.world.handle
+        handle = sim.cloud.handle
 
         async def handle_and_record(request: Request) -> Response:
             if request.method == "POST":
-                requests.append((trio.current_time(), HERE.get()))
+                requests.append((trio.current_time(), CURRENT_HOST.get()))
             return await handle(request)
 
         sim.network.hosts[("10.2.0.2", 8443)] = ("cloud", handle_and_record)
         await sim.submit(job(1, rows=60, vcpus=4.0, realS=20.0, ripenS=20.0))
         await trio.sleep(1)
-        for host in ("state", "n1", "n2", *sim.world.agents):
+        for host in ("state", "n1", "n2", *sim.cloud.agents):
             sim.network.partition("n0", host)
         partitioned_at = trio.current_time()
         await trio.sleep(60)
--- a/tests/cluster/test_cancellation_in_outages.py
+++ b/tests/cluster/test_cancellation_in_outages.py
@@ -90,7 +90,7 @@
         for number in (1, 2, 3):
             await sim.submit(job(number, rows=6, **LONG_RUNNING))
         with trio.fail_after(sim.times.lease_s * 2):
-            while len(sim.world.rules.placements) < 18:
+            while len(sim.cloud.rules.placements) < 18:
                 await trio.sleep(0.1)
         assert sim.controllers["n0"].membership.cluster_leader_token is not None
         sim.state_store.refused_callers.add("n0")
@@ -126,7 +126,7 @@
 
     async def _cancel_at(self, node: int, id: str) -> None:
         self.sim.invariants.cancel_requested.add(id)
-        answer = await self.sim.ask(node, "POST", f"/api/jobs/{id}/cancel", about=id)
+        answer = await self.sim.send(node, "POST", f"/api/jobs/{id}/cancel", job_id=id)
         assert answer == (200, "withdrawn")
 
     async def stop_state_store(self) -> None:
@@ -163,11 +163,11 @@
         self.sim.check()
         if self.outage.leader_reached_by_all_peers:
             # The leader has received all cancellations, so it keeps renewing all other tasks.
-            assert self.sim.world.rules.tasks_lost_to_lease_expiry == 0
+            assert self.sim.cloud.rules.tasks_lost_to_lease_expiry == 0
             assert remaining_jobs >= {"wk-000002", "wk-000003"}
 
     def _jobs_with_tasks(self) -> set[str]:
-        return {task.rpartition("/")[0] for task in self.sim.world.rules.placements}
+        return {task.rpartition("/")[0] for task in self.sim.cloud.rules.placements}
 
     async def recover(self) -> None:
         """End all faults; every job must be known, and no cancelled job may run again."""
--- a/tests/cluster/test_completion_races.py
+++ b/tests/cluster/test_completion_races.py
@@ -12,7 +12,7 @@
 
 
 async def submit_again(sim: Simulation, node: int, spec: dict[str, Any]) -> None:
-    await sim.ask(node, "POST", "/api/jobs", submission(spec), about=spec["ref"], repeat=True)
+    await sim.send(node, "POST", "/api/jobs", submission(spec), job_id=spec["ref"], repeat=True)
 
 
 @pytest.mark.parametrize("seconds_before", [0.5, 0.2, 0.05, 0.0, -0.05, -0.15, -0.4, -1.0])
@@ -26,7 +26,7 @@
         specs = [job(n, rows=rows, vcpus=1.0, realS=4.0) for n in range(1, 5)]
         for spec in specs:
             await sim.submit(spec)
-        first_starts = sim.world.rules.first_start
+        first_starts = sim.cloud.rules.first_start
         with trio.fail_after(20):
             while len(first_starts) < len(specs):
                 await trio.sleep(0.01)
@@ -38,7 +38,7 @@
                 for node in range(3):
                     nursery.start_soon(sim.poll, spec["ref"], node)
                     nursery.start_soon(submit_again, sim, node, spec)
-        await sim.finish([spec["ref"] for spec in specs])
+        await sim.wait_until_finished([spec["ref"] for spec in specs])
         await trio.sleep(TIMES.cancel_s + 1)
         sim.check()
 
--- a/tests/cluster/test_duplicated_heartbeats.py
+++ b/tests/cluster/test_duplicated_heartbeats.py
@@ -50,7 +50,7 @@
     async def simulate(sim: Simulation) -> None:
         await sim.submit(job(1, rows=30, vcpus=1.0, realS=200.0, ripenS=200.0))
         await trio.sleep(6)
-        agent = sim.world.agents["i-000001"]
+        agent = sim.cloud.agents["i-000001"]
         body = json.dumps(agent.heartbeat()).encode()
         await trio.sleep(2)
         if between == "failover":
@@ -68,7 +68,7 @@
             sim.network.partition("*", agent.name)
             sim.network.partition(agent.name, "*")
             await trio.sleep(30)
-            assert agent.name in sim.world.terminated
+            assert agent.name in sim.cloud.terminated
             # The new leader did not terminate the machine itself.
             sim.kill("n1")
             await trio.sleep(0.2)
@@ -95,9 +95,9 @@
     async def simulate(sim: Simulation) -> None:
         await sim.submit(job(1, rows=30, vcpus=1.0, realS=8.0))
         await trio.sleep(6)
-        agent = sim.world.agents["i-000001"]
+        agent = sim.cloud.agents["i-000001"]
         body = json.dumps(agent.heartbeat()).encode()
-        sim.world.agents.pop(agent.name).terminate()
+        sim.cloud.agents.pop(agent.name).terminate()
         sim.kill("n1")
         checks = 0
         for _ in range(30):
@@ -114,6 +114,6 @@
         assert checks  # the machine was recorded in a shard that a new leader acquired
         sim.start("n1")
         # The shard was reconciled without the machine, which the cloud no longer lists.
-        await sim.finish(["wk-000001"], limit=40)
+        await sim.wait_until_finished(["wk-000001"], limit=40)
 
     run(monkeypatch, simulate)
--- a/tests/cluster/test_invariants_under_faults.py
+++ b/tests/cluster/test_invariants_under_faults.py
@@ -53,7 +53,7 @@
 
 
 async def partition_from_agents(sim: Simulation) -> None:
-    for agent in list(sim.world.agents):
+    for agent in list(sim.cloud.agents):
         sim.network.partition("n0", agent)
     await trio.sleep(20)
 
@@ -80,9 +80,9 @@
 async def late_duplicates(sim: Simulation) -> None:
     """Deliver commands, heartbeats, transactions and launches a second time, 7 s later."""
     for node in NODES:
-        for host in ("state", "cloud", *sim.world.agents):
+        for host in ("state", "cloud", *sim.cloud.agents):
             sim.network.duplicate_after[(node, host)] = 7.0
-    for agent in sim.world.agents:
+    for agent in sim.cloud.agents:
         for node in NODES:
             sim.network.duplicate_after[(agent, node)] = 7.0
     await trio.sleep(20)
@@ -95,9 +95,9 @@
 
 
 async def state_store_and_cloud_outage(sim: Simulation) -> None:
-    sim.world.down = True
+    sim.cloud.down = True
     await state_store_outage(sim)
-    sim.world.down = False
+    sim.cloud.down = False
 
 
 async def crash_in_outage(sim: Simulation) -> None:
@@ -111,21 +111,21 @@
 
 
 async def machine_isolated(sim: Simulation) -> None:
-    machine = next(iter(sim.world.agents))
+    machine = next(iter(sim.cloud.agents))
     sim.network.partition("*", machine)
     sim.network.partition(machine, "*")
     await trio.sleep(15)
 
 
 async def machine_crashes(sim: Simulation) -> None:
-    machine = next(iter(sim.world.agents))
-    sim.world.agents.pop(machine).terminate()
+    machine = next(iter(sim.cloud.agents))
+    sim.cloud.agents.pop(machine).terminate()
     await trio.sleep(5)
 
 
 async def machine_isolated_and_leader_crashes(sim: Simulation) -> None:
     """Crash the leader while one of its machines is isolated."""
-    machine = next(iter(sim.world.agents))
+    machine = next(iter(sim.cloud.agents))
     sim.network.partition("*", machine)
     sim.network.partition(machine, "*")
     sim.kill("n0")
@@ -135,23 +135,23 @@
 
 
 async def unlisted_machine(sim: Simulation) -> None:
-    sim.world.add("big", "b")
+    sim.cloud.add("big", "b")
     await trio.sleep(5)
 
 
 async def machine_that_fails_tasks(sim: Simulation) -> None:
-    next(iter(sim.world.agents.values())).fails_tasks = True
+    next(iter(sim.cloud.agents.values())).fails_tasks = True
     await trio.sleep(15)
 
 
 async def unreachable_agent(sim: Simulation) -> None:
     """Lose all responses and commands to an agent whose heartbeats still arrive."""
-    sim.network.partition_inbound(next(iter(sim.world.agents)))
+    sim.network.partition_inbound(next(iter(sim.cloud.agents)))
     await trio.sleep(25)
 
 
 async def unreachable_agent_and_failover(sim: Simulation) -> None:
-    sim.network.partition_inbound(next(iter(sim.world.agents)))
+    sim.network.partition_inbound(next(iter(sim.cloud.agents)))
     sim.kill("n0")
     await trio.sleep(5)
     sim.start("n0")
@@ -159,7 +159,7 @@
 
 
 def _duplicate_heartbeats(sim: Simulation, delay_s: float) -> None:
-    for agent in sim.world.agents:
+    for agent in sim.cloud.agents:
         for node in NODES:
             sim.network.duplicate_after[(agent, node)] = delay_s
 
@@ -186,12 +186,12 @@
 async def duplicates_of_lost_machines(sim: Simulation) -> None:
     """Deliver duplicates from terminated machines and from machines whose lease has expired."""
     _duplicate_heartbeats(sim, 9.0)
-    machines = list(sim.world.agents)
+    machines = list(sim.cloud.agents)
     sim.network.partition("*", machines[0])
     sim.network.partition(machines[0], "*")
     await trio.sleep(2)
-    if machines[1] in sim.world.agents:
-        sim.world.agents.pop(machines[1]).terminate()
+    if machines[1] in sim.cloud.agents:
+        sim.cloud.agents.pop(machines[1]).terminate()
     await trio.sleep(25)
 
 
@@ -225,7 +225,7 @@
 
 async def agents_restart_at_once(sim: Simulation) -> None:
     """Restart each agent twice within a fraction of a second; each restart begins a new epoch."""
-    for agent in list(sim.world.agents.values()):
+    for agent in list(sim.cloud.agents.values()):
         agent.restart()
         await trio.sleep(0.3)
         agent.restart()
@@ -234,7 +234,7 @@
 
 async def half_of_machines_isolated_twice(sim: Simulation) -> None:
     """Isolate half of the machines for longer than a lease, twice."""
-    isolated_machines = list(sim.world.agents)[::2]
+    isolated_machines = list(sim.cloud.agents)[::2]
     for _ in range(2):
         for machine in isolated_machines:
             sim.network.partition(machine, "*")
@@ -249,7 +249,7 @@
 
     The old leader restarts 1 s after the machines are reachable again.
     """
-    isolated_machines = list(sim.world.agents)[::2]
+    isolated_machines = list(sim.cloud.agents)[::2]
     for machine in isolated_machines:
         sim.network.partition(machine, "*")
         sim.network.partition("*", machine)
@@ -272,8 +272,8 @@
 
 
 async def most_machines_crash(sim: Simulation) -> None:
-    for machine in list(sim.world.agents)[:-1]:
-        sim.world.agents.pop(machine).terminate()
+    for machine in list(sim.cloud.agents)[:-1]:
+        sim.cloud.agents.pop(machine).terminate()
     await trio.sleep(5)
 
 
@@ -364,11 +364,11 @@
             nursery.start_soon(sim.cancel, "wk-000007")
         sim.network.heal()
         await sim.wait_until_known([spec["ref"] for spec in jobs], within=30)
-        await sim.finish([spec["ref"] for spec in jobs])
+        await sim.wait_until_finished([spec["ref"] for spec in jobs])
         assert sim.final_stages["wk-000007"] == "withdrawn"
         # Longer than `cancel_s`, after which no task of the cancelled job may run.
         await trio.sleep(26)
         sim.check()
-        assert sim.world.rules.started >= sum(s["rows"] for s in jobs[:6])
+        assert sim.cloud.rules.start_count >= sum(s["rows"] for s in jobs[:6])
 
     run(monkeypatch, simulate)
--- a/tests/cluster/test_request_forwarding.py
+++ b/tests/cluster/test_request_forwarding.py
@@ -9,7 +9,7 @@
 import trio.testing
 
 from pitchtally.http import Response
-from standins.network import HERE
+from standins.network import CURRENT_HOST
 
 from ..harness.simulation import Simulation, job, run
 
@@ -22,7 +22,7 @@
     async def simulate(sim: Simulation) -> None:
         await sim.submit(job(1, rows=4, realS=900.0, ripenS=900.0))
         await sim.submit(job(2, rows=1, realS=1.0, ripenS=1.0))
-        await sim.finish(["wk-000002"], limit=30)
+        await sim.wait_until_finished(["wk-000002"], limit=30)
         in_flight = peak = 0
         original_call = sim.network.call
 
@@ -30,7 +30,7 @@
             address: Any, method: str, target: str, *args: Any, **kwargs: Any
         ) -> Any:
             nonlocal in_flight, peak
-            forwarded = target == "/peer" and HERE.get() == "n0"
+            forwarded = target == "/peer" and CURRENT_HOST.get() == "n0"
             in_flight += forwarded
             peak = max(peak, in_flight)
             try:
--- a/tests/cluster/test_services_under_faults.py
+++ b/tests/cluster/test_services_under_faults.py
@@ -22,9 +22,9 @@
     delayed_commits,
     duplicated_heartbeats_after_newer_ones,
 )
-from ..harness.services import BACK_WITHIN_S, replicas_up, service
+from ..harness.services import RECOVERY_TIMEOUT_S, replicas_up, service
 from ..harness.simulation import TIMES, Simulation, job, run
-from ..harness.workload import CANCELLED, users
+from ..harness.workload import CANCELLED, simulate_users
 
 Fault = Callable[[Simulation], Awaitable[None]]
 
@@ -52,7 +52,7 @@
 
 
 async def agents_fail_every_task(sim: Simulation) -> None:
-    failing = list(sim.world.agents.values())[:2]
+    failing = list(sim.cloud.agents.values())[:2]
     for agent in failing:
         agent.fails_tasks = True
         agent.restart()
@@ -81,7 +81,7 @@
     """Inject a fault beside services and other jobs; all replicas must be up again in time."""
     for spec in [*SERVICES, *OTHER_JOBS]:
         sim.nursery.start_soon(sim.submit, spec)
-    sim.nursery.start_soon(users, sim)
+    sim.nursery.start_soon(simulate_users, sim)
     await trio.sleep(8)
     await fault(sim)
     sim.state_store.refused_callers.clear()
@@ -97,8 +97,8 @@
         await trio.sleep(0.5)
         now = trio.current_time()
         sim.invariants.check_replicas_return(now, ended_at, bound)
-        sim.invariants.check_startable_jobs_start(now, sim.world)
-        sim.invariants.check_jobs_answer(now, ended_at)
+        sim.invariants.check_startable_jobs_start(now, sim.cloud)
+        sim.invariants.check_jobs_are_answered(now, ended_at)
         sim.check()
     assert all(sim.final_stages.get(spec["ref"]) == "done" for spec in OTHER_JOBS)
     assert not any(replicas_up(sim, id) for id in CANCELLED)
@@ -110,6 +110,6 @@
     fault: Fault, seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def simulate(sim: Simulation) -> None:
-        await play_services(sim, fault, bound=BACK_WITHIN_S)
+        await play_services(sim, fault, bound=RECOVERY_TIMEOUT_S)
 
     run(monkeypatch, simulate, seed)
--- a/tests/cluster/test_submission.py
+++ b/tests/cluster/test_submission.py
@@ -28,7 +28,7 @@
             answer = await sim.call(node, "POST", "/api/jobs", {"ref": "wk-000002", "rows": -1})
             assert answer.status == 400
             assert "field" in json.loads(answer.body)
-        await sim.finish(["wk-000001"])
+        await sim.wait_until_finished(["wk-000001"])
 
     run(monkeypatch, simulate)
 
@@ -52,7 +52,7 @@
 
         async def submit_one(number: int) -> None:
             spec = job(number, rows=1)
-            sim.world.rules.specs[spec["ref"]] = spec
+            sim.cloud.rules.specs[spec["ref"]] = spec
             body = {k: v for k, v in spec.items() if k != "realS"}
             statuses.append((await sim.call(0, "POST", "/api/jobs", body)).status)
 
@@ -62,7 +62,7 @@
         assert sorted(statuses) == [200] + [201] * 20
         assert commits < 15
         sim.network.hosts[("10.2.0.1", 2379)] = ("state", handle)
-        await sim.finish([f"wk-{n:06d}" for n in range(1, 21)])
+        await sim.wait_until_finished([f"wk-{n:06d}" for n in range(1, 21)])
 
     run(monkeypatch, simulate)
 
@@ -84,22 +84,22 @@
     """
 
     async def simulate(sim: Simulation) -> None:
-        sim.world.capacity = 4
+        sim.cloud.capacity = 4
         await sim.submit(job(1, rows=400, vcpus=1.0, realS=3.0, ripenS=3.0))
         await trio.sleep(8)
         if cluster_leader == "silent":
             sim.network.partition("n1", "n0")
-        sim.world.rules.specs.update({f"wk-{n:06d}": job(n, rows=1) for n in range(10, 30)})
+        sim.cloud.rules.specs.update({f"wk-{n:06d}": job(n, rows=1) for n in range(10, 30)})
         for number in range(10, 30):
             submitted_at = trio.current_time()
             id = f"wk-{number:06d}"
-            spec = sim.world.rules.specs[id]
-            assert (await sim.ask(1, "POST", "/api/jobs", submission(spec), about=id))[0] == 201
+            spec = sim.cloud.rules.specs[id]
+            assert (await sim.send(1, "POST", "/api/jobs", submission(spec), job_id=id))[0] == 201
             assert trio.current_time() - submitted_at < 1.0
         assigned = [bool(first_written_ranges(sim, f"wk-{n:06d}")) for n in range(10, 30)]
         assert all(assigned) == (cluster_leader == "heard")
         sim.network.heal()
-        await sim.finish([f"wk-{n:06d}" for n in range(10, 30)])
+        await sim.wait_until_finished([f"wk-{n:06d}" for n in range(10, 30)])
 
     run(monkeypatch, simulate)
 
@@ -109,7 +109,7 @@
 
 async def submit_with_retries(sim: Simulation, spec: dict[str, Any], rng: random.Random) -> bool:
     """Submit a job as the protocol says, at random controllers; return whether it was accepted."""
-    sim.world.rules.specs[spec["ref"]] = spec
+    sim.cloud.rules.specs[spec["ref"]] = spec
     started_at = trio.current_time()
     while trio.current_time() - started_at < USER_RETRY_LIMIT_S:
         retry_after = 1.0
@@ -132,7 +132,7 @@
     async def simulate(sim: Simulation) -> None:
         sim.state_limits = StateLimits(rps=80, write_rps=15, value_kb=8, txn_ops=8)
         await restart(sim, after=0.5)
-        sim.world.capacity = 12
+        sim.cloud.capacity = 12
         rng = random.Random(3)
         accepted: dict[str, bool] = {}
 
@@ -171,7 +171,7 @@
             await sim.cancel(spec["ref"], number)
 
     async def simulate(sim: Simulation) -> None:
-        sim.world.capacity = 12
+        sim.cloud.capacity = 12
         rng = random.Random(5)
         job_count = STREAM_JOBS_PER_S * STREAM_DURATION_S
         for number in range(1, job_count + 1):
@@ -183,7 +183,7 @@
                 sim.start("n1")
         await trio.sleep(5)
         ids = [f"wk-{number:06d}" for number in range(1, job_count + 1)]
-        await sim.finish(ids, limit=60)
+        await sim.wait_until_finished(ids, limit=60)
         withdrawn = [id for id in ids if sim.final_stages[id] == "withdrawn"]
         assert set(withdrawn) <= sim.invariants.cancel_requested
         assert len(withdrawn) >= job_count // 16
--- a/tests/cluster/test_unreachable_agents.py
+++ b/tests/cluster/test_unreachable_agents.py
@@ -29,7 +29,7 @@
     async def simulate(sim: Simulation) -> None:
         await sim.submit(job(1, rows=200, vcpus=1.0))
         await trio.sleep(4)
-        machine_name = next(name for name, agent in sim.world.agents.items() if agent.tasks)
+        machine_name = next(name for name, agent in sim.cloud.agents.items() if agent.tasks)
         sim.network.partition_inbound(machine_name)
         starts_sent: list[Any] = []
         leader = _leader_of(sim, machine_name)
@@ -47,8 +47,8 @@
         # The agent counts as unreachable after its second response without effect.
         assert all(not count for sent_at, count in starts_sent if sent_at - partitioned_at > 25)
         assert len([1 for _, count in starts_sent if count]) <= 3
-        assert machine_name in sim.world.terminated
-        await sim.finish(["wk-000001"])
+        assert machine_name in sim.cloud.terminated
+        await sim.wait_until_finished(["wk-000001"])
 
     run(monkeypatch, simulate)
 
@@ -66,6 +66,6 @@
         sim.start("n0")
         await trio.sleep(25)
         assert _leader_of(sim, machine_name).agents.shards[0].reconciled
-        await sim.finish(["wk-000001"], limit=60)
+        await sim.wait_until_finished(["wk-000001"], limit=60)
 
     run(monkeypatch, simulate)
--- a/tests/formats/test_golden.py
+++ b/tests/formats/test_golden.py
@@ -395,8 +395,8 @@
     bits = TaskBitmap(20)
     for task in (0, 2, 9, 19):
         bits.add(task)
-    assert bits.text() == "BQII"
-    assert bits.text(1, 1) == "Ag=="
+    assert bits.to_base64() == "BQII"
+    assert bits.to_base64(1, 1) == "Ag=="
 
 
 @pytest.mark.parametrize(("gate_open", "chunk"), [(False, 12), (True, 7000000017)])
@@ -453,9 +453,12 @@
 
     def body() -> None:
         controller = controller_of(gate_open)
-        catalog = controller.autoscaler.catalog
+        machine_catalog = controller.autoscaler.catalog
         controller.replica.apply_committed("pt/types", page(names), 10)
-        assert stored(catalog.lay_out(list(catalog.types_by_name.values()))) == expected
+        assert (
+            stored(machine_catalog.lay_out(list(machine_catalog.types_by_name.values())))
+            == expected
+        )
 
     run_on_mock_clock(body)
 
@@ -569,9 +572,9 @@
         job_ = controller.job_index.jobs["wk-000001"]
         joined = TaskBitmap(tasks)
         for task in (1, 5):
-            job_.local.add(task)
+            job_.unwritten_tasks.add(task)
             joined.add(task)
-        assert stored(controller.layout.progress(job_, joined)) == [expected]
+        assert stored(controller.layout.progress_writes(job_, joined)) == [expected]
 
     run_on_mock_clock(body)
 
@@ -583,7 +586,7 @@
         for number, key in enumerate(keys):
             controller.replica.apply_committed(key, b'"AA=="', 10 + number)
         controller.replica.apply_committed("pt/jobs/wk-000001", b'{"stage":"done","tasks":6}', 20)
-        assert controller.cleanup.left_over(10) == keys
+        assert controller.cleanup.leftover_keys(10) == keys
 
     run_on_mock_clock(body)
 
@@ -593,7 +596,7 @@
         controller = controller_of(True)
         values: list[tuple[str, bytes | None, int]] = []
         controller.replica.listen("", lambda *change: values.append(change))
-        controller.job_index.learn_cancelled("wk-000001", 12, 6, 2)
+        controller.job_index.apply_peer_cancellation("wk-000001", 12, 6, 2)
         assert values == [
             ("jobs/wk-000001", b'{"stage":"withdrawn","tasks":6,"count":2}', 12),
         ]
@@ -630,7 +633,7 @@
 
 def test_all_that_is_stored(monkeypatch: pytest.MonkeyPatch) -> None:
     """Run three controllers with a finished job, a cancelled job and a running service."""
-    items: dict[str, tuple[Any, int, int | None]] = {}
+    stored_items: dict[str, tuple[Any, int, int | None]] = {}
 
     async def body(sim: Simulation) -> None:
         await sim.submit(job(1))
@@ -638,20 +641,20 @@
         await sim.submit(job(3, cut="standing", rows=1))
         await trio.sleep(5)
         await sim.cancel("wk-000002")
-        await sim.finish(["wk-000001", "wk-000002"])
+        await sim.wait_until_finished(["wk-000001", "wk-000002"])
         await trio.sleep(3)
-        items.update(sim.state_store.items)
+        stored_items.update(sim.state_store.items)
 
     simulation.run(monkeypatch, body)
     values = {
         key: re.sub('"[0-9a-f]{16}"', '"<incarnation>"', json.dumps(item[0], separators=(",", ":")))
-        for key, item in sorted(items.items())
+        for key, item in sorted(stored_items.items())
     }
     assert values == STORED
-    assert sorted(key for key, item in items.items() if item[2] is not None) == LEASED
+    assert sorted(key for key, item in stored_items.items() if item[2] is not None) == LEASED
     for node, shard in (("n0", "0"), ("n1", "1"), ("n2", "2")):
-        leader = items[f"pt/parts/{shard}"][0]["incarnation"]
-        assert items[f"pt/nodes/{node}"][0]["incarnation"] == leader
+        leader = stored_items[f"pt/parts/{shard}"][0]["incarnation"]
+        assert stored_items[f"pt/nodes/{node}"][0]["incarnation"] == leader
 
 
 # --- what operators write and read --------------------------------------------------------------
--- a/tests/harness/earlier_version.py
+++ b/tests/harness/earlier_version.py
@@ -1,4 +1,4 @@
-"""Released versions, loaded from this repository's history beside the present one."""
+"""Loads released versions from the repository's history, next to the present version."""
 
 from __future__ import annotations
 
@@ -18,77 +18,77 @@
 
 from pitchtally.config.settings import Settings
 from pitchtally.http import HttpError, Request
-from standins.network import HERE, Network
+from standins.network import CURRENT_HOST, Network
 
 ROOT = Path(__file__).resolve().parent.parent.parent
-VERSION_0_6_0 = "4dbc4a62bb9624fbab8370e0e8fe46c94eccac3e"
+COMMIT_0_6_0 = "4dbc4a62bb9624fbab8370e0e8fe46c94eccac3e"
 
 
-class Renamed:
-    """An object of an earlier version that answers to present names of its attributes."""
+class AliasingProxy:
+    """Gives access to an object of an earlier version through the present attribute names."""
 
-    def __init__(self, target: Any, **present: Any):
-        """`present`: by present name the earlier name, or an object to give out for it."""
+    def __init__(self, target: Any, **aliases: Any):
+        """Map present attribute names to earlier names, or to the objects to return for them."""
         self._target = target
-        self._present = present
+        self._aliases = aliases
 
     def __getattr__(self, name: str) -> Any:
-        found = self._present.get(name, name)
-        return getattr(self._target, found) if isinstance(found, str) else found
+        alias = self._aliases.get(name, name)
+        return getattr(self._target, alias) if isinstance(alias, str) else alias
 
 
-def as_built(controller: Any) -> Any:
-    """A controller as its own version made it."""
-    return controller._target if isinstance(controller, Renamed) else controller
+def original_controller(controller: Any) -> Any:
+    """Return a controller without its `AliasingProxy`, if it has one."""
+    return controller._target if isinstance(controller, AliasingProxy) else controller
 
 
-def with_present_names(controller: Any) -> Renamed:
-    """A controller of 0.5.1 or 0.6.0 under the present tree's names."""
-    return Renamed(
+def with_present_names(controller: Any) -> AliasingProxy:
+    """Wrap a controller of 0.5.1 or 0.6.0 so that the present attribute names work."""
+    return AliasingProxy(
         controller,
-        replica=Renamed(controller.replica, apply_committed="learn"),
+        replica=AliasingProxy(controller.replica, apply_committed="learn"),
         job_index="job_store",
-        membership=Renamed(
+        membership=AliasingProxy(
             controller.members,
             leader="owner",
             cluster_leader_token="leading",
-            session=Renamed(controller.members, own_record="_own_node"),
+            session=AliasingProxy(controller.members, own_record="_own_node"),
         ),
-        agents=Renamed(
+        agents=AliasingProxy(
             controller.workers,
-            records=Renamed(controller.workers.records, recorded_machines="of"),
+            records=AliasingProxy(controller.workers.records, recorded_machines="of"),
         ),
-        scheduler=Renamed(controller.split, quotas="teams"),
-        autoscaler=Renamed(controller.fleet, catalog="machine_types"),
+        scheduler=AliasingProxy(controller.split, quotas="teams"),
+        autoscaler=AliasingProxy(controller.fleet, catalog="machine_types"),
     )
 
 
 class HistoryMissing(Exception):
-    """The commit of a released version isn't in this clone."""
+    """Raised if the commit of a released version isn't in this clone."""
 
 
 def commit_in_production() -> str:
-    """The commit that `deploy/service.toml` names as the one in production."""
+    """Return the commit that `deploy/service.toml` names as the one in production."""
     return str(tomllib.loads((ROOT / "deploy" / "service.toml").read_text())["production"])
 
 
-def extract(commit: str, folder: Path) -> None:
-    """Write the whole tree of a commit into a folder; raises HistoryMissing."""
-    found = subprocess.run(["git", "archive", commit], cwd=ROOT, capture_output=True)
-    if found.returncode:
+def extract_commit(commit: str, folder: Path) -> None:
+    """Write the source tree of a commit into a folder; raises HistoryMissing."""
+    git_archive = subprocess.run(["git", "archive", commit], cwd=ROOT, capture_output=True)
+    if git_archive.returncode:
         raise HistoryMissing(
-            f"commit {commit}, an earlier version that tests play, isn't in this clone: "
-            f"fetch the whole history (git fetch --unshallow). {found.stderr.decode().strip()}"
+            f"commit {commit} of an earlier version that the tests run isn't in this clone; "
+            f"fetch the full history (git fetch --unshallow): {git_archive.stderr.decode().strip()}"
         )
-    with tarfile.open(fileobj=io.BytesIO(found.stdout)) as archive:
+    with tarfile.open(fileobj=io.BytesIO(git_archive.stdout)) as archive:
         archive.extractall(folder)
 
 
 class EarlierVersion:
-    """The modules of a released version, under a package name of their own."""
+    """The modules of a released version, imported under a separate package name."""
 
     def __init__(self, commit: str, folder: Path):
-        extract(commit, folder)
+        extract_commit(commit, folder)
         self.package = f"pitchtally_{commit[:12]}"
         self.folder = folder / "pitchtally"
         init = self.folder / "__init__.py"
@@ -102,18 +102,18 @@
         spec.loader.exec_module(package)
 
     def module(self, name: str) -> ModuleType:
-        """One of its modules, such as `control.jobs`."""
+        """Import and return a module of that version, such as `control.jobs`."""
         return importlib.import_module(f"{self.package}.{name}")
 
     def controller(self, settings: Settings, policy: str) -> Any:
-        """A controller of that version; it ignores the settings that it doesn't know."""
+        """Return a controller of that version, which ignores settings that it doesn't support."""
         raw = msgspec.to_builtins(settings)
         config = msgspec.convert(raw, self.module("settings").Settings, strict=False)
         figures = self.module("policy").parse(policy, config)
         return self.module("control.service").Controller(config, figures)
 
     def install(self, monkeypatch: pytest.MonkeyPatch, network: Network, clock: Any) -> None:
-        """Let its clients and servers use a network of stand-ins, and a clock for its time."""
+        """Make that version use the simulated network, and the given clock as its `time`."""
         http = self.module("http")
 
         async def call(client: Any, address: Any, *arguments: Any, timeout: float) -> Any:
@@ -126,8 +126,8 @@
             async def handle(request: Request) -> Any:
                 return await server._handle(request)
 
-            network.hosts[(host, port)] = (HERE.get(), handle)
-            await network.wait_for_ever()
+            network.hosts[(host, port)] = (CURRENT_HOST.get(), handle)
+            await network.sleep_until_cancelled()
 
         monkeypatch.setattr(http.Client, "call", call)
         monkeypatch.setattr(http.Server, "serve", serve)
