--- a/pitchtally/agents/machine.py
+++ b/pitchtally/agents/machine.py
@@ -10,7 +10,7 @@
 
 import trio
 
-from ..config.clock import LONG_AGO
+from ..config.clock import LONG_AGO_S
 from ..jobs.index import Job
 from ..jobs.resources import NO_RESOURCES, Resources, resource_request
 from ..protocol import agent_api, cloud_api, user_api
@@ -160,14 +160,14 @@
         self.lost = False  # whether its lease has expired, or its heartbeats have timed out
         self.draining = False
         self.preemption_at: float | None = None  # time that the cloud announced, if any
-        self.quarantined_until = LONG_AGO
+        self.quarantined_until = LONG_AGO_S
         self.idle_since = now
         self.placements: dict[str, Placement] = {}  # keyed by task key
         self.used = [0.0, 0.0, 0.0]  # CPUs, GPUs and GiB of memory that placements take
         self.used_by_rank = [[0.0, 0.0, 0.0] for _ in user_api.RANKS]  # `used`, for each rank
         self.reservation: Reservation | None = None
         self.exits: dict[str, TaskExit] = {}  # those that the agent lists, keyed by task key
-        self.exits_acknowledged_at = LONG_AGO
+        self.exits_acknowledged_at = LONG_AGO_S
         # Attempts of listed tasks without a placement, keyed by task key. Their jobs ended before
         # this node acquired the shard; nothing else is known of them, and they must be stopped.
         self.orphans: dict[str, int] = {}
--- a/pitchtally/config/clock.py
+++ b/pitchtally/config/clock.py
@@ -2,5 +2,5 @@
 
 from __future__ import annotations
 
-# Time of an event that has not occurred yet; earlier than any time that the clock returns.
-LONG_AGO = -1e9
+# Time of an event that has not occurred yet, in seconds; it precedes each time of the clock.
+LONG_AGO_S = -1e9
--- a/pitchtally/membership/pause_detector.py
+++ b/pitchtally/membership/pause_detector.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from ..config.clock import LONG_AGO
+from ..config.clock import LONG_AGO_S
 
 log = logging.getLogger(__name__)
 
@@ -21,7 +21,7 @@
         self._check_interval = heartbeat_interval / _CHECKS_PER_HEARTBEAT
         self._max_gap = self._check_interval + call_timeout
         self._checked_at = trio.current_time()
-        self._resumed_at = LONG_AGO
+        self._resumed_at = LONG_AGO_S
 
     def resumed_at(self) -> float:
         """Return when this process last resumed after a pause, in seconds of the steady clock.
--- a/pitchtally/membership/peers/freshness_tracker.py
+++ b/pitchtally/membership/peers/freshness_tracker.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from ...config.clock import LONG_AGO
+from ...config.clock import LONG_AGO_S
 from ...config.policy import Policy
 from ...state_store.replica import Replica
 from ..freshness import PeerReply, cancellations_verified_until, leadership_verified_until
@@ -24,8 +24,8 @@
         self._replica = replica
         self._peers = peers
         self._policy = policy
-        self._cancellations_verified_at = LONG_AGO
-        self._leadership_verified_at = LONG_AGO
+        self._cancellations_verified_at = LONG_AGO_S
+        self._leadership_verified_at = LONG_AGO_S
 
     def cancellations_verified_at(self) -> float:
         """Return the time up to which this node has received every confirmed cancellation."""
--- a/pitchtally/membership/peers/peer.py
+++ b/pitchtally/membership/peers/peer.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from ...config.clock import LONG_AGO
+from ...config.clock import LONG_AGO_S
 from ...config.settings import Member, host_port
 from ..freshness import PeerReply
 from ..messages import PeerHeartbeat
@@ -21,17 +21,17 @@
         self.name = name
         self.address = host_port(address)
         self.last_reply: PeerReply | None = None  # to a heartbeat of this node
-        self.statuses_sent_at = LONG_AGO  # send time of the last heartbeat that it answered
+        self.statuses_sent_at = LONG_AGO_S  # send time of the last heartbeat that it answered
         self.failure = ""  # error of the last call; empty if it succeeded
         self.incarnation = ""
-        self.incarnation_accepted_at = LONG_AGO
+        self.incarnation_accepted_at = LONG_AGO_S
         self.heartbeat_number = _NO_HEARTBEAT  # number of the newest accepted heartbeat
         self.revision = -1  # revision that the peer's replica covers
 
     @property
     def last_heartbeat_at(self) -> float:
         """Send time of this node's newest heartbeat that the peer answered."""
-        return LONG_AGO if self.last_reply is None else self.last_reply.requested_at
+        return LONG_AGO_S if self.last_reply is None else self.last_reply.requested_at
 
     def accept_newer(
         self, heartbeat: PeerHeartbeat, requested_at: float | None, listed_incarnation: str
--- a/pitchtally/scheduling/gangs/starter.py
+++ b/pitchtally/scheduling/gangs/starter.py
@@ -7,7 +7,7 @@
 import trio
 
 from ...agents.machine import Machine, Reservation
-from ...config.clock import LONG_AGO
+from ...config.clock import LONG_AGO_S
 from ...jobs.resources import Resources, count_fitting, fits
 from ..capacity import is_fully_assigned
 from ..context import SchedulingContext
@@ -123,7 +123,7 @@
         if state is not None:
             return job_id in state.ready_gangs
         oldest_usable = now - self.policy.heartbeat_interval * _MAX_STATUS_AGE_INTERVALS
-        if self.statuses.received_at.get(shard, LONG_AGO) < oldest_usable:
+        if self.statuses.received_at.get(shard, LONG_AGO_S) < oldest_usable:
             return True
         status = self.statuses.newest.get(shard)
         return status is None or job_id in status.ready_gangs
--- a/pitchtally/scheduling/placement/status_publisher.py
+++ b/pitchtally/scheduling/placement/status_publisher.py
@@ -7,7 +7,7 @@
 import trio
 
 from ...agents.machine import Machine
-from ...config.clock import LONG_AGO
+from ...config.clock import LONG_AGO_S
 from ...jobs.resources import NO_RESOURCES, Resources
 from ...membership.messages import GroupMatrix, MachineFlag, MachineStatus, ShardStatus
 from ...protocol import user_api
@@ -39,7 +39,7 @@
         self.shards = shards
         self.statuses = statuses
         self.quotas = quotas
-        self.matrices_refreshed_at = LONG_AGO
+        self.matrices_refreshed_at = LONG_AGO_S
 
     def refresh(self) -> float:
         """Refresh the statuses of all led shards; return the seconds that it took."""
--- a/pitchtally/scheduling/rebalancing/queue_balancing.py
+++ b/pitchtally/scheduling/rebalancing/queue_balancing.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from ...config.clock import LONG_AGO
+from ...config.clock import LONG_AGO_S
 from ...membership.messages import MachineFlag, ShardStatus
 from ...protocol import user_api
 from ..capacity import RANK, allows_machine_type, stays_in_one_shard
@@ -64,7 +64,7 @@
         self.shards = shards
         self.statuses = statuses
         self.migration = migration
-        self._last_round_at = LONG_AGO
+        self._last_round_at = LONG_AGO_S
 
     async def balance(self) -> None:
         """Migrate tasks of one job of each shard led here whose queue is too long."""
--- a/pitchtally/scheduling/rebalancing/rebalancing.py
+++ b/pitchtally/scheduling/rebalancing/rebalancing.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from ...config.clock import LONG_AGO
+from ...config.clock import LONG_AGO_S
 from ...membership.messages import ShardStatus
 from ...protocol import user_api
 from ..capacity import displacement_ratio, stays_in_one_shard
@@ -39,7 +39,7 @@
         self.statuses = statuses
         self.quotas = quotas
         self.migration = migration
-        self._last_round_at = LONG_AGO
+        self._last_round_at = LONG_AGO_S
 
     async def rebalance(self) -> None:
         """Migrate pending tasks to shards that could start them now besides their own tasks."""
--- a/pitchtally/scheduling/shards/allocations.py
+++ b/pitchtally/scheduling/shards/allocations.py
@@ -10,7 +10,7 @@
 import trio
 
 from ...agents.machine import Machine, MachineGroupKey, Placement
-from ...config.clock import LONG_AGO
+from ...config.clock import LONG_AGO_S
 from ...jobs.index import Job
 from ...jobs.resources import Resources, resource_request
 from ...protocol import cloud_api, user_api
@@ -95,8 +95,8 @@
         self.pending_since = trio.current_time()  # the last start, or when tasks became pending
         # Whether the outcome of a write that takes tasks from this shard is still unknown.
         self.range_write_in_flight = False
-        self.allotted_at = LONG_AGO  # time at which tasks were last added to machine queues
-        self.not_before = LONG_AGO  # end of the back-off after failures; no task starts earlier
+        self.allotted_at = LONG_AGO_S  # time at which tasks were last added to machine queues
+        self.not_before = LONG_AGO_S  # end of the back-off after failures; no task starts earlier
         self.failed_on: dict[str, float] = {}  # machine -> when a task of the job last failed there
         self.longest_failed_run_s = 0.0  # the longest run that ended in a failure
         self.probe_count = 0  # failed retries since the job was classified as faulty
--- a/pitchtally/scheduling/shards/eligibility.py
+++ b/pitchtally/scheduling/shards/eligibility.py
@@ -5,7 +5,7 @@
 import trio
 
 from ...agents.machine import Machine
-from ...config.clock import LONG_AGO
+from ...config.clock import LONG_AGO_S
 from ..capacity import allows_machine_type
 from .allocations import ShardAllocation, ShardState
 
@@ -41,8 +41,8 @@
     # one that the job allows.
     if allocation.failed_on or machine.last_failure_at:
         failed_at = max(
-            allocation.failed_on.get(machine.name, LONG_AGO),
-            machine.last_failure_at.get(allocation.job.id, LONG_AGO),
+            allocation.failed_on.get(machine.name, LONG_AGO_S),
+            machine.last_failure_at.get(allocation.job.id, LONG_AGO_S),
         )
         if trio.current_time() - failed_at < quarantine_s:
             return False
--- a/pitchtally/scheduling/shards/failure_tracker.py
+++ b/pitchtally/scheduling/shards/failure_tracker.py
@@ -7,7 +7,7 @@
 import trio
 
 from ...agents.machine import Machine, Placement
-from ...config.clock import LONG_AGO
+from ...config.clock import LONG_AGO_S
 from ...jobs.job_record import DONE
 from ...protocol import agent_api
 from ..context import SchedulingContext
@@ -89,7 +89,7 @@
                 if failed_machine.quarantined_until > now and not self._is_unhealthy(
                     state, failed_machine
                 ):
-                    failed_machine.quarantined_until = LONG_AGO
+                    failed_machine.quarantined_until = LONG_AGO_S
 
     def reclassify(self, allocation: ShardAllocation) -> None:
         """Update whether the job is faulty; a job without any failure never is."""
--- a/pitchtally/state_store/client.py
+++ b/pitchtally/state_store/client.py
@@ -16,7 +16,7 @@
 import msgspec
 import trio
 
-from ..config.clock import LONG_AGO
+from ..config.clock import LONG_AGO_S
 from ..config.settings import StateLimits, host_port
 from ..http import Client, HttpError, Response
 from ..protocol import state_store_api
@@ -87,7 +87,7 @@
         self._address = host_port(address)
         self._timeout = timeout
         self._client = Client(max_idle_per_address=_MAX_IDLE_CONNECTIONS)
-        self._replied_at = LONG_AGO  # send time of the newest answered request
+        self._replied_at = LONG_AGO_S  # send time of the newest answered request
         self._logged_causes: set[str] = set()  # causes of unusable replies, each logged once
 
     def share_limits(self, nodes: int) -> None:
--- a/pitchtally/state_store/replica.py
+++ b/pitchtally/state_store/replica.py
@@ -13,7 +13,7 @@
 
 import trio
 
-from ..config.clock import LONG_AGO
+from ..config.clock import LONG_AGO_S
 from ..protocol import state_store_api
 from . import keys
 from .client import StateStoreClient, Write
@@ -50,7 +50,7 @@
     def __init__(self, state_store: StateStoreClient, pause: float, wait: float):
         """Initialise; `pause` (between watches) and `wait` (for a change) are in seconds."""
         self.revision = _NOT_LOADED
-        self.verified_at = LONG_AGO
+        self.verified_at = LONG_AGO_S
         self._state_store = state_store
         self._pause = pause
         self._wait = wait
