--- a/pitchtally/autoscaling/inventory.py
+++ b/pitchtally/autoscaling/inventory.py
@@ -10,7 +10,7 @@
 from .cloud_client import CloudClient
 
 # A machine missing from the list for this many times the list's lag is dropped.
-ABSENCE_TIMEOUT_LAGS = 2
+ABSENCE_TIMEOUT_LIST_LAGS = 2
 
 
 class MachineInventory:
@@ -54,6 +54,6 @@
     def _drop_absent(self, now: float) -> None:
         # Responses may be out of order: a list can be older than the previous one.
         for name, absent_since in list(self._absent_since.items()):
-            if now - absent_since > self._list_lag * ABSENCE_TIMEOUT_LAGS:
+            if now - absent_since > self._list_lag * ABSENCE_TIMEOUT_LIST_LAGS:
                 self.machines.pop(name, None)
                 del self._absent_since[name]
