--- a/.ci/start.py
+++ b/.ci/start.py
@@ -15,7 +15,7 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 FOLDER = ROOT / "target" / "try"  # contains the settings files that the stand-ins write
 CONTROLLER = "http://127.0.0.1:7010"
-CONTROLLERS = 3
+CONTROLLER_COUNT = 3
 REQUEST_TIMEOUT_S = 5
 POLL_INTERVAL_S = 0.2
 JOB = {
@@ -79,7 +79,7 @@
         wait_for("settings", lambda: (FOLDER / "node-2.toml").exists())
         controllers = [
             subprocess.Popen([*run, str(FOLDER / f"node-{n}.toml")], cwd=ROOT, env=env)
-            for n in range(CONTROLLERS)
+            for n in range(CONTROLLER_COUNT)
         ]
         wait_for("ready", lambda: request("/ready").status == 200)
         wait_for("accepted", lambda: request("/api/jobs", JOB).status in (200, 201))
