--- a/pitchtally/api/admission_queue.py
+++ b/pitchtally/api/admission_queue.py
@@ -134,13 +134,15 @@
 
     def _seconds_until_writable(self, id: str) -> float:
         """Return the seconds until a submission could be written, after those ahead of it."""
-        write_limit = self._state_store.write_limit
+        write_limiter = self._state_store.write_limit
         queued = len(self._batcher.queued)
         wait = self._state_store.request_limit.wait_time(Priority.SUBMISSIONS)
-        if not write_limit.wait_time(
-            Priority.SUBMISSIONS, queued + write_limit.burst * RETRY_BURST_SHARE
+        if not write_limiter.wait_time(
+            Priority.SUBMISSIONS, queued + write_limiter.burst * RETRY_BURST_SHARE
         ):
             return wait  # permits would stay unused until earlier callers retry
         # Earlier callers may retry at any node: each node expects its share of them.
         earlier_callers = self.queue.count_ahead_of(id) / max(1, self._live_nodes())
-        return max(wait, write_limit.wait_time(Priority.SUBMISSIONS, 1 + queued + earlier_callers))
+        return max(
+            wait, write_limiter.wait_time(Priority.SUBMISSIONS, 1 + queued + earlier_callers)
+        )
--- a/pitchtally/api/reachability.py
+++ b/pitchtally/api/reachability.py
@@ -37,9 +37,9 @@
 
     def is_isolated(self) -> bool:
         """Return whether neither the store nor any peer has responded within a session TTL."""
-        failing_since = self._state_store.failing_since
+        outage_start = self._state_store.failing_since
         return (
-            failing_since is not None
-            and trio.current_time() - failing_since > self._session_ttl
+            outage_start is not None
+            and trio.current_time() - outage_start > self._session_ttl
             and self._peers.is_isolated()
         )
--- a/pitchtally/autoscaling/catalog.py
+++ b/pitchtally/autoscaling/catalog.py
@@ -136,10 +136,10 @@
                 await trio.sleep(self._list_interval)
                 continue
             try:
-                machine_types = await self._cloud.machine_types()
-                if machine_types and self._has_changed(machine_types):
-                    await self._store.save(machine_types)
-                    self._replace(machine_types)
+                listed_types = await self._cloud.machine_types()
+                if listed_types and self._has_changed(listed_types):
+                    await self._store.save(listed_types)
+                    self._replace(listed_types)
             except InsufficientCapacity:
                 self._errors.recovered()  # the cloud responded, so the outage is over
             except (CloudUnavailable, StoreUnavailable) as error:
--- a/pitchtally/autoscaling/terminations.py
+++ b/pitchtally/autoscaling/terminations.py
@@ -57,8 +57,8 @@
             for name, terminated_at in self._terminated_at.items()
             if now - terminated_at > TERMINATED_RETENTION_S
         ]
-        for name in expired:
-            del self._terminated_at[name]
+        for expired_name in expired:
+            del self._terminated_at[expired_name]
         return list(self._terminated_at)
 
     async def flush(self, is_verified: Callable[[], bool]) -> None:
--- a/pitchtally/config/settings.py
+++ b/pitchtally/config/settings.py
@@ -217,9 +217,9 @@
         "endpoints.state": settings.endpoints.state,
         **{f"members.{member.name}.address": member.address for member in settings.members},
     }
-    for name, address in addresses.items():
+    for name, address_text in addresses.items():
         try:
-            host_port(address)
+            host_port(address_text)
         except ValueError as error:
             raise SettingsError(f"{path}: {name}: {error}") from error
 
--- a/pitchtally/jobs/cleanup.py
+++ b/pitchtally/jobs/cleanup.py
@@ -58,12 +58,12 @@
 
     def leftover_keys(self, max_keys: int) -> list[str]:
         """Return keys, other than records, of jobs that are over; at most `max_keys`."""
-        leftover_keys: list[str] = []
+        collected_keys: list[str] = []
         for id, extra_keys in self.job_index.extra_keys.items():
             job = self.job_index.jobs.get(id)
             if job is None or job.open:
                 continue
-            leftover_keys.extend(sorted(extra_keys))
-            if len(leftover_keys) >= max_keys:
+            collected_keys.extend(sorted(extra_keys))
+            if len(collected_keys) >= max_keys:
                 break
-        return leftover_keys[:max_keys]
+        return collected_keys[:max_keys]
--- a/pitchtally/jobs/migration.py
+++ b/pitchtally/jobs/migration.py
@@ -62,9 +62,9 @@
         versions = {
             change.key: self.commits.replica.version(change.key) for change in referenced_writes
         }
-        max_writes = self.commits.max_writes
-        for start in range(0, len(referenced_writes), max_writes):
-            group = referenced_writes[start : start + max_writes]
+        max_group_size = self.commits.max_writes
+        for start in range(0, len(referenced_writes), max_group_size):
+            group = referenced_writes[start : start + max_group_size]
             preconditions = {
                 **expected_versions,
                 **{change.key: versions[change.key] for change in group},
--- a/pitchtally/jobs/progress_writer.py
+++ b/pitchtally/jobs/progress_writer.py
@@ -131,18 +131,18 @@
 
     async def _write_all(self, jobs: list[Job], priority: Priority, burst: float) -> None:
         """Write jobs in transactions of at most `burst` changes, within the store's limit."""
-        max_writes = min(self.commits.max_writes, burst)
+        max_batch_size = min(self.commits.max_writes, burst)
         batch: list[JobWrites] = []
         size = 0
         for job in jobs:
             if not job.complete and self.layout.needs_conversion(job):
                 await self.migration.convert(job, priority)
                 continue
-            if batch and size + self._count_writes(job) > max_writes:
+            if batch and size + self._count_writes(job) > max_batch_size:
                 await self._write(batch, priority)
                 batch, size = [], 0
             for writes in self._writes_of(job):
-                if batch and size + len(writes.changes) > max_writes:
+                if batch and size + len(writes.changes) > max_batch_size:
                     await self._write(batch, priority)
                     batch, size = [], 0
                 batch.append(writes)
@@ -166,8 +166,8 @@
         for task in job.unwritten_tasks:
             joined.add(task)
         changes = self.layout.progress_writes(job, joined)
-        max_writes = self.commits.max_writes
-        groups = [changes[i : i + max_writes] for i in range(0, len(changes), max_writes)]
+        max_group_size = self.commits.max_writes
+        groups = [changes[i : i + max_group_size] for i in range(0, len(changes), max_group_size)]
         return [JobWrites(job, group, is_last=group is groups[-1]) for group in groups]
 
     async def _write(self, writes: list[JobWrites], priority: Priority) -> None:
