--- a/pitchtally/autoscaling/demand.py
+++ b/pitchtally/autoscaling/demand.py
@@ -45,7 +45,7 @@
     """The pending tasks of one job shape in all shards."""
 
     spec: user_api.JobSpec  # a job of this shape, as an example
-    task_seconds: float = 0.0  # expected run time of all these tasks
+    total_run_s: float = 0.0  # expected run time of all these tasks
     tasks: int = 0
 
 
@@ -68,7 +68,7 @@
         spec = pending_job.spec
         demand = demands.setdefault(JobShape.of(spec), PendingDemand(spec))
         demand.spec = spec
-        demand.task_seconds += count * scheduler.task_seconds(spec)
+        demand.total_run_s += count * scheduler.task_seconds(spec)
         demand.tasks += count
     return list(demands.values())
 
--- a/pitchtally/autoscaling/scale_out.py
+++ b/pitchtally/autoscaling/scale_out.py
@@ -203,10 +203,10 @@
             return min(demand.tasks - free - preemptible_slots - booting, allowed)
         # Tasks that the present machines finish before a new one has booted need no launch.
         max_queue_seconds = self._max_queue_slack_share * self._scheduler.slack(spec)
-        if slots and demand.task_seconds / slots <= max_queue_seconds:
+        if slots and demand.total_run_s / slots <= max_queue_seconds:
             return 0.0
         # Machines beyond the team's limit would stay without tasks and only add cost.
-        return min(demand.task_seconds / max_queue_seconds - slots, demand.tasks, allowed)
+        return min(demand.total_run_s / max_queue_seconds - slots, demand.tasks, allowed)
 
 
 def price_of(machine_type: cloud_api.MachineType, *, spot: bool) -> float:
--- a/tests/autoscaling/test_demand.py
+++ b/tests/autoscaling/test_demand.py
@@ -20,7 +20,7 @@
         statuses = {0: shard([], wk_000001=2)}
         demands = pending_demands(statuses.values(), jobs, view(statuses))
         # 2 tasks are pending in the shard; the 6 tasks of each job have no shard assigned yet.
-        assert [(d.spec.job_class, d.tasks, d.task_seconds) for d in demands] == [
+        assert [(d.spec.job_class, d.tasks, d.total_run_s) for d in demands] == [
             ("c", 14, 14 * 4.0),
             ("other", 6, 6 * 4.0),
         ]
