--- a/pitchtally/api/validation.py
+++ b/pitchtally/api/validation.py
@@ -19,8 +19,8 @@
 MAX_NAME_LENGTH = 200
 MAX_TYPE_LENGTH = 100
 MAX_TYPES = 100
-# Sums of many floats accumulate rounding errors, so a total above its limit by less than this is
-# within the limit.
+# Sums of many floats accumulate rounding errors, so a job whose total exceeds its team's limit
+# by no more than this (in CPUs or GPUs) is within the limit.
 LIMIT_TOLERANCE = 1e-6
 
 _JOB_ID = re.compile(r"wk-[0-9]{1,18}")
--- a/pitchtally/jobs/resources.py
+++ b/pitchtally/jobs/resources.py
@@ -7,7 +7,7 @@
 from ..protocol import cloud_api, user_api
 
 # Sums of many floats accumulate rounding errors, so a request still fits if it exceeds the
-# available amount of a resource by less than this.
+# available amount of a resource by no more than this (in CPUs, GPUs or GiB).
 RESOURCE_TOLERANCE = 1e-6
 # Upper bound of `count_fitting`: an empty request would fit any number of times.
 MAX_FITTING_TASKS = 1e6
