--- a/pitchtally/cli/commands.py
+++ b/pitchtally/cli/commands.py
@@ -51,7 +51,7 @@
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(VERSION)
 def main() -> None:
-    """A fair, decentralised cluster scheduler."""
+    """A fair, decentralised cluster scheduler."""  # noqa: D401 (shown as the help text)
 
 
 @main.command("serve")
