--- a/pitchtally/scheduling/scheduler.py
+++ b/pitchtally/scheduling/scheduler.py
@@ -86,8 +86,9 @@
     ):
         """Compose the components.
 
-        `machine_types` returns the machine types that the catalog lists now, by name. Each other
-        argument is a component of a lower layer that the controller has composed.
+        `machine_types` returns the machine types that the catalog lists now, by name. The
+        arguments from `membership` to `migration` are components of lower layers that the
+        controller has composed.
         """
         context = SchedulingContext(
             settings=settings,
@@ -179,7 +180,7 @@
         """Plan within each shard led here and refresh its status, until cancelled."""
         while True:
             await self.planning_trigger.wait(self.agent_heartbeat_s / 4)
-            # Starts are sent in the answers to agent heartbeats, so more frequent planning
+            # Starts are sent in the responses to agent heartbeats, so more frequent planning
             # would start no task earlier.
             await trio.sleep(self.agent_heartbeat_s / 10)
             planning_s = 0.0
